--- /dev/null
+++ b/crates/operate/tests/golden.rs
@@ -0,0 +1,177 @@
+//! Golden files of what other versions and operators' tools read: the hand-over, the fleet page, events and metric names.
+
+use corkhollow_balance::interface::{Ending, Refusal, ServerId};
+use corkhollow_balance::{ClassKnown, Knowledge, ServerKnown};
+use corkhollow_fleet::{Group, MemberView, Snapshot, State, Stats};
+use corkhollow_operate::*;
+use std::collections::BTreeSet;
+use std::path::Path;
+
+/// Compares with the bytes that are kept under `tests/golden`.
+fn assert_golden(name: &str, bytes: &[u8]) {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name);
+    let kept = std::fs::read(&path).unwrap();
+    assert!(kept == bytes, "{name} differs from:\n{}\nnow:\n{}", kept.escape_ascii(), bytes.escape_ascii());
+}
+
+fn address(text: &str) -> std::net::SocketAddr {
+    text.parse().unwrap()
+}
+
+/// A pool with two classes and two servers, every field away from its default.
+fn pool(name: &str, at: u64) -> PoolHandover {
+    let server = |k: u64| ServerKnown {
+        id: ServerId(0x0a00_0001_1f90 + k),
+        started_at: 1_700_000_000_000_000_000 + k,
+        lag: 1.25,
+        lag_at: at - 1,
+        score: 17.5 + k as f64,
+        strikes: 3,
+        blocked_until: at + 2_000_000_000,
+        failures: 0.125,
+        failures_at: at - 2,
+    };
+    let class = |typical: f64| ClassKnown { typical, answers: 42.5, least: 250_000.0 };
+    PoolHandover {
+        name: name.to_owned(),
+        classes: vec!["read".to_owned(), "write".to_owned()],
+        knowledge: Knowledge {
+            at,
+            classes: vec![class(1.5e6), class(3.25e7)],
+            servers: vec![server(0), server(1)],
+        },
+    }
+}
+
+#[test]
+fn handover_of_a_drained_fleet_member_keeps_its_bytes() {
+    let handover = Handover {
+        drains: true,
+        fleet: Some(FleetHandover {
+            ordinal: 3,
+            size: 9,
+            incarnation: 17,
+            members: vec![address("127.0.0.1:7101"), address("[::1]:7102")],
+        }),
+        pools: vec![pool("main", 1_764_700_000_000_000_000), pool("other", 1_764_700_000_500_000_000)],
+    };
+    let bytes = handover.encode().unwrap();
+    assert_golden("handover.bin", &bytes);
+    assert_eq!(Handover::decode(&bytes).unwrap(), handover);
+}
+
+#[test]
+fn handover_without_optional_fields_is_read() {
+    let handover =
+        Handover { drains: false, fleet: None, pools: vec![pool("main", 1_764_700_000_000_000_000)] };
+    let bytes = handover.encode().unwrap();
+    assert_golden("handover-alone.bin", &bytes);
+    assert_eq!(Handover::decode(&bytes).unwrap(), handover);
+    // An earlier version wrote neither `drains` nor a class's `least`.
+    let old = br#"{"pools":[{"name":"main","classes":["read"],"knowledge":{"at":7,"classes":[{"typical":2.0,"answers":3.0}],"servers":[]}}]}"#;
+    let framed = [
+        &b"corkhollow-handover 1\n"[..],
+        &(old.len() as u32).to_be_bytes(),
+        &crc32fast::hash(old).to_be_bytes(),
+        old,
+    ]
+    .concat();
+    let classes = vec![ClassKnown { typical: 2.0, answers: 3.0, least: 0.0 }];
+    let knowledge = Knowledge { at: 7, classes, servers: Vec::new() };
+    let pool = PoolHandover { name: "main".to_owned(), classes: vec!["read".to_owned()], knowledge };
+    assert_eq!(
+        Handover::decode(&framed).unwrap(),
+        Handover { drains: false, fleet: None, pools: vec![pool] }
+    );
+}
+
+fn snapshot() -> Snapshot {
+    let member = |name: &str, port: u16, state: State| MemberView {
+        name: name.to_owned(),
+        address: address(&format!("127.0.0.1:{port}")),
+        zone: "north".to_owned(),
+        state,
+        incarnation: u64::from(port),
+        since: 1_500_000_000,
+        drains: state == State::Left,
+    };
+    Snapshot {
+        fleet: "perth".to_owned(),
+        node: "a".to_owned(),
+        incarnation: 4,
+        view: 0x0123_4567_89ab_cdef,
+        settled: true,
+        members: State::ALL.into_iter().zip(1..).map(|(s, k)| member(&format!("m{k}"), k, s)).collect(),
+        group: Group { ordinal: 1, size: 2 },
+    }
+}
+
+#[test]
+fn fleet_page_keeps_its_json() {
+    let page = FleetPage::new(&snapshot(), Some(address("127.0.0.1:7999")), 2_000_000);
+    assert_golden("fleet-page.json", page.json().as_bytes());
+    assert_eq!(FleetPage::read(page.json().as_bytes()).unwrap(), page);
+    let alone = FleetPage::new(&Snapshot { members: Vec::new(), settled: false, ..snapshot() }, None, 0);
+    assert_golden("fleet-page-alone.json", alone.json().as_bytes());
+}
+
+const ENDINGS: [Ending; 9] = [
+    Ending::Ok,
+    Ending::Error,
+    Ending::Rejected,
+    Ending::Full,
+    Ending::TimedOut,
+    Ending::ConnectFailed,
+    Ending::Reset,
+    Ending::Cancelled,
+    Ending::NotSent,
+];
+
+#[test]
+fn events_page_keeps_its_lines() {
+    let recorder = Recorder::default();
+    let request = || Subject::Request { pool: "main".into(), number: 7 };
+    recorder.record(1_500_000_000, request(), Event::Taken(ClientId::new(b"9b1f")));
+    recorder.record(
+        1_500_000_000,
+        request(),
+        Event::AttemptSent { attempt: 1, server: "s-1".into(), hedge: true },
+    );
+    for (at, ending) in (0..).zip(ENDINGS) {
+        recorder.record(1_600_000_000 + 1_000 * at, request(), Event::AttemptEnded { attempt: 1, ending });
+    }
+    recorder.record(1_700_000_000, request(), Event::Denied("may-have-run"));
+    recorder.record(1_700_000_000, request(), Event::Answered("failed"));
+    recorder.record(1_700_000_000, request(), Event::ClientLeft);
+    recorder.record(1_800_000_000, Subject::Connection(3), Event::Closed("leaving"));
+    recorder.record(1_800_000_000, Subject::Connection(3), Event::ClientLeft);
+    assert_golden("events.txt", recorder.page().as_bytes());
+}
+
+/// Metric names with their types and labels; help texts and values are left out.
+#[test]
+fn metrics_keep_names_types_and_labels() {
+    let figures = Figures::new().unwrap();
+    figures.closed("idle-timeout", true);
+    figures.answered_late();
+    figures.in_force("v1", Some(([0.1, 0.2, 0.3], 4)));
+    figures.class("status");
+    let pool = figures.pool("main");
+    for ending in ENDINGS {
+        pool.ended(ending);
+        pool.retried(ending);
+    }
+    Refusal::ALL.into_iter().for_each(|reason| pool.refused(reason));
+    pool.denied(Proposed::Send, "may-have-run");
+    pool.denied(Proposed::Begin, "out-of-time");
+    figures.fleet().unwrap().set(&snapshot(), &Stats::default());
+    let (page, content_type) = figures.page().unwrap();
+    assert_eq!(content_type, "text/plain; version=0.0.4");
+    let page = String::from_utf8(page).unwrap();
+    let shown = page.lines().filter(|line| !line.starts_with("# HELP "));
+    let names: BTreeSet<_> = shown
+        .map(|line| if line.starts_with('#') { line } else { line.rsplit_once(' ').unwrap().0 })
+        .collect();
+    let names: String = names.into_iter().map(|name| format!("{name}\n")).collect();
+    assert_golden("metrics.txt", names.as_bytes());
+}
