--- a/crates/corkhollow/src/commands/membership.rs
+++ b/crates/corkhollow/src/commands/membership.rs
@@ -5,8 +5,8 @@
 use corkhollow_fleet::{Additions, Config, Group, Timing};
 use corkhollow_operate::{Figures, FleetHandover};
 use corkhollow_plan::plan::{self, Plan};
+use corkhollow_proxy::active_plan::CurrentPlan;
 use corkhollow_proxy::fleet::{Fleet, Place};
-use corkhollow_proxy::site::Current;
 use std::cell::Cell;
 use std::net::{SocketAddr, UdpSocket};
 use std::rc::Rc;
@@ -101,7 +101,7 @@
     }
 
     /// Lets the pools count by the view as it changes, for good.
-    pub async fn follow(self, current: Rc<Current>) {
+    pub async fn follow(self, current: Rc<CurrentPlan>) {
         let mut pace = Pace::new(100, 1.0);
         let mut fleet = loop {
             match self.place.get() {
@@ -121,9 +121,9 @@
     }
 
     /// Lets the pools count so.
-    pub async fn regroup(&self, current: &Current, group: Group, pace: &mut Pace) {
+    pub async fn regroup(&self, current: &CurrentPlan, group: Group, pace: &mut Pace) {
         self.group.set(Some(group));
-        match current.get().regroup(group).await {
+        match current.get().set_group(group).await {
             Ok(()) => pace.log(format_args!("fleet: counts as number {} of {}", group.ordinal, group.size)),
             Err(why) => pace.log(format_args!("fleet: {why}")),
         }
--- a/crates/corkhollow/src/commands/reload.rs
+++ b/crates/corkhollow/src/commands/reload.rs
@@ -11,10 +11,10 @@
 use corkhollow_plan::change::Change;
 use corkhollow_plan::plan::{Plan, Source};
 use corkhollow_plan::platform::{Config, Shape};
+use corkhollow_proxy::active_plan::{ActivePlan, CurrentPlan};
 use corkhollow_proxy::background::{self, Running};
 use corkhollow_proxy::fleet::Place;
 use corkhollow_proxy::http1::Clients;
-use corkhollow_proxy::site::{Current, Site};
 use corkhollow_proxy::upstream::Shared;
 use std::future::pending;
 use std::net::SocketAddr;
@@ -85,7 +85,7 @@
 
 /// All that a file is put in force on.
 pub struct Target<'t> {
-    pub current: &'t Current,
+    pub current: &'t CurrentPlan,
     pub listeners: &'t mut Listeners,
     pub clients: &'t Rc<Clients>,
     pub shared: &'t Shared,
@@ -102,7 +102,7 @@
     }
 
     /// SIGHUP has come.
-    pub fn begin(&mut self, current: &Current, figures: &Figures) {
+    pub fn begin(&mut self, current: &CurrentPlan, figures: &Figures) {
         if self.running.is_some() {
             self.again = true;
             return;
@@ -152,7 +152,7 @@
         let begun = Instant::now();
         let old = target.current.get();
         let bound = target.listeners.bind(&plan)?;
-        let site = old.follow(plan, &change, target.shared, target.seed, target.group)?;
+        let site = old.reload(plan, &change, target.shared, target.seed, target.group)?;
         let (now, then) = (&site.plan.limits, &old.plan.limits);
         if (now.descriptors, now.memory) != (then.descriptors, then.memory) {
             log(format_args!("`limits.descriptors` and `limits.memory` change with a restart only"));
@@ -160,7 +160,7 @@
         if site.plan.operator != old.plan.operator {
             log(format_args!("the operator's address changes with a restart only"));
         }
-        target.current.put(site.clone());
+        target.current.set(site.clone());
         if let (Some(node), Some(told)) = (target.place.get(), fleet) {
             node.retune(told);
         }
@@ -190,7 +190,7 @@
     log(format_args!("not reloaded: {why}"));
 }
 
-fn tell(site: &Site, change: &Change, times: [Duration; 3]) {
+fn tell(site: &ActivePlan, change: &Change, times: [Duration; 3]) {
     let plan = &site.plan;
     for pool in &plan.pools {
         if let Source::Discovery(from) = &pool.source {
--- a/crates/corkhollow/src/commands/run.rs
+++ b/crates/corkhollow/src/commands/run.rs
@@ -11,11 +11,11 @@
 use corkhollow_plan::limits::Budget;
 use corkhollow_plan::plan::Plan;
 use corkhollow_plan::platform::{Config, ConfigError};
+use corkhollow_proxy::active_plan::{ActivePlan, CurrentPlan, PoolError};
 use corkhollow_proxy::background;
 use corkhollow_proxy::fleet::Place;
 use corkhollow_proxy::http1::{Clients, Service};
 use corkhollow_proxy::operator::Operator;
-use corkhollow_proxy::site::{Current, PoolError, Site};
 use corkhollow_proxy::upstream::{Engines, Shared};
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -282,9 +282,9 @@
             joined = member.join(&plan, &figures, seed) => joined?,
         }
     }
-    let site = Site::start(plan, &shared, seed, member.group.get())?;
+    let site = ActivePlan::start(plan, &shared, seed, member.group.get())?;
     figures.in_force(&site.plan.version.to_string(), None);
-    let current = Current::new(site.clone());
+    let current = CurrentPlan::new(site.clone());
     let service = Rc::new(Service {
         site: current.clone(),
         clock,
@@ -326,7 +326,7 @@
     spawn_local(watch(current.clone(), control.clone(), figures.clone(), budget.clone(), open.clone()));
     spawn_local(tell_of_drains(member.place.clone(), control.clone()));
     if let Some(neighbours) = &neighbours {
-        while !neighbours.now().accepts(site.ready() && !control.lock().drains()) {
+        while !neighbours.now().accepts(site.is_ready() && !control.lock().drains()) {
             tokio::select! {
                 // Nothing has been taken yet.
                 _ = terminate.recv() => return Ok(()),
@@ -339,7 +339,7 @@
     listeners.start(&site.plan, bound, &clients)?;
     // It says yes when it takes clients, not before: the other process may end on that word.
     open.set(true);
-    control.lock().tell(site.ready());
+    control.lock().tell(site.is_ready());
     drop(site);
     spawn_local(sweep(current.clone(), clients.clone()));
     spawn_local(empty(clients.clone(), control.clone(), clock, changed));
@@ -390,7 +390,7 @@
 
 /// Keeps the figures and the node's readiness up to date, for good. It is not ready before its listeners are open.
 async fn watch(
-    current: Rc<Current>,
+    current: Rc<CurrentPlan>,
     control: Control,
     figures: Figures,
     budget: Rc<Budget>,
@@ -399,10 +399,10 @@
     let (mut looks, mut listed) = (0u32, 0);
     loop {
         let site = current.get();
-        control.lock().tell(open.get() && site.ready());
+        control.lock().tell(open.get() && site.is_ready());
         if listed < MANY || looks.is_multiple_of(SELDOM) {
             let ejected;
-            (listed, ejected) = site.census();
+            (listed, ejected) = site.server_counts();
             figures.discovered.set(listed as i64);
             figures.ejected.set(ejected as i64);
         }
@@ -427,7 +427,7 @@
 }
 
 /// Writes down what this process has learnt while there is one that comes to its place, for good.
-async fn teach(neighbours: Rc<Neighbours>, current: Rc<Current>, control: Control, member: Membership) {
+async fn teach(neighbours: Rc<Neighbours>, current: Rc<CurrentPlan>, control: Control, member: Membership) {
     let mut failed = false;
     loop {
         let newer = neighbours.now().newer;
@@ -461,7 +461,7 @@
 /// it tells in time.
 async fn learn(
     neighbours: &Neighbours,
-    site: &Site,
+    site: &ActivePlan,
     clock: Clock,
     control: &Control,
 ) -> Option<FleetHandover> {
@@ -473,20 +473,20 @@
     }
     neighbours.begin();
     loop {
-        let told = neighbours.told(clock.now()).filter(|_| site.ready());
+        let told = neighbours.told(clock.now()).filter(|_| site.is_ready());
         if told.as_ref().is_some_and(|told| told.drains) {
             log(format_args!("begins drained, as the other process is; POST /-/resume ends that"));
             control.lock().drain(clock.now());
         }
         if let Some(told) = told {
-            match site.recall(&told) {
+            match site.restore_knowledge(&told) {
                 0 => log(format_args!("begins cold: nothing that the other process knows holds here")),
                 known => log(format_args!("begins with what is known of {known} servers")),
             }
             return told.fleet;
         }
         // One that has gone leaves its clients to this one, ready or not.
-        if !neighbours.now().older || (site.ready() && neighbours.age() > LEARN_WITHIN) {
+        if !neighbours.now().older || (site.is_ready() && neighbours.age() > LEARN_WITHIN) {
             log(format_args!("begins cold: the other process has not told what it knows"));
             return None;
         }
@@ -512,7 +512,7 @@
 }
 
 /// Closes what stands still, for good.
-async fn sweep(current: Rc<Current>, clients: Rc<Clients>) {
+async fn sweep(current: Rc<CurrentPlan>, clients: Rc<Clients>) {
     let mut forgotten = tokio::time::Instant::now();
     loop {
         for _ in 0..5 {
--- a/crates/proxy/src/site.rs
+++ b/crates/proxy/src/active_plan.rs
@@ -16,28 +16,28 @@
 const LARGE: usize = 1_000;
 
 /// A plan with its pools. A request goes by the site that was in force when its head came, to its end.
-pub struct Site {
+pub struct ActivePlan {
     /// What is to be done.
-    pub plan: Held,
+    pub plan: PlanHandle,
     /// The plan's pools, by their index there.
     pub pools: Vec<Rc<Pool>>,
     /// By pool and by class of the plan, the place that the pool's decision module has for the class.
-    pub places: Vec<Rc<[u16]>>,
+    pub class_indexes: Vec<Rc<[u16]>>,
     /// Where requests are counted, by their class in the plan.
-    pub figures: Vec<ClassFigures>,
+    pub class_figures: Vec<ClassFigures>,
 }
 
 /// A site's plan.
-pub struct Held(Option<Arc<Plan>>);
+pub struct PlanHandle(Option<Arc<Plan>>);
 
-impl Held {
+impl PlanHandle {
     /// A handle on the plan that another thread may have.
     pub fn share(&self) -> Option<Arc<Plan>> {
         self.0.clone()
     }
 }
 
-impl Deref for Held {
+impl Deref for PlanHandle {
     type Target = Plan;
 
     fn deref(&self) -> &Plan {
@@ -45,7 +45,7 @@
     }
 }
 
-impl Drop for Held {
+impl Drop for PlanHandle {
     fn drop(&mut self) {
         let large = |plan: &Arc<Plan>| plan.routes.routes().len() + plan.tenants.len() > LARGE;
         if let Some(plan) = self.0.take().filter(large) {
@@ -65,7 +65,7 @@
     pub error: SettingsError,
 }
 
-impl Site {
+impl ActivePlan {
     /// Starts a plan's pools. The node counts as one of a group, where it is told so.
     ///
     /// # Errors
@@ -84,9 +84,9 @@
     }
 
     fn of(plan: Plan, shared: &Shared, pools: Vec<(Rc<Pool>, Rc<[u16]>)>) -> Rc<Self> {
-        let figures = plan.classes.iter().map(|class| shared.figures.class(&class.name)).collect();
-        let (pools, places) = pools.into_iter().unzip();
-        Rc::new(Site { plan: Held(Some(Arc::new(plan))), pools, places, figures })
+        let class_figures = plan.classes.iter().map(|class| shared.figures.class(&class.name)).collect();
+        let (pools, class_indexes) = pools.into_iter().unzip();
+        Rc::new(ActivePlan { plan: PlanHandle(Some(Arc::new(plan))), pools, class_indexes, class_figures })
     }
 
     /// The site of a plan that follows this one's. Pools that fit go on, with what they have learnt and what is under way; those
@@ -94,7 +94,7 @@
     ///
     /// # Errors
     /// Where a pool cannot be started or told; this site is as it was.
-    pub fn follow(
+    pub fn reload(
         &self,
         plan: Plan,
         change: &Change,
@@ -125,7 +125,7 @@
             pools.push(match pool {
                 PoolChange::Starts => (started.next().expect("it has been started"), fresh.clone()),
                 PoolChange::GoesOn { former, differs } => {
-                    let (pool, places) = (&self.pools[*former], &self.places[*former]);
+                    let (pool, places) = (&self.pools[*former], &self.class_indexes[*former]);
                     // A class's predecessor is the one of its name.
                     let predecessors =
                         || change.classes.iter().map(|k| Some(places[(*k)?])).collect::<Vec<_>>();
@@ -139,7 +139,7 @@
     }
 
     /// Servers in the lists of all pools, and how many of them are ejected.
-    pub fn census(&self) -> (usize, usize) {
+    pub fn server_counts(&self) -> (usize, usize) {
         let counts = self.pools.iter().map(|p| p.engine.census());
         counts.fold((0, 0), |sum, (listed, ejected)| (sum.0 + listed, sum.1 + ejected))
     }
@@ -149,16 +149,16 @@
         let pool = |(at, pool): (usize, &Rc<Pool>)| PoolHandover {
             name: self.plan.pools[at].name.clone(),
             classes: self.plan.classes.iter().map(|class| class.name.clone()).collect(),
-            knowledge: pool.engine.knowledge(&self.places[at]),
+            knowledge: pool.engine.knowledge(&self.class_indexes[at]),
         };
         Handover { drains, fleet: None, pools: self.pools.iter().enumerate().map(pool).collect() }
     }
 
     /// Takes over what another process's pools have learnt, by their names; how many servers are known now.
-    pub fn recall(&self, handover: &Handover) -> usize {
+    pub fn restore_knowledge(&self, handover: &Handover) -> usize {
         let mut known = 0;
         for (at, pool) in self.pools.iter().enumerate() {
-            let (told, places) = (&self.plan.pools[at], &self.places[at]);
+            let (told, places) = (&self.plan.pools[at], &self.class_indexes[at]);
             let Some(from) = handover.pools.iter().find(|p| p.name == told.name) else { continue };
             let names = &self.plan.classes;
             let successor = |name: &String| names.iter().position(|c| c.name == *name).map(|at| places[at]);
@@ -173,7 +173,7 @@
     ///
     /// # Errors
     /// Where a pool turns that down; those before it go by it.
-    pub async fn regroup(&self, group: Group) -> Result<(), PoolError> {
+    pub async fn set_group(&self, group: Group) -> Result<(), PoolError> {
         for (at, pool) in self.pools.iter().enumerate() {
             let told = pool.engine.count_as(group.ordinal, group.size.max(group.ordinal + 1));
             told.map_err(|error| PoolError { pool: self.plan.pools[at].name.clone(), error })?;
@@ -183,7 +183,7 @@
     }
 
     /// Whether all pools have been told who their servers are.
-    pub fn ready(&self) -> bool {
+    pub fn is_ready(&self) -> bool {
         self.pools.iter().all(|p| *p.ready.borrow())
     }
 }
@@ -197,21 +197,21 @@
 }
 
 /// The site in force.
-pub struct Current(RefCell<Rc<Site>>);
+pub struct CurrentPlan(RefCell<Rc<ActivePlan>>);
 
-impl Current {
+impl CurrentPlan {
     /// Begins with a site.
-    pub fn new(site: Rc<Site>) -> Rc<Self> {
-        Rc::new(Current(RefCell::new(site)))
+    pub fn new(site: Rc<ActivePlan>) -> Rc<Self> {
+        Rc::new(CurrentPlan(RefCell::new(site)))
     }
 
     /// The site in force now.
-    pub fn get(&self) -> Rc<Site> {
+    pub fn get(&self) -> Rc<ActivePlan> {
         self.0.borrow().clone()
     }
 
     /// Puts another site in force.
-    pub fn put(&self, site: Rc<Site>) {
+    pub fn set(&self, site: Rc<ActivePlan>) {
         self.0.replace(site);
     }
 }
--- a/crates/proxy/src/http1/general.rs
+++ b/crates/proxy/src/http1/general.rs
@@ -5,9 +5,9 @@
 use super::closing::Stage;
 use super::service::Service;
 use super::upload::{self, UploadError};
+use crate::active_plan::ActivePlan;
 use crate::body::{AnswerBody, PieceBody};
 use crate::headers::strip;
-use crate::site::Site;
 use bytes::Bytes;
 use corkhollow_balance::interface::{self, Nanos};
 use corkhollow_engine::{Answer, Interims, Message, Payload};
@@ -81,7 +81,7 @@
 /// Answers one request.
 pub(super) async fn answer(
     service: &Rc<Service>,
-    site: &Site,
+    site: &ActivePlan,
     client: &Rc<Client>,
     listener: Option<usize>,
     request: Request<Incoming>,
@@ -111,7 +111,7 @@
 
 async fn handle(
     service: &Rc<Service>,
-    site: &Site,
+    site: &ActivePlan,
     client: &Rc<Client>,
     listener: Option<usize>,
     head: Parts,
@@ -157,7 +157,7 @@
         }
         Outcome::Forward { pool, rewrite } => {
             let class = site.plan.class_of(route.class, &head.method);
-            client.count(&site.figures[class]);
+            client.count(&site.class_figures[class]);
             let sent = sent(rewrite, &path, &head.uri)?;
             let tenant = site.plan.tenants.number(head.headers.get(&site.plan.tenants.header));
             let mut headers = head.headers;
@@ -197,7 +197,7 @@
                 }
                 headers.remove(header::EXPECT);
             }
-            let (pool, places) = (&site.pools[*pool], &site.places[*pool]);
+            let (pool, places) = (&site.pools[*pool], &site.class_indexes[*pool]);
             let give_up_at = service.clock.now() + site.plan.classes[class].class.give_up;
             let request = interface::Request {
                 class: places[class],
@@ -283,7 +283,7 @@
     }
 }
 
-fn no_route(site: &Site, target: &Target<'_>) -> Problem {
+fn no_route(site: &ActivePlan, target: &Target<'_>) -> Problem {
     let allowed = site.plan.routes.other_methods(target);
     if allowed.is_empty() {
         return Problem::new(StatusCode::NOT_FOUND, "no-route", "no route takes this request");
--- a/crates/proxy/src/http1/platform.rs
+++ b/crates/proxy/src/http1/platform.rs
@@ -5,9 +5,9 @@
 use super::closing::Stage;
 use super::service::Service;
 use super::upload::{self, Pace, Rules, UploadError};
+use crate::active_plan::ActivePlan;
 use crate::body::{AnswerBody, PieceBody};
 use crate::headers::{strip, ID, TIMEOUT};
-use crate::site::Site;
 use bytes::Bytes;
 use corkhollow_balance::interface::{self, Nanos, Settings};
 use corkhollow_engine::{Answer, Message, Payload};
@@ -29,7 +29,7 @@
 
 pub(super) async fn answer(
     service: &Rc<Service>,
-    site: &Site,
+    site: &ActivePlan,
     client: &Rc<Client>,
     request: Request<Incoming>,
 ) -> Response<AnswerBody> {
@@ -57,7 +57,7 @@
         return closing(text(StatusCode::NOT_FOUND, "no such class of requests\n"));
     };
     let (pool, settings) = (&site.pools[at], &site.plan.pools[at].settings);
-    client.count(&site.figures[class]);
+    client.count(&site.class_figures[class]);
     let rules = Rules {
         most_kept: site.plan.limits.replay_buffer,
         most: MOST_BODY,
@@ -111,7 +111,7 @@
     let number = |name: &str| headers.get(name).and_then(|v| v.to_str().ok()?.trim().parse::<f64>().ok());
     let tenant = site.plan.tenants.number(headers.get(&site.plan.tenants.header));
     let request = interface::Request {
-        class: site.places[at][class],
+        class: site.class_indexes[at][class],
         tenant: tenant.unwrap_or(u32::MAX),
         key: headers.get("x-route-key").map_or(0, |k| route_key(k.as_bytes())),
         work_hint: number("x-cost").filter(|us| *us > 0.0).map(|us| (us * 1000.0) as Nanos),
--- a/crates/proxy/src/http1/service.rs
+++ b/crates/proxy/src/http1/service.rs
@@ -2,7 +2,7 @@
 
 use super::client::Client;
 use super::closing::CloseLimits;
-use crate::site::Current;
+use crate::active_plan::CurrentPlan;
 use corkhollow_engine::Clock;
 use corkhollow_operate::{Control, Event, Figures, Subject};
 use corkhollow_plan::limits::Budget;
@@ -13,7 +13,7 @@
 /// What all clients' connections work with.
 pub struct Service {
     /// What is in force.
-    pub site: Rc<Current>,
+    pub site: Rc<CurrentPlan>,
     /// The program's clock.
     pub clock: Clock,
     /// What it may hold.
--- a/crates/proxy/tests/closing.rs
+++ b/crates/proxy/tests/closing.rs
@@ -4,8 +4,8 @@
 use corkhollow_operate::{Control, Figures};
 use corkhollow_plan::file::read;
 use corkhollow_plan::limits::Budget;
+use corkhollow_proxy::active_plan::{ActivePlan, CurrentPlan};
 use corkhollow_proxy::http1::{Clients, Service};
-use corkhollow_proxy::site::{Current, Site};
 use corkhollow_proxy::upstream::{Engines, Shared};
 use std::cell::Cell;
 use std::io::{ErrorKind, Read, Write};
@@ -38,9 +38,9 @@
             figures: Figures::new().unwrap(),
             engines: Engines::default(),
         };
-        let site = Site::start(plan, &shared, 7, None).unwrap();
+        let site = ActivePlan::start(plan, &shared, 7, None).unwrap();
         let service = Rc::new(Service {
-            site: Current::new(site),
+            site: CurrentPlan::new(site),
             clock: shared.clock,
             budget: shared.budget,
             control: Control::default(),
--- a/crates/proxy/tests/follow.rs
+++ b/crates/proxy/tests/follow.rs
@@ -10,7 +10,7 @@
 use corkhollow_plan::limits::Budget;
 use corkhollow_plan::plan::Plan;
 use corkhollow_plan::routes::Target;
-use corkhollow_proxy::site::Site;
+use corkhollow_proxy::active_plan::ActivePlan;
 use corkhollow_proxy::upstream::{Engines, Shared};
 use http::{HeaderMap, HeaderValue, Method};
 use proptest::collection::vec;
@@ -127,8 +127,8 @@
     servers: Vec<Server>,
 }
 
-fn does(site: &Site) -> Vec<Does> {
-    let pools = site.pools.iter().zip(&site.places).zip(&site.plan.pools);
+fn does(site: &ActivePlan) -> Vec<Does> {
+    let pools = site.pools.iter().zip(&site.class_indexes).zip(&site.plan.pools);
     pools
         .map(|((pool, places), told)| {
             let (settings, mut servers) = pool.engine.told();
@@ -158,7 +158,7 @@
 }
 
 /// Where requests go: by path, the names of pool and class.
-fn goes(site: &Site) -> Vec<Option<(String, String)>> {
+fn goes(site: &ActivePlan) -> Vec<Option<(String, String)>> {
     let (headers, method) = (HeaderMap::new(), Method::GET);
     let to = |path: u8| {
         let path = format!("/{path}");
@@ -191,14 +191,14 @@
         LocalSet::new().block_on(&runtime, async {
             let shared = shared();
             let group = |k: u32| (k > 0).then(|| Group { ordinal: k, size: 7 * k });
-            let mut site = Site::start(first.plan(), &shared, 1, None).unwrap();
+            let mut site = ActivePlan::start(first.plan(), &shared, 1, None).unwrap();
             let (mut counts, mut last) = (0, first.clone());
             for (file, parts, view, late) in &files {
                 let file = last.with(file, *parts);
                 // A view that changes while a file is being compiled is what counts when that is put in force.
-                let regroup = async |site: &Rc<Site>| {
+                let regroup = async |site: &Rc<ActivePlan>| {
                     if let Some(group) = group(*view) {
-                        site.regroup(group).await.unwrap();
+                        site.set_group(group).await.unwrap();
                     }
                 };
                 if !late {
@@ -211,7 +211,7 @@
                 counts = if *view > 0 { *view } else { counts };
                 let before: Vec<_> = site.pools.iter().map(Rc::as_ptr).collect();
                 let old = site.clone();
-                site = old.follow(plan, &change, &shared, 1, group(counts)).unwrap();
+                site = old.reload(plan, &change, &shared, 1, group(counts)).unwrap();
                 // Pools that go on are the same ones.
                 for (pool, change) in site.pools.iter().zip(&change.pools) {
                     if let PoolChange::GoesOn { former, .. } = change {
@@ -223,12 +223,12 @@
                     let PoolChange::GoesOn { former, .. } = pool else { continue };
                     for (k, predecessor) in change.classes.iter().enumerate() {
                         let Some(predecessor) = predecessor.filter(|predecessor| old.plan.classes[*predecessor] == site.plan.classes[k]) else { continue };
-                        prop_assert_eq!(site.places[at][k], old.places[*former][predecessor]);
+                        prop_assert_eq!(site.class_indexes[at][k], old.class_indexes[*former][predecessor]);
                     }
                 }
                 last = file;
             }
-            let fresh = Site::start(last.plan(), &shared, 1, group(counts)).unwrap();
+            let fresh = ActivePlan::start(last.plan(), &shared, 1, group(counts)).unwrap();
             let (own, expected) = (does(&site), does(&fresh));
             for (own, expected) in own.iter().zip(&expected) {
                 // When a server came is learnt; what it is, is told.
