--- a/crates/corkhollow/src/commands/membership.rs
+++ b/crates/corkhollow/src/commands/membership.rs
@@ -1,7 +1,7 @@
 //! The running program's place in its fleet: joining, following the view, and handing the place on.
 
 use super::run::StartError;
-use corkhollow_engine::{log, Pace};
+use corkhollow_engine::{log, LogLimiter};
 use corkhollow_fleet::{Additions, Config, Group, Timing};
 use corkhollow_operate::{Figures, FleetHandover};
 use corkhollow_plan::plan::{self, Plan};
@@ -102,7 +102,7 @@
 
     /// Lets the pools count by the view as it changes, for good.
     pub async fn follow(self, current: Rc<Current>) {
-        let mut pace = Pace::new(100, 1.0);
+        let mut pace = LogLimiter::new(100, 1.0);
         let mut fleet = loop {
             match self.place.get() {
                 Some(fleet) => break fleet.clone(),
@@ -121,7 +121,7 @@
     }
 
     /// Lets the pools count so.
-    pub async fn regroup(&self, current: &Current, group: Group, pace: &mut Pace) {
+    pub async fn regroup(&self, current: &Current, group: Group, pace: &mut LogLimiter) {
         self.group.set(Some(group));
         match current.get().regroup(group).await {
             Ok(()) => pace.log(format_args!("fleet: counts as number {} of {}", group.ordinal, group.size)),
--- a/crates/corkhollow/src/commands/run.rs
+++ b/crates/corkhollow/src/commands/run.rs
@@ -5,7 +5,7 @@
 use super::Failure;
 use crate::cli::RunArgs;
 use crate::succession::{self, Neighbours};
-use corkhollow_engine::{log, Clock, Pace};
+use corkhollow_engine::{log, Clock, LogLimiter};
 use corkhollow_fleet::Group;
 use corkhollow_operate::{Control, Figures, FiguresError, FleetHandover, Handover};
 use corkhollow_plan::limits::Budget;
@@ -309,7 +309,7 @@
             from = learn(neighbours, &site, clock, &control) => {
                 if let Some(from) = &from {
                     let group = Group { ordinal: from.ordinal, size: from.size };
-                    member.regroup(&current, group, &mut Pace::new(1, 0.0)).await;
+                    member.regroup(&current, group, &mut LogLimiter::new(1, 0.0)).await;
                 }
                 if succeeds {
                     if let Some(plan) = site.plan.share() {
--- a/crates/engine/src/body.rs
+++ b/crates/engine/src/body.rs
@@ -5,16 +5,16 @@
 
 /// A whole body, in the pieces in which it came: it can be sent again without a copy.
 #[derive(Debug)]
-pub struct Pieces {
+pub struct BufferedBody {
     pieces: Vec<Bytes>,
     len: u64,
     lease: Lease,
 }
 
-impl Pieces {
+impl BufferedBody {
     /// Nothing yet; what comes is counted against the lease.
     pub fn new(lease: Lease) -> Self {
-        Pieces { pieces: Vec::new(), len: 0, lease }
+        BufferedBody { pieces: Vec::new(), len: 0, lease }
     }
 
     /// Adds a piece; false, with nothing added, where the budget has no room for it.
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -3,11 +3,11 @@
 //! Everything runs on one thread. The state is borrowed only while it takes an event, never across an await and not
 //! while its commands are carried out.
 
-use crate::body::Pieces;
+use crate::body::BufferedBody;
 use crate::clock::Clock;
 use crate::log::log;
-use crate::message::{Answer, AttemptId, Message, Progress};
-use crate::requests::{Command, ListCall, Load, Requests, Verdict};
+use crate::message::{Answer, AttemptId, Message, UploadProgress};
+use crate::requests::{Command, DiscoveryCall, FinalAnswer, RequestMessage, Requests};
 use crate::rules::Denial;
 use corkhollow_balance::interface::{
     Ending, ListKind, Nanos, Quotas, Request, RequestId, Server, ServerId, Settings, SettingsError,
@@ -24,7 +24,7 @@
 
 /// The side that holds the connections to servers. It is called while the engine is at work and must not call back
 /// before it returns.
-pub trait Carrier {
+pub trait Transport {
     /// Begins an attempt. How it goes is told by [`Engine::served`], [`Engine::streams`] or [`Engine::ended`].
     fn send(
         &self,
@@ -32,10 +32,10 @@
         id: AttemptId,
         server: ServerId,
         message: Rc<Message>,
-    ) -> Box<dyn Running>;
+    ) -> Box<dyn RunningAttempt>;
 
     /// Asks discovery.
-    fn ask(&self, call: ListCall);
+    fn ask(&self, call: DiscoveryCall);
 
     /// The name by which lists know this server.
     fn name(&self, server: ServerId) -> Option<Arc<str>>;
@@ -45,7 +45,7 @@
 }
 
 /// An attempt that is under way.
-pub trait Running {
+pub trait RunningAttempt {
     /// Nobody waits for it any longer.
     fn give_up(self: Box<Self>);
 
@@ -53,13 +53,13 @@
     fn withdraw(&self) -> bool;
 }
 
-impl Load for Rc<Message> {
+impl RequestMessage for Rc<Message> {
     fn spent(&self) -> bool {
         Message::spent(self)
     }
 
     fn due(&self, patience: Nanos) -> Option<Nanos> {
-        let Progress { ended_at, moved_at, still, .. } = &*self.upload()?.progress;
+        let UploadProgress { ended_at, moved_at, still, .. } = &*self.upload()?.progress;
         Some(match ended_at.get() {
             Some(at) => at.saturating_add(patience),
             // A server may take a connection and read nothing from it.
@@ -76,13 +76,13 @@
 /// See the module's documentation.
 pub struct Engine {
     clock: Clock,
-    carrier: Rc<dyn Carrier>,
+    carrier: Rc<dyn Transport>,
     figures: PoolFigures,
     requests: RefCell<Pool>,
     /// Clients that wait.
     replies: RefCell<HashMap<RequestId, oneshot::Sender<Answer>>>,
     /// Attempts that are out.
-    running: RefCell<HashMap<AttemptId, Box<dyn Running>>>,
+    running: RefCell<HashMap<AttemptId, Box<dyn RunningAttempt>>>,
     /// Empty between events: its memory serves the next one.
     commands: RefCell<Vec<Told>>,
     /// When the timers' task wakes.
@@ -96,7 +96,7 @@
         settings: Settings,
         seed: u64,
         clock: Clock,
-        carrier: Rc<dyn Carrier>,
+        carrier: Rc<dyn Transport>,
         figures: PoolFigures,
     ) -> Result<Rc<Self>, SettingsError> {
         Ok(Rc::new(Engine {
@@ -157,12 +157,12 @@
             Command::Answer { request, verdict } => {
                 self.record(request, Event::Answered(verdict.name()));
                 let answer = match verdict {
-                    Verdict::Given(answer) => answer,
-                    Verdict::Refused { retry_after, reason } => {
+                    FinalAnswer::FromServer(answer) => answer,
+                    FinalAnswer::Refused { retry_after, reason } => {
                         self.figures.refused(reason);
                         Answer::Refused { retry_after }
                     }
-                    Verdict::Failed { late } => Answer::Failed { late },
+                    FinalAnswer::Failed { late } => Answer::Failed { late },
                 };
                 if let Some(reply) = self.replies.borrow_mut().remove(&request) {
                     let _ = reply.send(answer);
@@ -187,7 +187,7 @@
         name: Option<HeaderValue>,
         request: Request,
         message: Message,
-    ) -> Option<Ticket> {
+    ) -> Option<PendingAnswer> {
         let (reply, answer) = oneshot::channel();
         let client_id = name.as_ref().map_or(ClientId::new(b"-"), |id| ClientId::new(id.as_bytes()));
         // It may be answered before the step is over.
@@ -199,7 +199,7 @@
         if taken.is_none() {
             self.replies.borrow_mut().remove(&id);
         }
-        taken.map(|id| Ticket { engine: self.clone(), id, answer, owed: true })
+        taken.map(|id| PendingAnswer { engine: self.clone(), id, answer, owed: true })
     }
 
     /// An attempt has come to an end without an answer for the client.
@@ -220,8 +220,14 @@
     }
 
     /// An attempt has brought a whole answer: the first one is the client's.
-    pub fn served(self: &Rc<Self>, id: AttemptId, status: StatusCode, headers: HeaderMap, body: Pieces) {
-        self.streams(id, Answer::Whole { status, headers, body });
+    pub fn served(
+        self: &Rc<Self>,
+        id: AttemptId,
+        status: StatusCode,
+        headers: HeaderMap,
+        body: BufferedBody,
+    ) {
+        self.streams(id, Answer::Buffered { status, headers, body });
     }
 
     /// An attempt brings a long answer. False where it comes too late to be anybody's.
@@ -363,14 +369,14 @@
 }
 
 /// A client's claim to one answer.
-pub struct Ticket {
+pub struct PendingAnswer {
     engine: Rc<Engine>,
     id: RequestId,
     answer: oneshot::Receiver<Answer>,
     owed: bool,
 }
 
-impl Ticket {
+impl PendingAnswer {
     /// Waits for the answer.
     pub async fn answer(&mut self) -> Answer {
         let answer = (&mut self.answer).await;
@@ -379,7 +385,7 @@
     }
 }
 
-impl Drop for Ticket {
+impl Drop for PendingAnswer {
     fn drop(&mut self) {
         if self.owed {
             self.engine.client_gone(self.id);
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -2,7 +2,7 @@
 //! is carried out, in order; each request gets one final answer.
 //!
 //! The engine knows no connection. The sides that hold them sit above it: fronts hand requests in
-//! ([`Engine::submit`]), and a [`Carrier`] takes attempts to servers and tells how they went.
+//! ([`Engine::submit`]), and a [`Transport`] takes attempts to servers and tells how they went.
 
 mod body;
 mod clock;
@@ -12,11 +12,12 @@
 mod requests;
 pub mod rules;
 
-pub use body::Pieces;
+pub use body::BufferedBody;
 pub use clock::Clock;
-pub use engine::{Carrier, Engine, Running, Ticket};
-pub use log::{log, Pace};
+pub use engine::{Engine, PendingAnswer, RunningAttempt, Transport};
+pub use log::{log, LogLimiter};
 pub use message::{
-    Answer, AttemptId, Broken, ClientBody, Interims, Message, Payload, Piece, Progress, Upload,
+    Answer, AttemptId, BodyFrame, ClientBody, IncompleteBody, InterimHandler, Message, Payload, Upload,
+    UploadProgress,
 };
-pub use requests::{Command, ListCall, Load, Requests, Verdict};
+pub use requests::{Command, DiscoveryCall, FinalAnswer, RequestMessage, Requests};
--- a/crates/engine/src/log.rs
+++ b/crates/engine/src/log.rs
@@ -24,7 +24,7 @@
 /// Lines of one kind, paced: as many at once as a large change makes, then a few a second; those left out are counted. They do
 /// not take from what [`log`] may write.
 #[derive(Debug)]
-pub struct Pace {
+pub struct LogLimiter {
     /// Lines that may be written at once.
     burst: f64,
     /// And so many a second.
@@ -34,11 +34,11 @@
     left_out: u64,
 }
 
-impl Pace {
+impl LogLimiter {
     /// So many at once, and so many a second.
     pub fn new(burst: u32, rate: f64) -> Self {
         let burst = f64::from(burst);
-        Pace { burst, rate, left: burst, at: Instant::now(), left_out: 0 }
+        LogLimiter { burst, rate, left: burst, at: Instant::now(), left_out: 0 }
     }
 
     /// Whether a line may be written `after` the last one that was asked for; how many were left out before it.
@@ -74,7 +74,7 @@
 
     #[test]
     fn lines_are_paced_and_those_left_out_counted() {
-        let mut pace = Pace::new(3, 2.0);
+        let mut pace = LogLimiter::new(3, 2.0);
         let now: Vec<_> = (0..5).map(|_| pace.admit(Duration::ZERO)).collect();
         assert_eq!(now, [Some(0), Some(0), Some(0), None, None]);
         assert_eq!(pace.admit(Duration::from_millis(400)), None);
--- a/crates/engine/src/message.rs
+++ b/crates/engine/src/message.rs
@@ -1,6 +1,6 @@
 //! What a request and its answer are made of between a front and the servers.
 
-use crate::body::Pieces;
+use crate::body::BufferedBody;
 use bytes::Bytes;
 use corkhollow_balance::interface::{Nanos, RequestId};
 use http::{HeaderMap, Method, StatusCode, Uri};
@@ -24,17 +24,17 @@
     /// When the client abandons it.
     pub give_up_at: Nanos,
     /// Where servers' interim answers go; none where the client's side cannot take them.
-    pub interims: Option<Interims>,
+    pub interims: Option<InterimHandler>,
 }
 
 /// What takes servers' interim answers (1xx) to a client that waits (RFC 9110, 15.2).
 #[derive(Clone)]
-pub struct Interims(Rc<dyn Fn(StatusCode, HeaderMap)>);
+pub struct InterimHandler(Rc<dyn Fn(StatusCode, HeaderMap)>);
 
-impl Interims {
+impl InterimHandler {
     /// Calls this with each.
     pub fn new(take: impl Fn(StatusCode, HeaderMap) + 'static) -> Self {
-        Interims(Rc::new(take))
+        InterimHandler(Rc::new(take))
     }
 
     pub(crate) fn take(&self, status: StatusCode, headers: HeaderMap) {
@@ -42,9 +42,9 @@
     }
 }
 
-impl std::fmt::Debug for Interims {
+impl std::fmt::Debug for InterimHandler {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("Interims")
+        f.write_str("InterimHandler")
     }
 }
 
@@ -52,7 +52,7 @@
 #[derive(Debug)]
 pub enum Payload {
     /// All of it is here: it can be sent more than once.
-    Whole(Rc<Pieces>),
+    Buffered(Rc<BufferedBody>),
     /// It is still coming, and can be sent once.
     Stream(Rc<Upload>),
 }
@@ -66,25 +66,25 @@
     /// The body as it comes, where it is still coming.
     pub fn upload(&self) -> Option<&Rc<Upload>> {
         match &self.payload {
-            Payload::Whole(_) => None,
+            Payload::Buffered(_) => None,
             Payload::Stream(upload) => Some(upload),
         }
     }
 }
 
 /// A body as it comes from a client.
-pub type ClientBody = Pin<Box<dyn Body<Data = Bytes, Error = Broken>>>;
+pub type ClientBody = Pin<Box<dyn Body<Data = Bytes, Error = IncompleteBody>>>;
 
 /// The body of a request that is passed on while it comes.
 pub struct Upload {
     body: RefCell<Option<ClientBody>>,
     /// How far it is.
-    pub progress: Rc<Progress>,
+    pub progress: Rc<UploadProgress>,
 }
 
 /// How far a body has come.
 #[derive(Debug)]
-pub struct Progress {
+pub struct UploadProgress {
     /// When a piece of it last went on towards a server; at first when it began.
     pub moved_at: Cell<Nanos>,
     /// How long it may stand still on its way, no less than whoever reads it gives the client for its next piece.
@@ -95,16 +95,21 @@
     pub failed: Cell<bool>,
 }
 
-impl Progress {
+impl UploadProgress {
     /// Of a body that begins now.
     pub fn new(now: Nanos, still: Nanos) -> Self {
-        Progress { moved_at: Cell::new(now), still, ended_at: Cell::new(None), failed: Cell::new(false) }
+        UploadProgress {
+            moved_at: Cell::new(now),
+            still,
+            ended_at: Cell::new(None),
+            failed: Cell::new(false),
+        }
     }
 }
 
 impl Upload {
     /// The body of one request; whoever reads it from the client notes its progress.
-    pub fn new(body: ClientBody, progress: Rc<Progress>) -> Rc<Self> {
+    pub fn new(body: ClientBody, progress: Rc<UploadProgress>) -> Rc<Self> {
         Rc::new(Upload { body: RefCell::new(Some(body)), progress })
     }
 
@@ -126,19 +131,19 @@
 }
 
 /// A piece of an answer's body, or word that the rest will not come.
-pub type Piece = Result<Frame<Bytes>, Broken>;
+pub type BodyFrame = Result<Frame<Bytes>, IncompleteBody>;
 
 /// The one final answer to a request.
 #[derive(Debug)]
 pub enum Answer {
     /// A server's answer, read to its end.
-    Whole {
+    Buffered {
         /// Its status.
         status: StatusCode,
         /// Its headers, none of the connection.
         headers: HeaderMap,
         /// Its body.
-        body: Pieces,
+        body: BufferedBody,
     },
     /// A server's answer of which the rest is still to come.
     Stream {
@@ -149,7 +154,7 @@
         /// The length of its body, where told.
         length: Option<u64>,
         /// Its body, piece by piece.
-        pieces: mpsc::Receiver<Piece>,
+        pieces: mpsc::Receiver<BodyFrame>,
     },
     /// Turned away; a repeat is harmless.
     Refused {
@@ -165,15 +170,15 @@
 
 /// The rest of a body will not come: whoever reads it has to see that it is cut.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Broken;
+pub struct IncompleteBody;
 
-impl std::fmt::Display for Broken {
+impl std::fmt::Display for IncompleteBody {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("the body broke off")
     }
 }
 
-impl std::error::Error for Broken {}
+impl std::error::Error for IncompleteBody {}
 
 /// What an attempt is known by.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
--- a/crates/engine/src/requests.rs
+++ b/crates/engine/src/requests.rs
@@ -2,7 +2,7 @@
 //! writes down what is to be done. The shell around it carries that out on sockets, a test on a simulated network.
 
 use crate::message::AttemptId;
-use crate::rules::{self, AttemptState, Denial, RequestFacts, SentAttempt, Terms};
+use crate::rules::{self, AttemptState, Denial, RequestState, RetryPolicy, SentAttempt};
 use corkhollow_balance::interface::{
     Action, Ending, Event, ListKind, Nanos, Quotas, Refusal, Request, RequestId, Server, ServerId, Settings,
     SettingsError,
@@ -14,7 +14,7 @@
 
 /// What discovery is asked to do, where the list has to be asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListCall {
+pub enum DiscoveryCall {
     /// Open a watch.
     Subscribe,
     /// Fetch the list once.
@@ -22,7 +22,7 @@
 }
 
 /// What is carried to servers for a request: a handle that is cheap to clone.
-pub trait Load: Clone {
+pub trait RequestMessage: Clone {
     /// It has gone, in whole or in part, and is not there for another attempt.
     fn spent(&self) -> bool;
 
@@ -33,9 +33,9 @@
 
 /// The one final answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict<A> {
+pub enum FinalAnswer<A> {
     /// A server's.
-    Given(A),
+    FromServer(A),
     /// Turned away; a repeat is harmless.
     Refused {
         /// When to come back; 0 for no advice.
@@ -50,14 +50,14 @@
     },
 }
 
-impl<A> Verdict<A> {
+impl<A> FinalAnswer<A> {
     /// Its name in events, with the reason where there was a choice.
     pub fn name(&self) -> &'static str {
         match self {
-            Verdict::Given(_) => "by-server",
-            Verdict::Refused { reason, .. } => reason.name(),
-            Verdict::Failed { late: true } => "out-of-time",
-            Verdict::Failed { late: false } => "failed",
+            FinalAnswer::FromServer(_) => "by-server",
+            FinalAnswer::Refused { reason, .. } => reason.name(),
+            FinalAnswer::Failed { late: true } => "out-of-time",
+            FinalAnswer::Failed { late: false } => "failed",
         }
     }
 }
@@ -86,10 +86,10 @@
         /// Whose.
         request: RequestId,
         /// The answer.
-        verdict: Verdict<A>,
+        verdict: FinalAnswer<A>,
     },
     /// Ask discovery.
-    Ask(ListCall),
+    Ask(DiscoveryCall),
     /// Write a line of the module's, about this server.
     Log {
         /// The server, where it is about one.
@@ -136,7 +136,7 @@
     owed: bool,
     attempts: Vec<Attempt>,
     /// What the settings allowed for it when it was taken.
-    terms: Option<Terms>,
+    terms: Option<RetryPolicy>,
     /// A server's own answer that tells of a failure: the client's, unless a later attempt brings a better one.
     fallback: Option<A>,
 }
@@ -167,7 +167,7 @@
     ends_at: Nanos,
 }
 
-impl<N: Clone + Eq + Hash, L: Load, A> Requests<N, L, A> {
+impl<N: Clone + Eq + Hash, L: RequestMessage, A> Requests<N, L, A> {
     /// None yet, and no servers. The seed settles the balancer's random draws.
     ///
     /// # Errors
@@ -229,7 +229,7 @@
             patience: give_up_at.saturating_sub(now),
             owed: true,
             attempts: Vec::new(),
-            terms: class.map(|class| Terms::of(class, settings)),
+            terms: class.map(|class| RetryPolicy::of(class, settings)),
             fallback: None,
         };
         self.live.insert(id, live);
@@ -275,7 +275,7 @@
         let live = self.live.get_mut(&id.request).expect("an open attempt has its request");
         let owed = std::mem::take(&mut live.owed);
         if owed {
-            sink.push(Command::Answer { request: id.request, verdict: Verdict::Given(answer) });
+            sink.push(Command::Answer { request: id.request, verdict: FinalAnswer::FromServer(answer) });
         }
         self.conclude(now, id, Ending::Ok, sink);
         if owed {
@@ -323,9 +323,9 @@
         rules::may_send(now, self.facts(live)?, others, server)
     }
 
-    fn facts(&self, live: &Live<N, L, A>) -> Result<RequestFacts, Denial> {
+    fn facts(&self, live: &Live<N, L, A>) -> Result<RequestState, Denial> {
         let terms = live.terms.ok_or(Denial::RequestOver)?;
-        Ok(RequestFacts { terms, awaited: live.owed, due: self.due(live) })
+        Ok(RequestState { terms, awaited: live.owed, due: self.due(live) })
     }
 
     /// Whether the attempt that the decision module proposes may be sent.
@@ -460,7 +460,7 @@
         }
         // The answer first: where the node leaves, the module knows of more time, and would use it.
         let (owed, attempts) = (live.owed, live.attempts.len() as u8);
-        self.answer(request, Verdict::Failed { late: true }, sink);
+        self.answer(request, FinalAnswer::Failed { late: true }, sink);
         for number in 0..attempts {
             self.conclude(now, AttemptId { request, number }, Ending::TimedOut, sink);
         }
@@ -518,11 +518,11 @@
         match action {
             Action::Send { request, server, timeout } => self.send(now, request, server, timeout, sink),
             Action::Refuse { request, retry_after, reason } => {
-                self.refuse(request, Verdict::Refused { retry_after, reason }, sink);
+                self.refuse(request, FinalAnswer::Refused { retry_after, reason }, sink);
             }
             Action::Fail { request } => {
                 let late = self.live.get(&request).is_some_and(|live| live.give_up_at <= now);
-                self.answer(request, Verdict::Failed { late }, sink);
+                self.answer(request, FinalAnswer::Failed { late }, sink);
             }
             Action::Cancel { request, attempt } => {
                 self.conclude(now, AttemptId { request, number: attempt }, Ending::Cancelled, sink);
@@ -530,8 +530,8 @@
             Action::StartTimer { after, token } => {
                 self.timers.push(Reverse((now.saturating_add(after), Wake::Module(token))));
             }
-            Action::Subscribe => sink.push(Command::Ask(ListCall::Subscribe)),
-            Action::FetchList => sink.push(Command::Ask(ListCall::Fetch)),
+            Action::Subscribe => sink.push(Command::Ask(DiscoveryCall::Subscribe)),
+            Action::FetchList => sink.push(Command::Ask(DiscoveryCall::Fetch)),
             Action::Log { server, text } => sink.push(Command::Log { server, text }),
             // The site allows neither, and the module asks for neither.
             Action::Probe { .. } | Action::Tell { .. } => {}
@@ -574,7 +574,7 @@
     }
 
     /// Refuses a request, or fails it where a repeat might do harm.
-    fn refuse(&mut self, request: RequestId, refused: Verdict<A>, sink: &mut Vec<Command<L, A>>) {
+    fn refuse(&mut self, request: RequestId, refused: FinalAnswer<A>, sink: &mut Vec<Command<L, A>>) {
         let attempts = |live: &Live<N, L, A>| {
             live.terms.is_none_or(|terms| {
                 rules::may_refuse(terms, live.attempts.iter().map(|attempt| &attempt.record))
@@ -584,12 +584,12 @@
             return self.answer(request, refused, sink);
         }
         sink.push(Command::Denied { request, denial: Denial::RefusalNotHarmless });
-        self.answer(request, Verdict::Failed { late: false }, sink);
+        self.answer(request, FinalAnswer::Failed { late: false }, sink);
     }
 
-    fn answer(&mut self, request: RequestId, verdict: Verdict<A>, sink: &mut Vec<Command<L, A>>) {
+    fn answer(&mut self, request: RequestId, verdict: FinalAnswer<A>, sink: &mut Vec<Command<L, A>>) {
         if let Some(live) = self.live.get_mut(&request) {
-            let verdict = live.fallback.take().map_or(verdict, Verdict::Given);
+            let verdict = live.fallback.take().map_or(verdict, FinalAnswer::FromServer);
             if std::mem::take(&mut live.owed) {
                 sink.push(Command::Answer { request, verdict });
                 self.withdraw(request, sink);
--- a/crates/engine/src/rules.rs
+++ b/crates/engine/src/rules.rs
@@ -5,7 +5,7 @@
 
 /// What the settings in force when a request was taken allow for it; later settings do not change it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Terms {
+pub struct RetryPolicy {
     /// How far it may be repeated.
     pub effect: Effect,
     /// For keyed requests: which servers recognise a repeat.
@@ -18,10 +18,10 @@
     pub max_attempts: usize,
 }
 
-impl Terms {
+impl RetryPolicy {
     /// The terms of a class.
     pub fn of(class: &Class, settings: &Settings) -> Self {
-        Terms {
+        RetryPolicy {
             effect: class.effect,
             group: class.group,
             window: class.window,
@@ -131,9 +131,9 @@
 
 /// What has to be known of a request for a decision about it.
 #[derive(Clone, Copy, Debug)]
-pub struct RequestFacts {
+pub struct RequestState {
     /// What the settings allow for it.
-    pub terms: Terms,
+    pub terms: RetryPolicy,
     /// Its client waits for the final answer.
     pub awaited: bool,
     /// When its time is up.
@@ -147,11 +147,11 @@
 /// Why it may not.
 pub fn may_send<'a>(
     now: Nanos,
-    request: RequestFacts,
+    request: RequestState,
     others: impl Iterator<Item = &'a SentAttempt> + Clone,
     server: Option<&Server>,
 ) -> Result<(), Denial> {
-    let RequestFacts { terms, awaited, due } = request;
+    let RequestState { terms, awaited, due } = request;
     if !awaited {
         return Err(Denial::RequestOver);
     }
@@ -170,7 +170,7 @@
 }
 
 /// Whether a request of which this attempt may have run may go to this server now.
-fn may_repeat(now: Nanos, terms: Terms, first: &SentAttempt, server: &Server) -> Result<(), Denial> {
+fn may_repeat(now: Nanos, terms: RetryPolicy, first: &SentAttempt, server: &Server) -> Result<(), Denial> {
     match terms.effect {
         Effect::Safe => Ok(()),
         Effect::Unsafe => Err(Denial::MayHaveRun),
@@ -187,7 +187,7 @@
 }
 
 /// Whether a request with these attempts may be refused, which promises its client that a repeat does no harm.
-pub fn may_refuse<'a>(terms: Terms, mut attempts: impl Iterator<Item = &'a SentAttempt>) -> bool {
+pub fn may_refuse<'a>(terms: RetryPolicy, mut attempts: impl Iterator<Item = &'a SentAttempt>) -> bool {
     match terms.effect {
         Effect::Safe => true,
         Effect::Keyed if terms.group == Group::All => true,
--- a/crates/engine/tests/rules.rs
+++ b/crates/engine/tests/rules.rs
@@ -2,18 +2,18 @@
 
 use corkhollow_balance::interface::{Effect, Ending, Group, Nanos, Phase, Server, ServerId};
 use corkhollow_engine::rules::{
-    may_refuse, may_send, AttemptState, Denial, RequestFacts, SentAttempt, Terms,
+    may_refuse, may_send, AttemptState, Denial, RequestState, RetryPolicy, SentAttempt,
 };
 
 const MS: Nanos = 1_000_000;
 const NOW: Nanos = 1_000 * MS;
 
-fn terms(effect: Effect, group: Group) -> Terms {
-    Terms { effect, group, window: 500 * MS, hedging: false, max_attempts: 3 }
+fn terms(effect: Effect, group: Group) -> RetryPolicy {
+    RetryPolicy { effect, group, window: 500 * MS, hedging: false, max_attempts: 3 }
 }
 
-fn facts(terms: Terms) -> RequestFacts {
-    RequestFacts { terms, awaited: true, due: NOW + 1 }
+fn facts(terms: RetryPolicy) -> RequestState {
+    RequestState { terms, awaited: true, due: NOW + 1 }
 }
 
 fn server(id: u64, zone: u8) -> Server {
@@ -29,8 +29,8 @@
     let facts = facts(terms(Effect::Safe, Group::All));
     let ask = |facts| may_send(NOW, facts, [].iter(), Some(&server(1, 0)));
     assert_eq!(ask(facts), Ok(()));
-    assert_eq!(ask(RequestFacts { awaited: false, ..facts }), Err(Denial::RequestOver));
-    assert_eq!(ask(RequestFacts { due: NOW, ..facts }), Err(Denial::OutOfTime));
+    assert_eq!(ask(RequestState { awaited: false, ..facts }), Err(Denial::RequestOver));
+    assert_eq!(ask(RequestState { due: NOW, ..facts }), Err(Denial::OutOfTime));
 }
 
 #[test]
@@ -52,7 +52,7 @@
     assert_eq!(ask(facts, &[failed; 2]), Ok(()));
     assert_eq!(ask(facts, &[failed; 3]), Err(Denial::TooManyAttempts));
     assert_eq!(ask(facts, &[open]), Err(Denial::AnotherAttemptOpen));
-    let hedging = RequestFacts { terms: Terms { hedging: true, ..facts.terms }, ..facts };
+    let hedging = RequestState { terms: RetryPolicy { hedging: true, ..facts.terms }, ..facts };
     assert_eq!(ask(hedging, &[open]), Ok(()));
 }
 
@@ -87,7 +87,7 @@
 #[test]
 fn keyed_requests_stay_in_their_group_and_window() {
     let ask = |group, now, others: &[SentAttempt], to: &Server| {
-        let facts = RequestFacts { due: Nanos::MAX, ..facts(terms(Effect::Keyed, group)) };
+        let facts = RequestState { due: Nanos::MAX, ..facts(terms(Effect::Keyed, group)) };
         may_send(now, facts, others.iter(), Some(to))
     };
     let (near, far) = (server(1, 0), server(2, 1));
--- a/crates/laboratory/src/histories.rs
+++ b/crates/laboratory/src/histories.rs
@@ -2,7 +2,7 @@
 //! deliberately broken variants have to be caught. The same seed gives the same history.
 
 use corkhollow_balance::interface::*;
-use corkhollow_engine::{AttemptId, Command, Load, Requests, Verdict};
+use corkhollow_engine::{AttemptId, Command, FinalAnswer, RequestMessage, Requests};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug, PartialEq)]
 struct Parcel(u32);
 
-impl Load for Parcel {
+impl RequestMessage for Parcel {
     fn spent(&self) -> bool {
         false
     }
@@ -264,7 +264,7 @@
                 let client = &mut self.clients[client as usize];
                 client.answers += times;
                 let (answers, late) = (client.answers, self.now > client.due + LATE_SLACK);
-                self.served += u32::from(matches!(verdict, Verdict::Given(_)));
+                self.served += u32::from(matches!(verdict, FinalAnswer::FromServer(_)));
                 if answers > 1 {
                     self.breaks(format!("request {request} has {answers} answers"));
                 }
--- a/crates/proxy/src/body.rs
+++ b/crates/proxy/src/body.rs
@@ -1,7 +1,7 @@
 //! Bodies as hyper takes them.
 
 use bytes::Bytes;
-use corkhollow_engine::{Broken, ClientBody, Piece, Pieces};
+use corkhollow_engine::{BodyFrame, BufferedBody, ClientBody, IncompleteBody};
 use hyper::body::{Body, Frame, SizeHint};
 use std::future::Future;
 use std::pin::Pin;
@@ -11,13 +11,13 @@
 
 /// Pieces on their way out.
 pub struct PieceBody {
-    pieces: Rc<Pieces>,
+    pieces: Rc<BufferedBody>,
     at: usize,
     left: u64,
 }
 
 impl PieceBody {
-    pub fn new(pieces: Rc<Pieces>) -> Self {
+    pub fn new(pieces: Rc<BufferedBody>) -> Self {
         PieceBody { left: pieces.len(), pieces, at: 0 }
     }
 
@@ -43,9 +43,9 @@
 
 impl Body for RequestBody {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = IncompleteBody;
 
-    fn poll_frame(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Piece>> {
+    fn poll_frame(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<BodyFrame>> {
         match self.get_mut() {
             RequestBody::Whole(body) => Poll::Ready(body.next().map(Ok)),
             RequestBody::Stream { body, wait } => {
@@ -79,16 +79,16 @@
     Whole(PieceBody),
     /// A long answer as it comes.
     Stream {
-        pieces: mpsc::Receiver<Piece>,
+        pieces: mpsc::Receiver<BodyFrame>,
         length: Option<u64>,
     },
 }
 
 impl Body for AnswerBody {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = IncompleteBody;
 
-    fn poll_frame(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Piece>> {
+    fn poll_frame(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<BodyFrame>> {
         match self.get_mut() {
             AnswerBody::Text(text) => Poll::Ready(text.take().map(|t| Ok(Frame::data(t)))),
             AnswerBody::Whole(body) => Poll::Ready(body.next().map(Ok)),
--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -1,7 +1,7 @@
 //! The node's place in its fleet: the socket, the clock and the thread around [`corkhollow_fleet::Node`]. Neither the load of
 //! requests nor a flood of datagrams holds the other up.
 
-use corkhollow_engine::{log, Pace};
+use corkhollow_engine::{log, LogLimiter};
 use corkhollow_fleet::{
     Cause, Config, Event, Nanos, Node, Outbox, Snapshot, Standing, Stats, LARGEST_DATAGRAM,
 };
@@ -91,7 +91,7 @@
         let (shown, view) = watch::channel(show(&node, 0));
         let (commands, told) = mpsc::unbounded_channel();
         let member =
-            Member { node, start, shown, shown_at: start, figures, pace: Pace::new(LINES.0, LINES.1) };
+            Member { node, start, shown, shown_at: start, figures, pace: LogLimiter::new(LINES.0, LINES.1) };
         let serve = move || runtime.block_on(member.run(socket, told));
         std::thread::Builder::new().name("fleet".to_owned()).spawn(serve)?;
         Ok(Fleet { view, commands })
@@ -163,7 +163,7 @@
     shown: watch::Sender<View>,
     shown_at: Instant,
     figures: Option<FleetFigures>,
-    pace: Pace,
+    pace: LogLimiter,
 }
 
 impl Member {
@@ -256,7 +256,7 @@
 }
 
 /// One line a change, with its cause.
-fn tell(event: &Event, pace: &mut Pace) {
+fn tell(event: &Event, pace: &mut LogLimiter) {
     match event {
         Event::Changed { name, state, incarnation, cause } => {
             let state = state.name();
--- a/crates/proxy/src/http1/general.rs
+++ b/crates/proxy/src/http1/general.rs
@@ -10,7 +10,7 @@
 use crate::site::Site;
 use bytes::Bytes;
 use corkhollow_balance::interface::{self, Nanos};
-use corkhollow_engine::{Answer, Interims, Message, Payload};
+use corkhollow_engine::{Answer, InterimHandler, Message, Payload};
 use corkhollow_plan::plan::Listener;
 use corkhollow_plan::routes::path::normalise;
 use corkhollow_plan::routes::{Host, Outcome, Rewrite, Target};
@@ -191,7 +191,7 @@
                     UploadError::Broken => Problem::unreadable("the body broke off or cannot be read"),
                 },
             )?;
-            if let Payload::Whole(pieces) = &payload {
+            if let Payload::Buffered(pieces) = &payload {
                 if !headers.contains_key(header::CONTENT_LENGTH) && !pieces.is_empty() {
                     headers.insert(header::CONTENT_LENGTH, HeaderValue::from(pieces.len()));
                 }
@@ -210,7 +210,7 @@
             let message =
                 Message { method: head.method, uri: Uri::from(sent), headers, payload, give_up_at, interims };
             client.stage.set(Stage::Waiting);
-            if matches!(message.payload, Payload::Whole(_)) {
+            if matches!(message.payload, Payload::Buffered(_)) {
                 client.taken(service.clock.now());
             }
             let coming = message.upload().map(|upload| upload.progress.clone());
@@ -351,9 +351,9 @@
 
 /// Passes interim answers on. The server side of hyper has no words for them: they are written beside it, which the
 /// socket allows between two messages only.
-fn interims(client: &Rc<Client>, listener: &Listener) -> Interims {
+fn interims(client: &Rc<Client>, listener: &Listener) -> InterimHandler {
     let (client, via) = (client.clone(), listener.via.clone());
-    Interims::new(move |status, mut headers| {
+    InterimHandler::new(move |status, mut headers| {
         strip(&mut headers);
         headers.remove(header::CONTENT_LENGTH);
         if let Some(via) = &via {
@@ -372,7 +372,7 @@
 /// What the client gets for what became of its request.
 fn answered(answer: Answer, rewrite: &Rewrite, listener: &Listener) -> Result<Response<AnswerBody>, Problem> {
     let (status, mut headers, body) = match answer {
-        Answer::Whole { status, headers, body } => {
+        Answer::Buffered { status, headers, body } => {
             (status, headers, AnswerBody::Whole(PieceBody::new(Rc::new(body))))
         }
         Answer::Stream { status, headers, length, pieces } => {
--- a/crates/proxy/src/http1/platform.rs
+++ b/crates/proxy/src/http1/platform.rs
@@ -102,7 +102,7 @@
     // A client's time runs while its connection waits to be accepted.
     let wait = wait.saturating_sub(client.waited());
     client.stage.set(Stage::Waiting);
-    let whole_body = matches!(payload, Payload::Whole(_));
+    let whole_body = matches!(payload, Payload::Buffered(_));
     if whole_body {
         client.taken(service.clock.now());
     }
@@ -123,7 +123,7 @@
         ..interface::Request::new(0, give_up_at)
     };
     match &payload {
-        Payload::Whole(body) if !headers.contains_key(header::CONTENT_LENGTH) && !body.is_empty() => {
+        Payload::Buffered(body) if !headers.contains_key(header::CONTENT_LENGTH) && !body.is_empty() => {
             headers.insert(header::CONTENT_LENGTH, HeaderValue::from(body.len()));
         }
         _ => {}
@@ -149,7 +149,7 @@
         None => true,
     };
     let response = match answer {
-        Answer::Whole { headers, body, .. } => {
+        Answer::Buffered { headers, body, .. } => {
             served(headers, AnswerBody::Whole(PieceBody::new(Rc::new(body))))
         }
         Answer::Stream { headers, length, pieces, .. } => {
--- a/crates/proxy/src/http1/respond.rs
+++ b/crates/proxy/src/http1/respond.rs
@@ -7,7 +7,7 @@
 use super::{general, platform};
 use crate::body::AnswerBody;
 use bytes::Bytes;
-use corkhollow_engine::Broken;
+use corkhollow_engine::IncompleteBody;
 use corkhollow_plan::plan::Dialect;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use hyper::header::{self, HeaderValue};
@@ -26,9 +26,12 @@
 
 impl Body for Outgoing {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = IncompleteBody;
 
-    fn poll_frame(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    fn poll_frame(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, IncompleteBody>>> {
         let this = self.get_mut();
         let piece = std::task::ready!(Pin::new(&mut this.body).poll_frame(cx));
         if let (Some(Err(_)), Some(tally)) = (&piece, &mut *this.client.tally.borrow_mut()) {
--- a/crates/proxy/src/http1/upload.rs
+++ b/crates/proxy/src/http1/upload.rs
@@ -4,7 +4,9 @@
 use super::client::Client;
 use super::closing::Stage;
 use bytes::Bytes;
-use corkhollow_engine::{Broken, ClientBody, Clock, Payload, Piece, Pieces, Progress, Upload};
+use corkhollow_engine::{
+    BodyFrame, BufferedBody, ClientBody, Clock, IncompleteBody, Payload, Upload, UploadProgress,
+};
 use corkhollow_plan::limits::{Budget, Lease};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
@@ -74,7 +76,7 @@
     client: &Rc<Client>,
 ) -> Result<Payload, UploadError> {
     if body.is_end_stream() {
-        return Ok(Payload::Whole(Rc::new(Pieces::new(budget.lease()))));
+        return Ok(Payload::Buffered(Rc::new(BufferedBody::new(budget.lease()))));
     }
     if body.size_hint().lower() > rules.most {
         return Err(UploadError::TooLarge);
@@ -83,11 +85,11 @@
     let mut first = VecDeque::new();
     let (mut got, mut held) = (0, None);
     if !rules.wait && body.size_hint().lower() <= rules.most_kept {
-        let mut pieces = Pieces::new(budget.lease_for(body.size_hint().exact()));
+        let mut pieces = BufferedBody::new(budget.lease_for(body.size_hint().exact()));
         loop {
             let next = timeout_at(due(rules, begun, got), body.frame()).await;
             let next = next.map_err(|_| UploadError::Late)?;
-            let Some(frame) = next else { return Ok(Payload::Whole(Rc::new(pieces))) };
+            let Some(frame) = next else { return Ok(Payload::Buffered(Rc::new(pieces))) };
             let frame = frame.map_err(|_| UploadError::Broken)?;
             got += frame.data_ref().map_or(0, |d| d.len() as u64);
             if got > rules.most {
@@ -109,7 +111,7 @@
         held = Some(lease);
         kept.into_iter().rev().for_each(|data| first.push_front(Frame::data(data)));
     }
-    let progress = Rc::new(Progress::new(clock.now(), rules.on_way.as_nanos() as u64));
+    let progress = Rc::new(UploadProgress::new(clock.now(), rules.on_way.as_nanos() as u64));
     let passing = Passing {
         first,
         held,
@@ -135,7 +137,7 @@
     /// None once it has been handed back.
     body: Option<Incoming>,
     client: Rc<Client>,
-    progress: Rc<Progress>,
+    progress: Rc<UploadProgress>,
     clock: Clock,
     rules: Rules,
     begun: Instant,
@@ -212,16 +214,16 @@
 
 impl Body for Passing {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = IncompleteBody;
 
-    fn poll_frame(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Piece>> {
+    fn poll_frame(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<BodyFrame>> {
         let this = self.get_mut();
         if let Some(frame) = this.first.pop_front() {
             this.progress.moved_at.set(this.clock.now());
             return Poll::Ready(Some(Ok(frame)));
         }
         this.held = None;
-        let Some(body) = &mut this.body else { return Poll::Ready(Some(Err(Broken))) };
+        let Some(body) = &mut this.body else { return Poll::Ready(Some(Err(IncompleteBody))) };
         match Pin::new(&mut *body).poll_frame(cx) {
             Poll::Ready(Some(Ok(frame))) => {
                 let over = body.is_end_stream();
@@ -230,20 +232,20 @@
                 this.got += frame.data_ref().map_or(0, |d| d.len() as u64);
                 if this.got > this.rules.most {
                     this.ended(true);
-                    return Poll::Ready(Some(Err(Broken)));
+                    return Poll::Ready(Some(Err(IncompleteBody)));
                 }
                 if over && !this.end() {
-                    return Poll::Ready(Some(Err(Broken)));
+                    return Poll::Ready(Some(Err(IncompleteBody)));
                 }
                 Poll::Ready(Some(Ok(frame)))
             }
             Poll::Ready(Some(Err(_))) => {
                 this.ended(true);
-                Poll::Ready(Some(Err(Broken)))
+                Poll::Ready(Some(Err(IncompleteBody)))
             }
             Poll::Ready(None) => match this.end() {
                 true => Poll::Ready(None),
-                false => Poll::Ready(Some(Err(Broken))),
+                false => Poll::Ready(Some(Err(IncompleteBody))),
             },
             Poll::Pending => {
                 if !std::mem::replace(&mut this.waiting, true) {
@@ -251,7 +253,7 @@
                 }
                 if this.timer.as_mut().poll(cx).is_ready() {
                     this.ended(true);
-                    return Poll::Ready(Some(Err(Broken)));
+                    return Poll::Ready(Some(Err(IncompleteBody)));
                 }
                 Poll::Pending
             }
--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -104,7 +104,7 @@
         *seen.borrow_mut() = Some(link.socket.clone());
         // A server of the platform begins a request with its last byte; any other may do so with its head.
         let body = match (&message.payload, upstreams.dialect) {
-            (Payload::Whole(body), Dialect::Platform) => body.len(),
+            (Payload::Buffered(body), Dialect::Platform) => body.len(),
             (Payload::Stream(_), Dialect::Platform) => length(message),
             _ => 0,
         };
@@ -198,7 +198,7 @@
 ) -> Option<Request<RequestBody>> {
     let asked = message.headers.contains_key(header::EXPECT).then(|| Arc::new(Notify::new()));
     let body = match &message.payload {
-        Payload::Whole(pieces) => RequestBody::Whole(PieceBody::new(pieces.clone())),
+        Payload::Buffered(pieces) => RequestBody::Whole(PieceBody::new(pieces.clone())),
         Payload::Stream(upload) => {
             let body: ClientBody = upload.take()?;
             RequestBody::Stream { body, wait: asked.clone().map(until_asked) }
--- a/crates/proxy/src/upstream/discovery.rs
+++ b/crates/proxy/src/upstream/discovery.rs
@@ -5,7 +5,7 @@
 use super::upstreams::Upstreams;
 use crate::socket::{Socket, SocketIo};
 use corkhollow_balance::interface::{ListKind, Phase, Server, ServerId};
-use corkhollow_engine::{log, Engine, ListCall};
+use corkhollow_engine::{log, DiscoveryCall, Engine};
 use corkhollow_plan::hosts::{Health, Host, HostList, ListError, ListReader, LONGEST_LIST};
 use http_body_util::{BodyExt, Empty};
 use hyper::body::{Bytes, Incoming};
@@ -168,17 +168,17 @@
     }
 
     /// Lists come to those who ask: the module says when.
-    pub async fn obey(mut self, mut calls: mpsc::UnboundedReceiver<ListCall>) {
+    pub async fn obey(mut self, mut calls: mpsc::UnboundedReceiver<DiscoveryCall>) {
         let mut moves = self.address.clone();
         let mut next = calls.recv().await;
         while let Some(call) = next.take() {
             self.opened_at = None;
             let error = match call {
-                ListCall::Fetch => tokio::select! {
+                DiscoveryCall::Fetch => tokio::select! {
                     fetched = self.fetch() => fetched.err(),
                     () = moved(&mut moves) => { next = Some(call); continue }
                 },
-                ListCall::Subscribe => tokio::select! {
+                DiscoveryCall::Subscribe => tokio::select! {
                     error = self.watch() => Some(error),
                     asked = calls.recv() => { next = asked; continue }
                     () = moved(&mut moves) => { next = Some(call); continue }
--- a/crates/proxy/src/upstream/general.rs
+++ b/crates/proxy/src/upstream/general.rs
@@ -4,7 +4,7 @@
 use super::upstreams::Upstreams;
 use crate::headers::{strip, NOT_PROCESSED};
 use corkhollow_balance::interface::Ending;
-use corkhollow_engine::{Answer, AttemptId, Broken, Engine, Piece, Pieces};
+use corkhollow_engine::{Answer, AttemptId, BodyFrame, BufferedBody, Engine, IncompleteBody};
 use hyper::body::{Body, Incoming};
 use hyper::header;
 use hyper::{Response, StatusCode};
@@ -53,12 +53,12 @@
         headers.remove(header::CONTENT_LENGTH);
     }
     let length = body.size_hint().exact();
-    let mut gathered = Pieces::new(upstreams.budget.lease());
+    let mut gathered = BufferedBody::new(upstreams.budget.lease());
     let over = loop {
         match at_hand(link, &mut body).await {
             None => break None,
             Some(None) => {
-                tell(engine, id, ending, Answer::Whole { status, headers, body: gathered });
+                tell(engine, id, ending, Answer::Buffered { status, headers, body: gathered });
                 return !two_lengths;
             }
             Some(Some(Ok(frame))) => {
@@ -69,7 +69,7 @@
                     Err(trailers) => break Some(Ok(trailers)),
                 }
             }
-            Some(Some(Err(_))) => break Some(Err(Broken)),
+            Some(Some(Err(_))) => break Some(Err(IncompleteBody)),
         }
     };
     let (to_client, pieces) = mpsc::channel(1);
@@ -88,8 +88,8 @@
     upstreams: &Upstreams,
     link: &mut Link,
     body: &mut Incoming,
-    first: impl Iterator<Item = Piece>,
-    to_client: mpsc::Sender<Piece>,
+    first: impl Iterator<Item = BodyFrame>,
+    to_client: mpsc::Sender<BodyFrame>,
 ) -> bool {
     for piece in first {
         let broken = piece.is_err();
@@ -103,7 +103,7 @@
 /// Tells the engine; false where nobody wants the answer.
 fn tell(engine: &Rc<Engine>, id: AttemptId, ending: Ending, answer: Answer) -> bool {
     match (ending, answer) {
-        (Ending::Ok, Answer::Whole { status, headers, body }) => {
+        (Ending::Ok, Answer::Buffered { status, headers, body }) => {
             engine.served(id, status, headers, body);
             true
         }
@@ -137,7 +137,7 @@
     upstreams: &Upstreams,
     link: &mut Link,
     body: &mut Incoming,
-    to_client: &mpsc::Sender<Piece>,
+    to_client: &mpsc::Sender<BodyFrame>,
 ) -> bool {
     loop {
         let next = poll_fn(|cx| Pin::new(&mut *body).poll_frame(cx));
@@ -145,7 +145,7 @@
             Ok(None) => return true,
             Ok(Some(Ok(frame))) => frame,
             Ok(Some(Err(_))) | Err(_) => {
-                let _ = to_client.send(Err(Broken)).await;
+                let _ = to_client.send(Err(IncompleteBody)).await;
                 return false;
             }
         };
--- a/crates/proxy/src/upstream/platform.rs
+++ b/crates/proxy/src/upstream/platform.rs
@@ -6,7 +6,7 @@
 use crate::headers::{strip, NOT_PROCESSED};
 use bytes::Bytes;
 use corkhollow_balance::interface::Ending;
-use corkhollow_engine::{Answer, AttemptId, Broken, Engine, Pieces};
+use corkhollow_engine::{Answer, AttemptId, BufferedBody, Engine, IncompleteBody};
 use corkhollow_plan::limits::MOST_BODY;
 use http_body_util::BodyExt;
 use hyper::body::{Body, Frame, Incoming};
@@ -56,7 +56,7 @@
         engine.ended(id, Ending::Reset);
         return false;
     }
-    let mut pieces = Pieces::new(upstreams.budget.lease());
+    let mut pieces = BufferedBody::new(upstreams.budget.lease());
     let mut next = None;
     while length.is_none_or(|l| l <= WHOLE) {
         match tokio::time::timeout(SHORT_STALL, link.drive(body.frame())).await {
@@ -109,7 +109,7 @@
     link: &mut Link,
     headers: HeaderMap,
     length: Option<u64>,
-    held: Pieces,
+    held: BufferedBody,
     mut next: Option<Bytes>,
     mut body: Incoming,
 ) -> bool {
@@ -130,13 +130,13 @@
                     Err(_) => continue,
                 },
                 Ok(Some(Err(_))) | Err(_) => {
-                    let _ = to_client.send(Err(Broken)).await;
+                    let _ = to_client.send(Err(IncompleteBody)).await;
                     return false;
                 }
             },
         };
         let Some(rest) = left.checked_sub(piece.len() as u64) else {
-            let _ = to_client.send(Err(Broken)).await;
+            let _ = to_client.send(Err(IncompleteBody)).await;
             return false;
         };
         left = rest;
--- a/crates/proxy/src/upstream/upstreams.rs
+++ b/crates/proxy/src/upstream/upstreams.rs
@@ -5,7 +5,7 @@
 use super::Shared;
 use crate::socket::Socket;
 use corkhollow_balance::interface::{ListKind, Nanos, Server, ServerId};
-use corkhollow_engine::{log, AttemptId, Carrier, Clock, Engine, ListCall, Message, Running};
+use corkhollow_engine::{log, AttemptId, Clock, DiscoveryCall, Engine, Message, RunningAttempt, Transport};
 use corkhollow_operate::IntCounter;
 use corkhollow_plan::limits::Budget;
 use corkhollow_plan::plan::{Dialect, Limits, Pool};
@@ -40,7 +40,7 @@
     /// Attempts that were given up and go on for a while; bounded by the connections to servers.
     lingering: Rc<RefCell<VecDeque<(Nanos, AbortHandle)>>>,
     /// Bounded by the module, which asks again only after an answer.
-    list_calls: mpsc::UnboundedSender<ListCall>,
+    list_calls: mpsc::UnboundedSender<DiscoveryCall>,
 }
 
 /// Connections that a pool may hold, and requests that wait for one.
@@ -91,7 +91,7 @@
         pool: &Pool,
         limits: &Limits,
         shared: &Shared,
-        list_calls: mpsc::UnboundedSender<ListCall>,
+        list_calls: mpsc::UnboundedSender<DiscoveryCall>,
     ) -> Rc<Self> {
         let rests = match pool.dialect {
             Dialect::Platform => Rests::Always,
@@ -189,14 +189,14 @@
 /// A handle on the upstreams that an engine can own.
 pub struct Sender(pub Rc<Upstreams>);
 
-impl Carrier for Sender {
+impl Transport for Sender {
     fn send(
         &self,
         engine: &Rc<Engine>,
         id: AttemptId,
         server: ServerId,
         message: Rc<Message>,
-    ) -> Box<dyn Running> {
+    ) -> Box<dyn RunningAttempt> {
         let socket = Rc::default();
         let task = attempt(self.0.clone(), engine.clone(), id, server, message, Rc::clone(&socket));
         Box::new(Sent {
@@ -207,7 +207,7 @@
         })
     }
 
-    fn ask(&self, call: ListCall) {
+    fn ask(&self, call: DiscoveryCall) {
         let _ = self.0.list_calls.send(call);
     }
 
@@ -217,7 +217,7 @@
 
     fn log(&self, server: Option<ServerId>, text: &str) {
         let pool = &self.0.name;
-        match server.and_then(|id| Carrier::name(self, id)) {
+        match server.and_then(|id| Transport::name(self, id)) {
             Some(server) => log(format_args!("pool {pool}: server {server}: {text}")),
             None => log(format_args!("pool {pool}: {text}")),
         }
@@ -238,7 +238,7 @@
     }
 }
 
-impl Running for Sent {
+impl RunningAttempt for Sent {
     fn withdraw(&self) -> bool {
         let unwritten = !self.written();
         if unwritten {
