--- a/crates/corkhollow/src/commands/membership.rs
+++ b/crates/corkhollow/src/commands/membership.rs
@@ -6,7 +6,7 @@
 use corkhollow_operate::{Figures, FleetHandover};
 use corkhollow_plan::plan::{self, Plan};
 use corkhollow_proxy::active_plan::CurrentPlan;
-use corkhollow_proxy::fleet::{Fleet, Place};
+use corkhollow_proxy::fleet::{Fleet, FleetCell};
 use std::cell::Cell;
 use std::net::{SocketAddr, UdpSocket};
 use std::rc::Rc;
@@ -22,7 +22,7 @@
 #[derive(Clone, Default)]
 pub struct Membership {
     /// The node, once it runs.
-    pub place: Place,
+    pub place: FleetCell,
     /// What the pools go by; none where there is no fleet.
     pub group: Rc<Cell<Option<Group>>>,
 }
@@ -66,10 +66,10 @@
         let config = config(plan, told, reached(told, &socket).map_err(open)?)?;
         let mut fleet = start(config, socket, seed, figures)?;
         let name = told.node.clone();
-        fleet.joined().await.map_err(|by| StartError::Name { name, by })?;
+        fleet.wait_until_joined().await.map_err(|by| StartError::Name { name, by })?;
         let group = fleet.view().snapshot.group;
         self.group.set(Some(group));
-        self.place.put(fleet);
+        self.place.set(fleet);
         Ok(())
     }
 
@@ -91,11 +91,11 @@
             }
             let mut fleet = start(config, socket, seed, &figures)?;
             let name = told.node.clone();
-            fleet.joined().await.map_err(|by| StartError::Name { name, by })?;
+            fleet.wait_until_joined().await.map_err(|by| StartError::Name { name, by })?;
             Ok::<_, StartError>(fleet)
         };
         match joined.await {
-            Ok(fleet) => self.place.put(fleet),
+            Ok(fleet) => self.place.set(fleet),
             Err(why) => log(format_args!("fleet: not a member: {why}")),
         }
     }
@@ -133,7 +133,7 @@
     pub fn handover(&self) -> Option<FleetHandover> {
         let view = self.place.get()?.view();
         let Group { ordinal, size } = view.snapshot.group;
-        let (incarnation, members) = view.heritage;
+        let (incarnation, members) = view.handover;
         Some(FleetHandover { ordinal, size, incarnation, members })
     }
 }
--- a/crates/corkhollow/src/commands/reload.rs
+++ b/crates/corkhollow/src/commands/reload.rs
@@ -12,10 +12,10 @@
 use corkhollow_plan::plan::{Plan, Source};
 use corkhollow_plan::platform::{Config, Shape};
 use corkhollow_proxy::active_plan::{ActivePlan, CurrentPlan};
-use corkhollow_proxy::background::{self, Running};
-use corkhollow_proxy::fleet::Place;
+use corkhollow_proxy::background::{self, Task};
+use corkhollow_proxy::fleet::FleetCell;
 use corkhollow_proxy::http1::Clients;
-use corkhollow_proxy::upstream::Shared;
+use corkhollow_proxy::upstream::PoolContext;
 use std::future::pending;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -76,7 +76,7 @@
 /// Files that are on their way.
 pub struct Reloads {
     told: Told,
-    running: Option<Running<Result<Compiled, Failure>>>,
+    running: Option<Task<Result<Compiled, Failure>>>,
     /// Another SIGHUP has come: the file may be newer than what is being compiled.
     again: bool,
     /// What was compiled last was passed over for that. The next one is put in force, or one file after another would keep all out.
@@ -88,9 +88,9 @@
     pub current: &'t CurrentPlan,
     pub listeners: &'t mut Listeners,
     pub clients: &'t Rc<Clients>,
-    pub shared: &'t Shared,
+    pub shared: &'t PoolContext,
     pub seed: u64,
-    pub place: &'t Place,
+    pub place: &'t FleetCell,
     /// What the node counts as in its fleet.
     pub group: Option<Group>,
 }
@@ -109,7 +109,7 @@
         }
         let Some(old) = current.get().plan.share() else { return };
         let told = self.told.clone();
-        match background::begin(move || compile(&told, &old)) {
+        match background::spawn(move || compile(&told, &old)) {
             Ok(running) => self.running = Some(running),
             Err(why) => turn_down(figures, &why),
         }
@@ -118,7 +118,7 @@
     /// Waits for a file that is to be put in force, or is turned down. May be broken off and called again.
     pub async fn compiled(&mut self) -> Ready {
         let Some(running) = &mut self.running else { return pending().await };
-        let compiled = running.done().await;
+        let compiled = running.join().await;
         self.running = None;
         let newer = std::mem::take(&mut self.again);
         self.passed_over = newer && !self.passed_over;
@@ -162,7 +162,7 @@
         }
         target.current.set(site.clone());
         if let (Some(node), Some(told)) = (target.place.get(), fleet) {
-            node.retune(told);
+            node.reconfigure(told);
         }
         if let (Told::Platform(old), Some(new)) = (&mut self.told, shape) {
             *old = new;
--- a/crates/corkhollow/src/commands/run.rs
+++ b/crates/corkhollow/src/commands/run.rs
@@ -13,10 +13,10 @@
 use corkhollow_plan::platform::{Config, ConfigError};
 use corkhollow_proxy::active_plan::{ActivePlan, CurrentPlan, PoolError};
 use corkhollow_proxy::background;
-use corkhollow_proxy::fleet::Place;
+use corkhollow_proxy::fleet::FleetCell;
 use corkhollow_proxy::http1::{Clients, Service};
 use corkhollow_proxy::operator::Operator;
-use corkhollow_proxy::upstream::{Engines, Shared};
+use corkhollow_proxy::upstream::{Engines, PoolContext};
 use std::cell::Cell;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -104,7 +104,7 @@
             (Told::Platform(Box::new(config.shape.clone())), config.plan())
         }
     };
-    background::hush();
+    background::silence_panic_messages();
     let neighbours = neighbours(&handed);
     Ok(serve(hang_up, told, plan, handed, neighbours).await?)
 }
@@ -266,7 +266,7 @@
     let budget = Budget::new(plan.limits.descriptors.saturating_sub(own), plan.limits.memory);
     let figures = Figures::new()?;
     let shared =
-        Shared { clock, budget: budget.clone(), figures: figures.clone(), engines: Engines::default() };
+        PoolContext { clock, budget: budget.clone(), figures: figures.clone(), engines: Engines::default() };
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let seed = plan.seed.unwrap_or(since.as_nanos() as u64 ^ u64::from(std::process::id()));
     let mut listeners = Listeners { handed, ..Listeners::default() };
@@ -445,12 +445,12 @@
 }
 
 /// Tells the fleet when the operator empties the node and when no longer, for good.
-async fn tell_of_drains(place: Place, control: Control) {
+async fn tell_of_drains(place: FleetCell, control: Control) {
     loop {
         if let Some(fleet) = place.get() {
             let drains = control.lock().drains();
-            if fleet.view().drains() != drains {
-                fleet.drain(drains);
+            if fleet.view().is_draining() != drains {
+                fleet.set_draining(drains);
             }
         }
         tokio::time::sleep(WATCH).await;
@@ -518,10 +518,10 @@
         for _ in 0..5 {
             tokio::time::sleep(Duration::from_millis(200)).await;
             clients.cut_heads();
-            current.get().pools.iter().for_each(|p| p.upstreams.cut_lingering());
+            current.get().pools.iter().for_each(|p| p.upstreams.abort_overdue_attempts());
         }
         clients.sweep();
-        current.get().pools.iter().for_each(|p| p.upstreams.sweep());
+        current.get().pools.iter().for_each(|p| p.upstreams.close_expired_idle());
         if forgotten.elapsed() > FORGET {
             forgotten = tokio::time::Instant::now();
             current.get().pools.iter().for_each(|p| p.engine.forget_idle());
--- a/crates/proxy/src/active_plan.rs
+++ b/crates/proxy/src/active_plan.rs
@@ -1,7 +1,7 @@
 //! What a plan becomes at work, and how one plan takes over from another.
 
 use crate::background;
-use crate::upstream::{Pool, Shared, Terms};
+use crate::upstream::{CommonSettings, Pool, PoolContext};
 use corkhollow_balance::interface::SettingsError;
 use corkhollow_fleet::Group;
 use corkhollow_operate::{ClassFigures, Handover, PoolHandover};
@@ -50,7 +50,7 @@
         let large = |plan: &Arc<Plan>| plan.routes.routes().len() + plan.tenants.len() > LARGE;
         if let Some(plan) = self.0.take().filter(large) {
             // Without a thread it is dropped here.
-            let _ = background::begin(move || drop(plan));
+            let _ = background::spawn(move || drop(plan));
         }
     }
 }
@@ -72,18 +72,18 @@
     /// Where a pool cannot be started.
     pub fn start(
         plan: Plan,
-        shared: &Shared,
+        shared: &PoolContext,
         seed: u64,
         group: Option<Group>,
     ) -> Result<Rc<Self>, PoolError> {
-        let terms = Terms { quotas: plan.tenants.quotas().clone(), group };
+        let terms = CommonSettings { quotas: plan.tenants.quotas().clone(), group };
         let pools = (0..plan.pools.len()).map(|at| start(&plan, at, shared, seed, &terms));
         let pools = pools.collect::<Result<Vec<_>, _>>()?;
         let places: Rc<[u16]> = (0..plan.classes.len() as u16).collect();
         Ok(Self::of(plan, shared, pools.into_iter().map(|pool| (pool, places.clone())).collect()))
     }
 
-    fn of(plan: Plan, shared: &Shared, pools: Vec<(Rc<Pool>, Rc<[u16]>)>) -> Rc<Self> {
+    fn of(plan: Plan, shared: &PoolContext, pools: Vec<(Rc<Pool>, Rc<[u16]>)>) -> Rc<Self> {
         let class_figures = plan.classes.iter().map(|class| shared.figures.class(&class.name)).collect();
         let (pools, class_indexes) = pools.into_iter().unzip();
         Rc::new(ActivePlan { plan: PlanHandle(Some(Arc::new(plan))), pools, class_indexes, class_figures })
@@ -98,11 +98,11 @@
         &self,
         plan: Plan,
         change: &Change,
-        shared: &Shared,
+        shared: &PoolContext,
         seed: u64,
         group: Option<Group>,
     ) -> Result<Rc<Self>, PoolError> {
-        let terms = Terms { quotas: plan.tenants.quotas().clone(), group };
+        let terms = CommonSettings { quotas: plan.tenants.quotas().clone(), group };
         let fault = |at: usize| {
             let pool: &corkhollow_plan::plan::Pool = &plan.pools[at];
             move |error| PoolError { pool: pool.name.clone(), error }
@@ -129,7 +129,7 @@
                     // A class's predecessor is the one of its name.
                     let predecessors =
                         || change.classes.iter().map(|k| Some(places[(*k)?])).collect::<Vec<_>>();
-                    let told = pool.go_on(&plan, at, *differs, change.quotas, &terms, predecessors);
+                    let told = pool.update(&plan, at, *differs, change.quotas, &terms, predecessors);
                     let told = told.map_err(fault(at))?;
                     (pool.clone(), told.map_or_else(|| places.clone(), Rc::from))
                 }
@@ -189,7 +189,13 @@
 }
 
 /// Starts a pool of a plan, with a seed of its own where the plan has none.
-fn start(plan: &Plan, at: usize, shared: &Shared, seed: u64, terms: &Terms) -> Result<Rc<Pool>, PoolError> {
+fn start(
+    plan: &Plan,
+    at: usize,
+    shared: &PoolContext,
+    seed: u64,
+    terms: &CommonSettings,
+) -> Result<Rc<Pool>, PoolError> {
     let name = &plan.pools[at].name;
     let own = seed ^ corkhollow_plan::mix(name.as_bytes());
     let started = Pool::start(plan, at, shared, if plan.seed.is_some() { seed } else { own }, terms);
--- a/crates/proxy/src/background.rs
+++ b/crates/proxy/src/background.rs
@@ -13,13 +13,13 @@
 
 /// Work that is under way.
 #[derive(Debug)]
-pub struct Running<T>(oneshot::Receiver<Result<T, Panicked>>);
+pub struct Task<T>(oneshot::Receiver<Result<T, Panicked>>);
 
 /// Begins a piece of work on a thread of its own.
 ///
 /// # Errors
 /// Where the system has no thread left; the work has not begun then.
-pub fn begin<T: Send + 'static>(work: impl FnOnce() -> T + Send + 'static) -> std::io::Result<Running<T>> {
+pub fn spawn<T: Send + 'static>(work: impl FnOnce() -> T + Send + 'static) -> std::io::Result<Task<T>> {
     let (sender, receiver) = oneshot::channel();
     let whole = move || {
         // What it has touched is dropped with it, or handed over whole.
@@ -30,21 +30,21 @@
         let _ = sender.send(result);
     };
     std::thread::Builder::new().name(NAME.to_owned()).spawn(whole)?;
-    Ok(Running(receiver))
+    Ok(Task(receiver))
 }
 
-impl<T> Running<T> {
+impl<T> Task<T> {
     /// Waits for its end. It may be asked again where the waiting was broken off, and not once it has told.
     ///
     /// # Errors
     /// Where the work has panicked.
-    pub async fn done(&mut self) -> Result<T, Panicked> {
+    pub async fn join(&mut self) -> Result<T, Panicked> {
         (&mut self.0).await.unwrap_or_else(|_| Err(Panicked("it was lost".to_owned())))
     }
 }
 
 /// Leaves it to whoever asked for the work to tell of its panics, in a line of their own; all others are told of as before.
-pub fn hush() {
+pub fn silence_panic_messages() {
     let usual = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |panic| {
         if std::thread::current().name() != Some(NAME) {
--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -30,14 +30,14 @@
     /// What it has done and seen.
     pub stats: Stats,
     /// For a process that takes its place: its incarnation, and where others are reached.
-    pub heritage: (u64, Vec<SocketAddr>),
+    pub handover: (u64, Vec<SocketAddr>),
     /// When that was.
     pub at: Instant,
 }
 
 impl View {
     /// Whether the others are told that the node is being emptied.
-    pub fn drains(&self) -> bool {
+    pub fn is_draining(&self) -> bool {
         let own = self.snapshot.members.iter().find(|member| member.name == self.snapshot.node);
         own.is_some_and(|member| member.drains)
     }
@@ -45,11 +45,11 @@
 
 /// Where the node's place in its fleet is found once it has one: a process that takes another's place gets it when that one ends.
 #[derive(Clone, Default)]
-pub struct Place(Arc<OnceLock<Fleet>>);
+pub struct FleetCell(Arc<OnceLock<Fleet>>);
 
-impl Place {
+impl FleetCell {
     /// It has one from here on.
-    pub fn put(&self, fleet: Fleet) {
+    pub fn set(&self, fleet: Fleet) {
         let _ = self.0.set(fleet);
     }
 
@@ -63,7 +63,7 @@
     Leave(oneshot::Sender<()>),
     HandOver,
     Drain(bool),
-    Retune(Box<Config>),
+    Reconfigure(Box<Config>),
 }
 
 /// A node that runs. Cheap to clone.
@@ -111,7 +111,7 @@
     ///
     /// # Errors
     /// Where another process has it: where that one is reached.
-    pub async fn joined(&mut self) -> Result<(), SocketAddr> {
+    pub async fn wait_until_joined(&mut self) -> Result<(), SocketAddr> {
         loop {
             match self.view.borrow_and_update().standing {
                 Standing::Joining => {}
@@ -137,13 +137,13 @@
     }
 
     /// The operator empties the node, or no longer.
-    pub fn drain(&self, drains: bool) {
+    pub fn set_draining(&self, drains: bool) {
         let _ = self.commands.send(Command::Drain(drains));
     }
 
     /// Goes by what of this can change.
-    pub fn retune(&self, config: Config) {
-        let _ = self.commands.send(Command::Retune(Box::new(config)));
+    pub fn reconfigure(&self, config: Config) {
+        let _ = self.commands.send(Command::Reconfigure(Box::new(config)));
     }
 }
 
@@ -152,7 +152,7 @@
         snapshot: node.snapshot(now),
         standing: node.standing(),
         stats: node.stats().clone(),
-        heritage: node.heritage(),
+        handover: node.heritage(),
         at: Instant::now(),
     }
 }
@@ -207,7 +207,7 @@
                 }
                 Some(Command::HandOver) => return,
                 Some(Command::Drain(drains)) => self.node.drain(self.now(), drains),
-                Some(Command::Retune(config)) => self.node.retune(self.now(), &config),
+                Some(Command::Reconfigure(config)) => self.node.retune(self.now(), &config),
                 None => {}
             }
             if self.now() >= self.node.next() {
--- a/crates/proxy/src/http1/platform.rs
+++ b/crates/proxy/src/http1/platform.rs
@@ -133,7 +133,7 @@
         _ => head.uri,
     };
     let message = Message { method: head.method, uri, headers, payload, give_up_at, interims: None };
-    pool.first_list().await;
+    pool.wait_for_servers().await;
     let Some(mut ticket) = pool.engine.submit(Some(id), request, message) else {
         return closing(text(StatusCode::CONFLICT, "a request with this X-Request-ID is open\n"));
     };
--- a/crates/proxy/src/operator.rs
+++ b/crates/proxy/src/operator.rs
@@ -1,7 +1,7 @@
 //! The operator's address (HTTP/1.1, one call to a connection): ready, figures, drain, resume. It has a thread and a
 //! runtime of its own, so that no load keeps an answer back.
 
-use crate::fleet::{Fleet, Place};
+use crate::fleet::{Fleet, FleetCell};
 use crate::socket::{Socket, SocketIo};
 use bytes::Bytes;
 use corkhollow_engine::{log, Clock};
@@ -48,7 +48,7 @@
     /// Tells the serving side that the life has changed.
     pub changed: Arc<Notify>,
     /// The node's place in its fleet, if it has one.
-    pub fleet: Place,
+    pub fleet: FleetCell,
 }
 
 impl Operator {
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -11,4 +11,4 @@
 mod pool;
 mod upstreams;
 
-pub use pool::{Engines, Pool, Shared, Terms};
+pub use pool::{CommonSettings, Engines, Pool, PoolContext};
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -36,7 +36,7 @@
 
 /// What all pools share.
 #[derive(Clone)]
-pub struct Shared {
+pub struct PoolContext {
     /// The program's clock.
     pub clock: Clock,
     /// What it may hold.
@@ -65,14 +65,14 @@
 }
 
 /// What all pools are told beside their own settings.
-pub struct Terms {
+pub struct CommonSettings {
     /// The tenants' shares, one table for all.
     pub quotas: Quotas,
     /// What the node counts as, where that isn't told by the settings.
     pub group: Option<Group>,
 }
 
-impl Terms {
+impl CommonSettings {
     /// What a pool's decision module goes by.
     pub fn settings(&self, pool: &plan::Pool) -> Settings {
         let own = &pool.settings;
@@ -122,9 +122,9 @@
     pub fn start(
         plan: &Plan,
         at: usize,
-        shared: &Shared,
+        shared: &PoolContext,
         seed: u64,
-        terms: &Terms,
+        terms: &CommonSettings,
     ) -> Result<Rc<Self>, SettingsError> {
         let told = plan.pools[at].clone();
         let (list_calls, calls) = mpsc::unbounded_channel();
@@ -190,13 +190,13 @@
     ///
     /// # Errors
     /// Where no node could act on the settings; all is as it was.
-    pub fn go_on(
+    pub fn update(
         &self,
         plan: &Plan,
         at: usize,
         differs: Differs,
         quotas: bool,
-        terms: &Terms,
+        terms: &CommonSettings,
         predecessors: impl FnOnce() -> Vec<Option<u16>>,
     ) -> Result<Option<Vec<u16>>, SettingsError> {
         let told = &plan.pools[at];
@@ -252,7 +252,7 @@
     }
 
     /// Waits until the pool has been told who its servers are, or its process is no longer new.
-    pub async fn first_list(&self) {
+    pub async fn wait_for_servers(&self) {
         if !*self.ready.borrow() {
             let until = self.engine.clock().instant(self.waits_until);
             let _ = tokio::time::timeout_at(until, self.ready.subscribe().wait_for(|ready| *ready)).await;
--- a/crates/proxy/src/upstream/upstreams.rs
+++ b/crates/proxy/src/upstream/upstreams.rs
@@ -2,7 +2,7 @@
 
 use super::attempt::attempt;
 use super::fleet::{Entry, Fleet, Rests};
-use super::Shared;
+use super::PoolContext;
 use crate::socket::Socket;
 use corkhollow_balance::interface::{ListKind, Nanos, Server, ServerId};
 use corkhollow_engine::{log, AttemptId, Clock, DiscoveryCall, Engine, Message, RunningAttempt, Transport};
@@ -90,7 +90,7 @@
     pub fn new(
         pool: &Pool,
         limits: &Limits,
-        shared: &Shared,
+        shared: &PoolContext,
         list_calls: mpsc::UnboundedSender<DiscoveryCall>,
     ) -> Rc<Self> {
         let rests = match pool.dialect {
@@ -136,13 +136,13 @@
     }
 
     /// Closes what has stood idle for too long or was closed by its server.
-    pub fn sweep(&self) {
+    pub fn close_expired_idle(&self) {
         self.fleet(|f| f.sweep(self.clock.now()));
         while self.budget.servers_over() && self.evict() {}
     }
 
     /// Ends attempts that have lingered for long enough.
-    pub fn cut_lingering(&self) {
+    pub fn abort_overdue_attempts(&self) {
         let now = self.clock.now();
         let mut lingering = self.lingering.borrow_mut();
         while let Some((_, task)) = lingering.pop_front_if(|(at, _)| *at <= now) {
--- a/crates/proxy/tests/background.rs
+++ b/crates/proxy/tests/background.rs
@@ -1,6 +1,6 @@
 //! Work away from the thread that serves.
 
-use corkhollow_proxy::background::{begin, Panicked};
+use corkhollow_proxy::background::{spawn, Panicked};
 use std::sync::mpsc;
 use std::time::Duration;
 
@@ -13,12 +13,12 @@
 fn a_panic_is_told() {
     runtime().block_on(async {
         for told in ["a text", "two"] {
-            let mut running = begin(move || -> u32 { panic!("{told} and {}", 1) }).unwrap();
-            assert_eq!(running.done().await, Err(Panicked(format!("{told} and 1"))));
+            let mut running = spawn(move || -> u32 { panic!("{told} and {}", 1) }).unwrap();
+            assert_eq!(running.join().await, Err(Panicked(format!("{told} and 1"))));
         }
-        let mut running = begin(|| -> u32 { panic!("plain") }).unwrap();
-        assert_eq!(running.done().await, Err(Panicked("plain".to_owned())));
-        assert_eq!(begin(|| 7).unwrap().done().await, Ok(7));
+        let mut running = spawn(|| -> u32 { panic!("plain") }).unwrap();
+        assert_eq!(running.join().await, Err(Panicked("plain".to_owned())));
+        assert_eq!(spawn(|| 7).unwrap().join().await, Ok(7));
     });
 }
 
@@ -27,12 +27,12 @@
 fn waiting_may_be_broken_off() {
     let (go, gate) = mpsc::channel::<()>();
     runtime().block_on(async {
-        let mut running = begin(move || gate.recv().is_ok()).unwrap();
+        let mut running = spawn(move || gate.recv().is_ok()).unwrap();
         for _ in 0..3 {
-            let early = tokio::time::timeout(Duration::from_millis(1), running.done()).await;
+            let early = tokio::time::timeout(Duration::from_millis(1), running.join()).await;
             assert!(early.is_err(), "it cannot be done");
         }
         go.send(()).unwrap();
-        assert_eq!(running.done().await, Ok(true));
+        assert_eq!(running.join().await, Ok(true));
     });
 }
--- a/crates/proxy/tests/closing.rs
+++ b/crates/proxy/tests/closing.rs
@@ -6,7 +6,7 @@
 use corkhollow_plan::limits::Budget;
 use corkhollow_proxy::active_plan::{ActivePlan, CurrentPlan};
 use corkhollow_proxy::http1::{Clients, Service};
-use corkhollow_proxy::upstream::{Engines, Shared};
+use corkhollow_proxy::upstream::{Engines, PoolContext};
 use std::cell::Cell;
 use std::io::{ErrorKind, Read, Write};
 use std::net::TcpStream;
@@ -32,7 +32,7 @@
 impl TestClients {
     async fn new() -> Self {
         let plan = read(FILE, Path::new("")).unwrap_or_else(|faults| panic!("{}", faults[0])).plan;
-        let shared = Shared {
+        let shared = PoolContext {
             clock: Clock::start(),
             budget: Budget::new(1_000, 64 << 20),
             figures: Figures::new().unwrap(),
--- a/crates/proxy/tests/follow.rs
+++ b/crates/proxy/tests/follow.rs
@@ -11,7 +11,7 @@
 use corkhollow_plan::plan::Plan;
 use corkhollow_plan::routes::Target;
 use corkhollow_proxy::active_plan::ActivePlan;
-use corkhollow_proxy::upstream::{Engines, Shared};
+use corkhollow_proxy::upstream::{Engines, PoolContext};
 use http::{HeaderMap, HeaderValue, Method};
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -105,8 +105,8 @@
     }
 }
 
-fn shared() -> Shared {
-    Shared {
+fn shared() -> PoolContext {
+    PoolContext {
         clock: Clock::start(),
         budget: Budget::new(1_000, 192 << 20),
         figures: Figures::new().unwrap(),
