--- a/crates/proxy/src/headers.rs
+++ b/crates/proxy/src/headers.rs
@@ -3,9 +3,9 @@
 use hyper::header::{self, HeaderMap, HeaderName};
 
 /// What a request is known by on the platform, from its client to its server.
-pub const ID: HeaderName = HeaderName::from_static("x-request-id");
+pub const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
 /// How long the sender waits, in milliseconds.
-pub const TIMEOUT: HeaderName = HeaderName::from_static("x-timeout-ms");
+pub const TIMEOUT_MS: HeaderName = HeaderName::from_static("x-timeout-ms");
 /// A server's word that the request never ran.
 pub const NOT_PROCESSED: HeaderName = HeaderName::from_static("x-not-processed");
 
@@ -23,7 +23,7 @@
 const KEPT: [HeaderName; 3] = [header::HOST, header::CONTENT_LENGTH, header::EXPECT];
 
 /// Takes out what belongs to one connection and not to the message (RFC 9110, 7.6.1), all but `Trailer`.
-pub fn strip(headers: &mut HeaderMap) {
+pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     if headers.contains_key(header::CONNECTION) {
         let named: Vec<_> = headers.get_all(header::CONNECTION).into_iter().cloned().collect();
         for value in &named {
@@ -60,7 +60,7 @@
         ] {
             headers.append(HeaderName::from_static(name), HeaderValue::from_static(value));
         }
-        strip(&mut headers);
+        strip_hop_by_hop(&mut headers);
         let left: Vec<_> = headers.keys().map(HeaderName::as_str).collect();
         assert_eq!(left.len(), 3, "{left:?}");
         assert!(["x-three", "host", "trailer"].iter().all(|n| left.contains(n)), "{left:?}");
--- a/crates/proxy/src/http1/client.rs
+++ b/crates/proxy/src/http1/client.rs
@@ -117,7 +117,7 @@
         };
         ConnectionState {
             stage,
-            head_for: since(self.socket.heard.get()),
+            head_for: since(self.socket.first_byte_at.get()),
             silent_for: since(self.fresh_since.get()),
             still_for: Duration::from_nanos(now.saturating_sub(self.still_since.get())),
         }
@@ -125,7 +125,7 @@
 
     /// Between requests, as far as has been read.
     pub(super) fn resting(&self) -> bool {
-        self.stage.get() == Stage::Idle && self.socket.heard.get().is_none()
+        self.stage.get() == Stage::Idle && self.socket.first_byte_at.get().is_none()
     }
 
     /// A request of this class is being read.
@@ -159,7 +159,7 @@
     /// hide their end.
     pub(super) async fn leaves(&self, one_at_a_time: bool) {
         poll_fn(|cx| match self.stage.get() == Stage::Waiting && self.whole.get() {
-            true => self.socket.poll_left(cx, one_at_a_time.then_some(&self.last)),
+            true => self.socket.poll_peer_closed(cx, one_at_a_time.then_some(&self.last)),
             false => Poll::Pending,
         })
         .await
@@ -176,7 +176,7 @@
     pub(super) fn close_if(&self, reason: CloseReason, now: Nanos, limits: &CloseLimits) -> bool {
         // One that is closed behind its answer may still stall.
         let chosen = self.closing.get().is_some() && reason != CloseReason::Stalled;
-        let closes = !chosen && should_close(reason, &self.state(now), limits, || !self.socket.quiet());
+        let closes = !chosen && should_close(reason, &self.state(now), limits, || !self.socket.is_quiet());
         if closes {
             self.close_for(reason);
         }
--- a/crates/proxy/src/http1/clients.rs
+++ b/crates/proxy/src/http1/clients.rs
@@ -4,7 +4,7 @@
 use super::closing::{carry_out, CloseDecision, CloseReason, Stage};
 use super::respond::respond;
 use super::service::Service;
-use crate::socket::{exhausted, SocketIo};
+use crate::socket::{is_out_of_descriptors, SocketIo};
 use corkhollow_balance::interface::Nanos;
 use corkhollow_engine::log;
 use corkhollow_plan::plan::Dialect;
@@ -76,7 +76,7 @@
                 biased;
                 accepted = next() => match accepted {
                     Ok((stream, peer)) => self.open(&name, stream, peer, waited()),
-                    Err(error) if exhausted(&error) => {
+                    Err(error) if is_out_of_descriptors(&error) => {
                         blocked_since.set(blocked_since.get().or(Some(Instant::now())));
                         self.make_room();
                         tokio::time::sleep(Duration::from_millis(10)).await;
@@ -159,7 +159,7 @@
     pub fn sweep(&self) {
         let now = self.service.clock.now();
         for client in self.open.borrow().values() {
-            if client.socket.moved.replace(false) || client.stage.get() == Stage::Waiting {
+            if client.socket.had_traffic.replace(false) || client.stage.get() == Stage::Waiting {
                 client.still_since.set(now);
             }
         }
@@ -210,7 +210,7 @@
             () = client.leaves(one_at_a_time) => return service.closed(&client, "client-left", false),
             _ = client.close.notified() => {
                 let Some(reason) = client.closing.get() else { continue };
-                let unread = || !client.socket.quiet();
+                let unread = || !client.socket.is_quiet();
                 let state = client.state(service.clock.now());
                 match carry_out(reason, &state, &service.close_limits(), unread) {
                     CloseDecision::Keep => client.closing.set(None),
@@ -236,7 +236,7 @@
     service.closed(&client, reason, false);
     if client.unread.get() {
         tokio::select! {
-            () = client.socket.linger(SILENT, LINGER) => {}
+            () = client.socket.lingering_close(SILENT, LINGER) => {}
             () = client.close.notified() => {}
         }
     }
--- a/crates/proxy/src/http1/general.rs
+++ b/crates/proxy/src/http1/general.rs
@@ -7,7 +7,7 @@
 use super::upload::{self, UploadError};
 use crate::active_plan::ActivePlan;
 use crate::body::{AnswerBody, PieceBody};
-use crate::headers::strip;
+use crate::headers::strip_hop_by_hop;
 use bytes::Bytes;
 use corkhollow_balance::interface::{self, Nanos};
 use corkhollow_engine::{Answer, InterimHandler, Message, Payload};
@@ -230,10 +230,12 @@
 
 /// Turns away what two readers could read in two ways, and what is not passed on at all.
 fn sound(head: &Parts, client: &Client) -> Result<(), Problem> {
-    if head.headers.contains_key(header::TRANSFER_ENCODING) && client.socket.said("\ncontent-length:") {
+    if head.headers.contains_key(header::TRANSFER_ENCODING)
+        && client.socket.head_contains("\ncontent-length:")
+    {
         return Err(Problem::unreadable("a length beside a transfer coding"));
     }
-    if client.socket.bare_line_feed() {
+    if client.socket.head_has_bare_line_feed() {
         return Err(Problem::unreadable("a line that ends with a bare line feed"));
     }
     if head.method == Method::CONNECT {
@@ -301,7 +303,7 @@
     authority: &HeaderValue,
     service: &Service,
 ) {
-    strip(headers);
+    strip_hop_by_hop(headers);
     let trust = listener.trust_forwarded;
     if listener.x_forwarded {
         put(headers, X_FORWARDED_FOR, client.address.clone(), trust, true);
@@ -354,7 +356,7 @@
 fn interims(client: &Rc<Client>, listener: &Listener) -> InterimHandler {
     let (client, via) = (client.clone(), listener.via.clone());
     InterimHandler::new(move |status, mut headers| {
-        strip(&mut headers);
+        strip_hop_by_hop(&mut headers);
         headers.remove(header::CONTENT_LENGTH);
         if let Some(via) = &via {
             headers.append(header::VIA, via.clone());
@@ -365,7 +367,7 @@
             head.extend([name.as_str().as_bytes(), b": ", value.as_bytes(), b"\r\n"].concat());
         }
         head.extend(b"\r\n");
-        client.socket.say(&head);
+        client.socket.write_between(&head);
     })
 }
 
--- a/crates/proxy/src/http1/platform.rs
+++ b/crates/proxy/src/http1/platform.rs
@@ -7,7 +7,7 @@
 use super::upload::{self, Pace, Rules, UploadError};
 use crate::active_plan::ActivePlan;
 use crate::body::{AnswerBody, PieceBody};
-use crate::headers::{strip, ID, TIMEOUT};
+use crate::headers::{strip_hop_by_hop, REQUEST_ID, TIMEOUT_MS};
 use bytes::Bytes;
 use corkhollow_balance::interface::{self, Nanos, Settings};
 use corkhollow_engine::{Answer, Message, Payload};
@@ -38,7 +38,9 @@
         let up = service.control.lock().up();
         return text(if up { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }, "");
     }
-    if head.headers.contains_key(header::TRANSFER_ENCODING) && client.socket.said("\ncontent-length:") {
+    if head.headers.contains_key(header::TRANSFER_ENCODING)
+        && client.socket.head_contains("\ncontent-length:")
+    {
         return closing(text(StatusCode::BAD_REQUEST, "two lengths\n"));
     }
     // The path goes on as it came, and is matched so.
@@ -85,18 +87,18 @@
         Err(UploadError::Broken) => return closing(text(StatusCode::BAD_REQUEST, "the body broke off\n")),
     };
     let mut headers = head.headers;
-    strip(&mut headers);
+    strip_hop_by_hop(&mut headers);
     headers.remove(header::EXPECT);
     headers.remove(header::TRAILER);
     // Servers know a request by its id, and take one that they have for a second copy.
-    let Some(id) = only(&headers, ID).filter(|id| !id.is_empty()).cloned() else {
+    let Some(id) = only(&headers, REQUEST_ID).filter(|id| !id.is_empty()).cloned() else {
         return closing(text(StatusCode::BAD_REQUEST, "one X-Request-ID is needed\n"));
     };
     let longest = settings.classes[class].give_up;
     // No client waits longer than its class: a longer figure would only hold memory.
-    let wait = match only(&headers, TIMEOUT).map(|v| v.to_str().ok()?.trim().parse::<u64>().ok()) {
+    let wait = match only(&headers, TIMEOUT_MS).map(|v| v.to_str().ok()?.trim().parse::<u64>().ok()) {
         Some(Some(ms)) => ms.saturating_mul(1_000_000).min(longest),
-        None if !headers.contains_key(TIMEOUT) => longest,
+        None if !headers.contains_key(TIMEOUT_MS) => longest,
         _ => return closing(text(StatusCode::BAD_REQUEST, "X-Timeout-Ms is no whole number\n")),
     };
     // A client's time runs while its connection waits to be accepted.
--- a/crates/proxy/src/http1/respond.rs
+++ b/crates/proxy/src/http1/respond.rs
@@ -55,7 +55,7 @@
         self.client.rest.take();
         self.client.stage.set(Stage::Idle);
         self.client.idle_since.set(self.service.clock.now());
-        self.client.socket.forget(self.client.body_length.get());
+        self.client.socket.end_request(self.client.body_length.get());
     }
 }
 
@@ -72,7 +72,7 @@
     client.fresh_since.set(None);
     client.request_waited.set(client.waited.take());
     let chunked = request.headers().contains_key(header::TRANSFER_ENCODING);
-    let seen = chunked && client.socket.has_head(request.method().as_str());
+    let seen = chunked && client.socket.has_whole_head(request.method().as_str());
     // Taken once: a new site takes over between two requests.
     let site = service.site.get();
     let listener = site.plan.listeners.iter().position(|l| *l.name == *client.listener);
--- a/crates/proxy/src/http1/upload.rs
+++ b/crates/proxy/src/http1/upload.rs
@@ -150,7 +150,7 @@
 impl Passing {
     /// The last byte has come. Where its client has left behind it, it must not go on: the server would begin with it. False then.
     fn end(&self) -> bool {
-        let left = self.progress.ended_at.get().is_none() && self.client.socket.has_ended();
+        let left = self.progress.ended_at.get().is_none() && self.client.socket.is_closed_by_peer();
         self.ended(left);
         !left
     }
--- a/crates/proxy/src/operator.rs
+++ b/crates/proxy/src/operator.rs
@@ -25,7 +25,7 @@
 
 /// Callers that may be connected at once; the oldest goes for a new one. Calls take milliseconds: one that is still
 /// there says nothing.
-pub const MOST_CALLERS: usize = 8;
+pub const MAX_CONNECTIONS: usize = 8;
 /// A head that is not there after this will not come.
 const HEAD_WITHIN: Duration = Duration::from_secs(2);
 /// The whole of a call takes no longer, whoever reads slowly.
@@ -75,7 +75,7 @@
                 continue;
             };
             callers.retain(|caller| !caller.is_finished());
-            while callers.len() >= MOST_CALLERS {
+            while callers.len() >= MAX_CONNECTIONS {
                 callers.pop_front().inspect(AbortHandle::abort);
             }
             callers.push_back(tokio::task::spawn_local(call(self.clone(), stream)).abort_handle());
@@ -170,7 +170,7 @@
 /// Waits for all of a call: what its caller never finishes must not have acted. Two lengths are no length (RFC 9112, 6.3).
 async fn whole(headers: &HeaderMap, socket: &Socket, mut body: Incoming) -> Result<(), Refusal> {
     // hyper keeps one of the two only.
-    if headers.contains_key(header::TRANSFER_ENCODING) && socket.said("\ncontent-length:") {
+    if headers.contains_key(header::TRANSFER_ENCODING) && socket.head_contains("\ncontent-length:") {
         return Err((StatusCode::BAD_REQUEST, "both Content-Length and Transfer-Encoding\n"));
     }
     let reading = async {
--- a/crates/proxy/src/socket.rs
+++ b/crates/proxy/src/socket.rs
@@ -16,7 +16,7 @@
 use tokio::time::timeout;
 
 /// Whether descriptors are used up, for the process (EMFILE) or for the system (ENFILE).
-pub fn exhausted(error: &io::Error) -> bool {
+pub fn is_out_of_descriptors(error: &io::Error) -> bool {
     matches!(error.raw_os_error(), Some(24 | 23))
 }
 
@@ -26,9 +26,9 @@
     /// Lent to hyper for the length of one call.
     stream: RefCell<TcpStream>,
     /// When the first of what has come since the node last cleared this came.
-    pub heard: Cell<Option<Instant>>,
+    pub first_byte_at: Cell<Option<Instant>>,
     /// Something has gone either way since the node last cleared this.
-    pub moved: Cell<bool>,
+    pub had_traffic: Cell<bool>,
     outgoing: Cell<Outgoing>,
     /// When the request was out whole.
     written_at: Cell<Option<Instant>>,
@@ -93,8 +93,8 @@
         let _ = stream.set_nodelay(true);
         Rc::new(Socket {
             stream: RefCell::new(stream),
-            heard: Cell::new(None),
-            moved: Cell::new(true),
+            first_byte_at: Cell::new(None),
+            had_traffic: Cell::new(true),
             outgoing: Cell::default(),
             written_at: Cell::default(),
             forwards: RefCell::default(),
@@ -109,10 +109,10 @@
     }
 
     fn hear(&self, bytes: &[u8]) {
-        self.moved.set(true);
+        self.had_traffic.set(true);
         let mut first = self.first.borrow_mut();
-        if self.heard.get().is_none() {
-            self.heard.set(Some(Instant::now()));
+        if self.first_byte_at.get().is_none() {
+            self.first_byte_at.set(Some(Instant::now()));
             first.clear();
             self.received.set(0);
             self.first_at.set(0);
@@ -133,10 +133,10 @@
 
     /// A request with a body of this length, where that is known, is over: what comes next is another's. What came behind it in one
     /// piece is in hyper's hands already, and is the beginning of that one.
-    pub fn forget(&self, body: Option<u64>) {
+    pub fn end_request(&self, body: Option<u64>) {
         let whole = self.head_end.get().zip(body).map(|(head, body)| head + body);
         let behind = whole.map_or(0, |whole| self.received.get().saturating_sub(whole));
-        self.heard.set((behind > 0).then(Instant::now));
+        self.first_byte_at.set((behind > 0).then(Instant::now));
         self.first.borrow_mut().clear();
         self.received.set(behind);
         self.first_at.set(behind);
@@ -146,40 +146,40 @@
     /// Whether what came first is the whole head of a request with this method. It is not where the head, or the
     /// beginning of it, came behind the request before; a later line cannot begin like this, for no header's name
     /// has a space in it.
-    pub fn has_head(&self, method: &str) -> bool {
+    pub fn has_whole_head(&self, method: &str) -> bool {
         let first = self.first.borrow();
         let line = first.strip_prefix(method.as_bytes()).is_some_and(|rest| rest.starts_with(b" "));
         line && first.ends_with(HEAD_END)
     }
 
     /// Whether this, in small letters, stands in what came first.
-    pub fn said(&self, text: &str) -> bool {
+    pub fn head_contains(&self, text: &str) -> bool {
         let first = self.first.borrow().to_ascii_lowercase();
         first.windows(text.len()).any(|w| w == text.as_bytes())
     }
 
     /// Whether a line of the head that came first ends with a bare line feed, which not all take for an end.
-    pub fn bare_line_feed(&self) -> bool {
+    pub fn head_has_bare_line_feed(&self) -> bool {
         let first = self.first.borrow();
         memchr::memchr_iter(b'\n', &first).any(|k| k == 0 || first[k - 1] != b'\r')
     }
 
     /// A request with a body of this length is about to be written.
-    pub fn expect_request(&self, body: u64, forwards: IntCounter) {
+    pub fn begin_request(&self, body: u64, forwards: IntCounter) {
         self.forwards.replace(Some(forwards));
         self.written_at.set(None);
         self.outgoing.set(Outgoing { body_left: body, ..Outgoing::default() });
         // What comes from here on is the answer.
-        self.heard.set(None);
+        self.first_byte_at.set(None);
     }
 
     /// The kernel has the last byte of the request: from here on it may have run.
-    pub fn written(&self) -> bool {
+    pub fn is_request_written(&self) -> bool {
         self.outgoing.get().whole()
     }
 
     /// How long ago the request was out whole; none where it isn't.
-    pub fn since_written(&self) -> Option<Duration> {
+    pub fn time_since_written(&self) -> Option<Duration> {
         self.written_at.get().map(|at| at.elapsed())
     }
 
@@ -190,12 +190,12 @@
 
     /// Writes a message of its own between two of hyper's; nothing where hyper is in the middle of one, or where the
     /// peer has not even taken the message before.
-    pub fn say(&self, message: &[u8]) {
+    pub fn write_between(&self, message: &[u8]) {
         let mut said = self.said.borrow_mut();
         if self.flushed.get() && said.is_empty() {
             // What fails here fails for hyper too.
             let n = self.stream.borrow().try_write(message).unwrap_or(0);
-            self.moved.set(true);
+            self.had_traffic.set(true);
             said.extend_from_slice(&message[n..]);
         }
     }
@@ -212,7 +212,7 @@
 
     /// Ends this side and throws away what still comes, until the peer ends its own, is silent for so long or goes on
     /// for too long: a close with bytes unread is a reset, which may take the last answer with it (RFC 9112, 9.6).
-    pub async fn linger(&self, silent: Duration, longest: Duration) {
+    pub async fn lingering_close(&self, silent: Duration, longest: Duration) {
         let _ = socket2::SockRef::from(&*self.stream.borrow()).shutdown(std::net::Shutdown::Write);
         let mut bytes = [0; 4096];
         let read = async {
@@ -231,7 +231,7 @@
     /// reads nothing more behind a request that it has read until that one is answered, and so sees no end behind it. What
     /// is too much to keep is thrown away where it `spills`, and told of; elsewhere it stays where it is, and so does
     /// the end behind it.
-    pub fn poll_left(&self, cx: &mut Context<'_>, spills: Option<&Cell<bool>>) -> Poll<()> {
+    pub fn poll_peer_closed(&self, cx: &mut Context<'_>, spills: Option<&Cell<bool>>) -> Poll<()> {
         let mut bytes = [0; 4096];
         loop {
             let mut ahead = self.ahead.borrow_mut();
@@ -256,13 +256,13 @@
     }
 
     /// Something has come that nobody has read, as far as the kernel knows.
-    pub fn spoke(&self) -> bool {
+    pub fn has_unread_bytes(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         socket2::SockRef::from(&*self.stream.borrow()).peek(&mut byte).is_ok_and(|n| n > 0)
     }
 
     /// The peer has ended its side or the connection has broken, and there is nothing to read before that. This asks the kernel itself.
-    pub fn has_ended(&self) -> bool {
+    pub fn is_closed_by_peer(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         match socket2::SockRef::from(&*self.stream.borrow()).peek(&mut byte) {
             Ok(count) => count == 0 && self.ahead.borrow().is_empty(),
@@ -272,7 +272,7 @@
 
     /// Nothing has come and the peer has not closed. This asks the kernel itself: what the runtime knows may
     /// be older than a close that would lose the next request.
-    pub fn quiet(&self) -> bool {
+    pub fn is_quiet(&self) -> bool {
         if !self.ahead.borrow().is_empty() {
             return false;
         }
@@ -323,7 +323,7 @@
         ready!(self.0.poll_said(cx))?;
         self.0.flushed.set(false);
         let n = ready!(Pin::new(&mut *self.0.stream.borrow_mut()).poll_write_vectored(cx, slices))?;
-        self.0.moved.set(true);
+        self.0.had_traffic.set(true);
         let (mut outgoing, mut left) = (self.0.outgoing.get(), n);
         for slice in slices {
             let part = left.min(slice.len());
@@ -380,10 +380,10 @@
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let socket = Socket::new(TcpStream::connect(listener.local_addr().unwrap()).await.unwrap());
         let peer = listener.accept().unwrap().0;
-        assert!(socket.quiet());
+        assert!(socket.is_quiet());
         drop(peer);
         let start = std::time::Instant::now();
-        while socket.quiet() {
+        while socket.is_quiet() {
             assert!(start.elapsed().as_secs() < 20, "the close never came");
         }
     }
@@ -400,15 +400,15 @@
         let mut peer = TcpStream::from_std(peer).unwrap();
         let mut io = SocketIo(socket.clone());
         let long = vec![b'a'; 32 << 20];
-        socket.say(&long);
-        socket.say(b"too much");
+        socket.write_between(&long);
+        socket.write_between(b"too much");
         assert!(!socket.said.borrow().is_empty(), "the kernel took all of it");
         let write = async {
             io.write_all(b"bbb").await.unwrap();
-            socket.say(b"in the middle");
+            socket.write_between(b"in the middle");
             io.write_all(b"bbb").await.unwrap();
             io.flush().await.unwrap();
-            socket.say(b"cc");
+            socket.write_between(b"cc");
             drop(io);
             drop(socket);
         };
--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -4,7 +4,7 @@
 use super::upstreams::Upstreams;
 use super::{general, platform};
 use crate::body::{PieceBody, RequestBody};
-use crate::headers::TIMEOUT;
+use crate::headers::TIMEOUT_MS;
 use crate::socket::Socket;
 use corkhollow_balance::interface::{Ending, Nanos, ServerId};
 use corkhollow_engine::{AttemptId, ClientBody, Engine, Message, Payload};
@@ -108,7 +108,7 @@
             (Payload::Stream(_), Dialect::Platform) => length(message),
             _ => 0,
         };
-        link.socket.expect_request(body, upstreams.forwards.clone());
+        link.socket.begin_request(body, upstreams.forwards.clone());
         let socket = link.socket.clone();
         let mut coming = message.upload().is_some();
         let mut response = pin!(link.sender.try_send_request(request));
@@ -120,7 +120,7 @@
                 .flatten()
                 .for_each(|(status, headers)| engine.interim(id, status, headers));
             let polled = response.as_mut().poll(cx);
-            if coming && socket.written() {
+            if coming && socket.is_request_written() {
                 coming = false;
                 engine.written(id);
             }
@@ -130,7 +130,7 @@
             Ok(response) => {
                 let now = upstreams.clock.now();
                 upstreams.fleet(|f| f.lives.note(now, rested, false));
-                if let Some(took) = socket.since_written() {
+                if let Some(took) = socket.time_since_written() {
                     engine.answering(id, took.as_nanos() as Nanos);
                 }
                 let keep = answer(upstreams, engine, id, message, &mut link, response).await;
@@ -144,7 +144,7 @@
                 }
                 Ok(())
             }
-            Err(_) if socket.written() => {
+            Err(_) if socket.is_request_written() => {
                 let now = upstreams.clock.now();
                 let lost = now.saturating_sub(begun) < AT_ONCE;
                 upstreams.fleet(|f| f.lives.note(now, rested, lost));
@@ -210,7 +210,7 @@
     *request.headers_mut() = message.headers.clone();
     if upstreams.dialect == Dialect::Platform {
         let left = message.give_up_at.saturating_sub(now).div_ceil(1_000_000).max(1);
-        request.headers_mut().insert(TIMEOUT, HeaderValue::from(left));
+        request.headers_mut().insert(TIMEOUT_MS, HeaderValue::from(left));
     }
     if asked.is_some() || heard.is_some() {
         // `100 Continue` is the program's own affair: it asks its client by itself.
--- a/crates/proxy/src/upstream/fleet.rs
+++ b/crates/proxy/src/upstream/fleet.rs
@@ -138,10 +138,10 @@
             let idle = upstream.idle.remove(at);
             // What has come since it was kept (a close, a second copy of the last answer, noise) would be taken
             // for the next request's end or answer. The kernel knows; the runtime may not yet.
-            if idle.since >= oldest && idle.link.socket.quiet() {
+            if idle.since >= oldest && idle.link.socket.is_quiet() {
                 return Some(idle);
             }
-            if idle.link.socket.spoke() {
+            if idle.link.socket.has_unread_bytes() {
                 self.spoke_at = Some(now);
             }
         }
@@ -183,8 +183,8 @@
         let mut spoke = false;
         for upstream in self.upstreams.values_mut() {
             upstream.idle.retain(|i| {
-                spoke |= i.link.socket.spoke();
-                i.since >= oldest && i.link.socket.quiet()
+                spoke |= i.link.socket.has_unread_bytes();
+                i.since >= oldest && i.link.socket.is_quiet()
             });
         }
         self.spoke_at = spoke.then_some(now).or(self.spoke_at);
@@ -310,7 +310,7 @@
             peer.write_all(word).unwrap();
             drop(peer);
             let start = std::time::Instant::now();
-            while socket.quiet() {
+            while socket.is_quiet() {
                 assert!(start.elapsed().as_secs() < 20, "nothing came");
             }
             assert!(fleet.checkout(server, 0).is_none(), "{} bytes and a close", word.len());
--- a/crates/proxy/src/upstream/general.rs
+++ b/crates/proxy/src/upstream/general.rs
@@ -2,7 +2,7 @@
 
 use super::link::Link;
 use super::upstreams::Upstreams;
-use crate::headers::{strip, NOT_PROCESSED};
+use crate::headers::{strip_hop_by_hop, NOT_PROCESSED};
 use corkhollow_balance::interface::Ending;
 use corkhollow_engine::{Answer, AttemptId, BodyFrame, BufferedBody, Engine, IncompleteBody};
 use hyper::body::{Body, Incoming};
@@ -45,10 +45,10 @@
     let not_processed = head.headers.get(NOT_PROCESSED).is_some_and(|v| v == "1");
     let ending = ending(head.status, not_processed);
     // Two lengths: the next answer on this connection might begin inside this one (RFC 9112, 6.3).
-    let two_lengths =
-        head.headers.contains_key(header::TRANSFER_ENCODING) && link.socket.said("\ncontent-length:");
+    let two_lengths = head.headers.contains_key(header::TRANSFER_ENCODING)
+        && link.socket.head_contains("\ncontent-length:");
     let (status, mut headers) = (head.status, head.headers);
-    strip(&mut headers);
+    strip_hop_by_hop(&mut headers);
     if !bodiless && status != StatusCode::NOT_MODIFIED {
         headers.remove(header::CONTENT_LENGTH);
     }
--- a/crates/proxy/src/upstream/link.rs
+++ b/crates/proxy/src/upstream/link.rs
@@ -2,7 +2,7 @@
 
 use super::upstreams::{Place, Upstreams};
 use crate::body::RequestBody;
-use crate::socket::{exhausted, Socket, SocketIo};
+use crate::socket::{is_out_of_descriptors, Socket, SocketIo};
 use corkhollow_balance::interface::Nanos;
 use corkhollow_plan::limits::Slot;
 use hyper::client::conn::http1::{self, Connection, SendRequest};
@@ -138,7 +138,7 @@
     };
     let stream = match tokio::time::timeout(upstreams.connect_timeout.get(), TcpStream::connect(dial)).await {
         Ok(Ok(stream)) => stream,
-        Ok(Err(e)) if exhausted(&e) => return Err(NoLink::Exhausted),
+        Ok(Err(e)) if is_out_of_descriptors(&e) => return Err(NoLink::Exhausted),
         Ok(Err(_)) | Err(_) => return Err(NoLink::Failed),
     };
     let socket = Socket::new(stream);
--- a/crates/proxy/src/upstream/platform.rs
+++ b/crates/proxy/src/upstream/platform.rs
@@ -3,7 +3,7 @@
 
 use super::link::Link;
 use super::upstreams::Upstreams;
-use crate::headers::{strip, NOT_PROCESSED};
+use crate::headers::{strip_hop_by_hop, NOT_PROCESSED};
 use bytes::Bytes;
 use corkhollow_balance::interface::Ending;
 use corkhollow_engine::{Answer, AttemptId, BufferedBody, Engine, IncompleteBody};
@@ -48,7 +48,7 @@
         return whole;
     }
     let mut headers = head.headers;
-    strip(&mut headers);
+    strip_hop_by_hop(&mut headers);
     headers.remove(header::CONTENT_LENGTH);
     headers.remove(header::TRAILER);
     let length = body.size_hint().exact();
--- a/crates/proxy/src/upstream/upstreams.rs
+++ b/crates/proxy/src/upstream/upstreams.rs
@@ -234,7 +234,7 @@
 
 impl Sent {
     fn written(&self) -> bool {
-        self.socket.borrow().as_ref().is_some_and(|s| s.written())
+        self.socket.borrow().as_ref().is_some_and(|s| s.is_request_written())
     }
 }
 
