--- a/crates/engine/src/body.rs
+++ b/crates/engine/src/body.rs
@@ -6,7 +6,7 @@
 /// A whole body, in the pieces in which it came: it can be sent again without a copy.
 #[derive(Debug)]
 pub struct BufferedBody {
-    pieces: Vec<Bytes>,
+    chunks: Vec<Bytes>,
     len: u64,
     lease: Lease,
 }
@@ -14,15 +14,15 @@
 impl BufferedBody {
     /// Nothing yet; what comes is counted against the lease.
     pub fn new(lease: Lease) -> Self {
-        BufferedBody { pieces: Vec::new(), len: 0, lease }
+        BufferedBody { chunks: Vec::new(), len: 0, lease }
     }
 
     /// Adds a piece; false, with nothing added, where the budget has no room for it.
-    pub fn push(&mut self, piece: Bytes) -> bool {
-        let fits = piece.is_empty() || self.lease.grow(piece.len());
-        if fits && !piece.is_empty() {
-            self.len += piece.len() as u64;
-            self.pieces.push(piece);
+    pub fn push(&mut self, chunk: Bytes) -> bool {
+        let fits = chunk.is_empty() || self.lease.grow(chunk.len());
+        if fits && !chunk.is_empty() {
+            self.len += chunk.len() as u64;
+            self.chunks.push(chunk);
         }
         fits
     }
@@ -38,12 +38,12 @@
     }
 
     /// One of the pieces, in the order in which they came.
-    pub fn piece(&self, at: usize) -> Option<&Bytes> {
-        self.pieces.get(at)
+    pub fn chunk(&self, index: usize) -> Option<&Bytes> {
+        self.chunks.get(index)
     }
 
     /// The pieces, and what holds their bytes in the budget.
     pub fn into_parts(self) -> (Vec<Bytes>, Lease) {
-        (self.pieces, self.lease)
+        (self.chunks, self.lease)
     }
 }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -25,7 +25,7 @@
 /// The side that holds the connections to servers. It is called while the engine is at work and must not call back
 /// before it returns.
 pub trait Transport {
-    /// Begins an attempt. How it goes is told by [`Engine::served`], [`Engine::streams`] or [`Engine::ended`].
+    /// Begins an attempt. How it goes is told by [`Engine::on_buffered_answer`], [`Engine::on_answer`] or [`Engine::on_attempt_ended`].
     fn send(
         &self,
         engine: &Rc<Engine>,
@@ -35,10 +35,10 @@
     ) -> Box<dyn RunningAttempt>;
 
     /// Asks discovery.
-    fn ask(&self, call: DiscoveryCall);
+    fn call_discovery(&self, call: DiscoveryCall);
 
     /// The name by which lists know this server.
-    fn name(&self, server: ServerId) -> Option<Arc<str>>;
+    fn server_name(&self, server: ServerId) -> Option<Arc<str>>;
 
     /// Writes a line of the module's, about this server.
     fn log(&self, server: Option<ServerId>, text: &str);
@@ -47,25 +47,27 @@
 /// An attempt that is under way.
 pub trait RunningAttempt {
     /// Nobody waits for it any longer.
-    fn give_up(self: Box<Self>);
+    fn abandon(self: Box<Self>);
 
     /// Calls it off, unless the last byte of its request is written; whether it has.
-    fn withdraw(&self) -> bool;
+    fn cancel_if_unsent(&self) -> bool;
 }
 
 impl RequestMessage for Rc<Message> {
-    fn spent(&self) -> bool {
-        Message::spent(self)
+    fn is_body_consumed(&self) -> bool {
+        Message::is_body_consumed(self)
     }
 
-    fn due(&self, patience: Nanos) -> Option<Nanos> {
-        let UploadProgress { ended_at, moved_at, still, .. } = &*self.upload()?.progress;
+    fn deadline(&self, patience: Nanos) -> Option<Nanos> {
+        let UploadProgress { ended_at, last_progress_at, stall_timeout, .. } = &*self.upload()?.progress;
         Some(match ended_at.get() {
             Some(at) => at.saturating_add(patience),
             // A server may take a connection and read nothing from it.
-            None if self.spent() => moved_at.get().saturating_add(patience.max(*still)),
+            None if self.is_body_consumed() => {
+                last_progress_at.get().saturating_add(patience.max(*stall_timeout))
+            }
             // It still waits for a connection.
-            None => moved_at.get().saturating_add(patience),
+            None => last_progress_at.get().saturating_add(patience),
         })
     }
 }
@@ -76,7 +78,7 @@
 /// See the module's documentation.
 pub struct Engine {
     clock: Clock,
-    carrier: Rc<dyn Transport>,
+    transport: Rc<dyn Transport>,
     figures: PoolFigures,
     requests: RefCell<Pool>,
     /// Clients that wait.
@@ -96,13 +98,13 @@
         settings: Settings,
         seed: u64,
         clock: Clock,
-        carrier: Rc<dyn Transport>,
+        transport: Rc<dyn Transport>,
         figures: PoolFigures,
     ) -> Result<Rc<Self>, SettingsError> {
         Ok(Rc::new(Engine {
             requests: RefCell::new(Requests::new(clock.now(), settings, seed)?),
             clock,
-            carrier,
+            transport,
             figures,
             replies: RefCell::default(),
             running: RefCell::default(),
@@ -135,48 +137,49 @@
 
     fn carry_out(self: &Rc<Self>, command: Told) {
         match command {
-            Command::Send { id, server, load, hedge } => {
-                if let Some(server) = self.carrier.name(server) {
+            Command::Send { id, server, message, hedge } => {
+                if let Some(server) = self.transport.server_name(server) {
                     self.record(id.request, Event::AttemptSent { attempt: id.number, server, hedge });
                 }
-                let running = self.carrier.send(self, id, server, load);
+                let running = self.transport.send(self, id, server, message);
                 self.running.borrow_mut().insert(id, running);
             }
-            Command::GiveUp(id) => {
+            Command::Abandon(id) => {
                 let running = self.running.borrow_mut().remove(&id);
                 if let Some(running) = running {
-                    running.give_up();
+                    running.abandon();
                 }
             }
-            Command::Withdraw(id) => {
-                let unwritten = self.running.borrow().get(&id).is_some_and(|running| running.withdraw());
+            Command::CancelUnsent(id) => {
+                let unwritten =
+                    self.running.borrow().get(&id).is_some_and(|running| running.cancel_if_unsent());
                 if unwritten {
-                    self.ended(id, Ending::NotSent);
+                    self.on_attempt_ended(id, Ending::NotSent);
                 }
             }
-            Command::Answer { request, verdict } => {
-                self.record(request, Event::Answered(verdict.name()));
-                let answer = match verdict {
-                    FinalAnswer::FromServer(answer) => answer,
+            Command::Answer { request, answer } => {
+                self.record(request, Event::Answered(answer.name()));
+                let client_answer = match answer {
+                    FinalAnswer::FromServer(server_answer) => server_answer,
                     FinalAnswer::Refused { retry_after, reason } => {
                         self.figures.refused(reason);
                         Answer::Refused { retry_after }
                     }
-                    FinalAnswer::Failed { late } => Answer::Failed { late },
+                    FinalAnswer::Failed { timed_out } => Answer::Failed { timed_out },
                 };
                 if let Some(reply) = self.replies.borrow_mut().remove(&request) {
-                    let _ = reply.send(answer);
+                    let _ = reply.send(client_answer);
                 }
             }
-            Command::Ask(call) => self.carrier.ask(call),
-            Command::Log { server, text } => self.carrier.log(server, &text),
-            Command::Ended { id, ending } => {
+            Command::CallDiscovery(call) => self.transport.call_discovery(call),
+            Command::Log { server, text } => self.transport.log(server, &text),
+            Command::AttemptEnded { id, ending } => {
                 self.figures.ended(ending);
                 self.record(id.request, Event::AttemptEnded { attempt: id.number, ending });
             }
-            Command::Denied { request, denial } => self.denied(request, Proposed::Send, denial),
-            Command::Repeated { after: None } => self.figures.hedges.inc(),
-            Command::Repeated { after: Some(ending) } => self.figures.retried(ending),
+            Command::ProposalDenied { request, denial } => self.denied(request, Proposed::Send, denial),
+            Command::AttemptRepeated { after: None } => self.figures.hedges.inc(),
+            Command::AttemptRepeated { after: Some(ending) } => self.figures.retried(ending),
         }
     }
 
@@ -193,7 +196,7 @@
         // It may be answered before the step is over.
         let id = self.requests.borrow().next_id();
         self.replies.borrow_mut().insert(id, reply);
-        let request = Request { give_up_at: message.give_up_at, ..request };
+        let request = Request { give_up_at: message.deadline, ..request };
         self.record(id, Event::Taken(client_id));
         let taken = self.step(|all, now, sink| all.submit(now, name, request, Rc::new(message), sink));
         if taken.is_none() {
@@ -203,50 +206,51 @@
     }
 
     /// An attempt has come to an end without an answer for the client.
-    pub fn ended(self: &Rc<Self>, id: AttemptId, ending: Ending) {
+    pub fn on_attempt_ended(self: &Rc<Self>, id: AttemptId, ending: Ending) {
         self.running.borrow_mut().remove(&id);
-        self.step(|all, now, sink| all.ended(now, id, ending, sink));
+        self.step(|all, now, sink| all.on_attempt_ended(now, id, ending, sink));
     }
 
     /// A server has the last byte of a request that went on as it came.
-    pub fn written(self: &Rc<Self>, id: AttemptId) {
-        self.step(|all, now, sink| all.written(now, id, sink));
+    pub fn on_request_written(self: &Rc<Self>, id: AttemptId) {
+        self.step(|all, now, sink| all.on_request_written(now, id, sink));
     }
 
     /// The head of an answer has come, so long after the request's last byte went. That tells how busy the server is;
     /// how long the bodies take on their way, slow peers that they are, does not.
-    pub fn answering(&self, id: AttemptId, took: Nanos) {
-        self.requests.borrow_mut().answering(id, took);
+    pub fn on_answer_head(&self, id: AttemptId, took: Nanos) {
+        self.requests.borrow_mut().on_answer_head(id, took);
     }
 
     /// An attempt has brought a whole answer: the first one is the client's.
-    pub fn served(
+    pub fn on_buffered_answer(
         self: &Rc<Self>,
         id: AttemptId,
         status: StatusCode,
         headers: HeaderMap,
         body: BufferedBody,
     ) {
-        self.streams(id, Answer::Buffered { status, headers, body });
+        self.on_answer(id, Answer::Buffered { status, headers, body });
     }
 
     /// An attempt brings a long answer. False where it comes too late to be anybody's.
-    pub fn streams(self: &Rc<Self>, id: AttemptId, answer: Answer) -> bool {
+    pub fn on_answer(self: &Rc<Self>, id: AttemptId, answer: Answer) -> bool {
         self.running.borrow_mut().remove(&id);
-        self.step(|all, now, sink| all.served(now, id, answer, sink))
+        self.step(|all, now, sink| all.on_answer(now, id, answer, sink))
     }
 
     /// An attempt has brought an answer that tells of a failure. It goes to the client if nothing better comes.
-    pub fn errored(self: &Rc<Self>, id: AttemptId, ending: Ending, answer: Answer) {
+    pub fn on_error_answer(self: &Rc<Self>, id: AttemptId, ending: Ending, answer: Answer) {
         self.running.borrow_mut().remove(&id);
-        self.step(|all, now, sink| all.errored(now, id, ending, answer, sink));
+        self.step(|all, now, sink| all.on_error_answer(now, id, ending, answer, sink));
     }
 
     /// An attempt has brought an interim answer: the client's, as long as it waits for the final one.
-    pub fn interim(&self, id: AttemptId, status: StatusCode, headers: HeaderMap) {
-        let interims = self.requests.borrow().awaited(id).and_then(|message| message.interims.clone());
-        if let Some(interims) = interims {
-            interims.take(status, headers);
+    pub fn on_interim_answer(&self, id: AttemptId, status: StatusCode, headers: HeaderMap) {
+        let handler =
+            self.requests.borrow().awaited_message(id).and_then(|message| message.interim_handler.clone());
+        if let Some(handler) = handler {
+            handler.forward(status, headers);
         }
     }
 
@@ -274,15 +278,15 @@
         self.figures.recorder.record(self.clock.now(), subject, event);
     }
 
-    fn client_gone(self: &Rc<Self>, request: RequestId) {
+    fn on_client_left(self: &Rc<Self>, request: RequestId) {
         self.record(request, Event::ClientLeft);
         self.replies.borrow_mut().remove(&request);
-        self.step(|all, now, sink| all.client_gone(now, request, sink));
+        self.step(|all, now, sink| all.on_client_left(now, request, sink));
     }
 
-    /// Discovery has spoken. The carrier must have been told before: what the module then sends must find it.
-    pub fn list(self: &Rc<Self>, kind: ListKind, servers: Vec<Server>) {
-        self.step(|all, now, sink| all.list(now, kind, servers, sink));
+    /// Discovery has spoken. The transport must have been told before: what the module then sends must find it.
+    pub fn on_server_list(self: &Rc<Self>, kind: ListKind, servers: Vec<Server>) {
+        self.step(|all, now, sink| all.on_server_list(now, kind, servers, sink));
     }
 
     /// Discovery has sent a list or a heartbeat: see [`Requests::observe_discovery`].
@@ -319,9 +323,9 @@
     }
 
     /// What the module goes by now, and the servers in its list.
-    pub fn told(&self) -> (Settings, Vec<Server>) {
+    pub fn settings_and_servers(&self) -> (Settings, Vec<Server>) {
         let requests = self.requests.borrow();
-        let (settings, servers) = requests.told();
+        let (settings, servers) = requests.settings_and_servers();
         (settings.clone(), servers)
     }
 
@@ -340,9 +344,9 @@
         self.requests.borrow_mut().recall(self.clock.now(), known, successors)
     }
 
-    /// Answers all that is under way by then: see [`Requests::end_by`].
-    pub fn end_by(self: &Rc<Self>, at: Nanos) {
-        self.step(|all, _, _| all.end_by(at));
+    /// Answers all that is under way by then: see [`Requests::set_shutdown_deadline`].
+    pub fn set_shutdown_deadline(self: &Rc<Self>, at: Nanos) {
+        self.step(|all, _, _| all.set_shutdown_deadline(at));
     }
 
     /// Servers in the list, and how many of them the module has ejected for now; brings the list's age up to date.
@@ -363,7 +367,7 @@
                 _ = sleep => {}
                 _ = self.timer.notified() => {}
             }
-            self.step(|all, now, sink| all.fire(now, sink));
+            self.step(|all, now, sink| all.fire_timers(now, sink));
         }
     }
 }
@@ -381,14 +385,14 @@
     pub async fn answer(&mut self) -> Answer {
         let answer = (&mut self.answer).await;
         self.owed = false;
-        answer.unwrap_or(Answer::Failed { late: true })
+        answer.unwrap_or(Answer::Failed { timed_out: true })
     }
 }
 
 impl Drop for PendingAnswer {
     fn drop(&mut self) {
         if self.owed {
-            self.engine.client_gone(self.id);
+            self.engine.on_client_left(self.id);
         }
     }
 }
--- a/crates/engine/src/message.rs
+++ b/crates/engine/src/message.rs
@@ -22,9 +22,9 @@
     /// The body.
     pub payload: Payload,
     /// When the client abandons it.
-    pub give_up_at: Nanos,
+    pub deadline: Nanos,
     /// Where servers' interim answers go; none where the client's side cannot take them.
-    pub interims: Option<InterimHandler>,
+    pub interim_handler: Option<InterimHandler>,
 }
 
 /// What takes servers' interim answers (1xx) to a client that waits (RFC 9110, 15.2).
@@ -33,11 +33,11 @@
 
 impl InterimHandler {
     /// Calls this with each.
-    pub fn new(take: impl Fn(StatusCode, HeaderMap) + 'static) -> Self {
-        InterimHandler(Rc::new(take))
+    pub fn new(handler: impl Fn(StatusCode, HeaderMap) + 'static) -> Self {
+        InterimHandler(Rc::new(handler))
     }
 
-    pub(crate) fn take(&self, status: StatusCode, headers: HeaderMap) {
+    pub(crate) fn forward(&self, status: StatusCode, headers: HeaderMap) {
         (self.0)(status, headers);
     }
 }
@@ -59,7 +59,7 @@
 
 impl Message {
     /// The body has gone, in whole or in part, and is not there for another attempt.
-    pub fn spent(&self) -> bool {
+    pub fn is_body_consumed(&self) -> bool {
         matches!(&self.payload, Payload::Stream(upload) if upload.body.borrow().is_none())
     }
 
@@ -86,23 +86,23 @@
 #[derive(Debug)]
 pub struct UploadProgress {
     /// When a piece of it last went on towards a server; at first when it began.
-    pub moved_at: Cell<Nanos>,
+    pub last_progress_at: Cell<Nanos>,
     /// How long it may stand still on its way, no less than whoever reads it gives the client for its next piece.
-    pub still: Nanos,
+    pub stall_timeout: Nanos,
     /// When its last byte came, or it broke off.
     pub ended_at: Cell<Option<Nanos>>,
     /// The client's side has failed: what follows from that says nothing of the server.
-    pub failed: Cell<bool>,
+    pub client_failed: Cell<bool>,
 }
 
 impl UploadProgress {
     /// Of a body that begins now.
-    pub fn new(now: Nanos, still: Nanos) -> Self {
+    pub fn new(now: Nanos, stall_timeout: Nanos) -> Self {
         UploadProgress {
-            moved_at: Cell::new(now),
-            still,
+            last_progress_at: Cell::new(now),
+            stall_timeout,
             ended_at: Cell::new(None),
-            failed: Cell::new(false),
+            client_failed: Cell::new(false),
         }
     }
 }
@@ -114,7 +114,7 @@
     }
 
     /// The body, for an attempt; none where another has it.
-    pub fn take(&self) -> Option<ClientBody> {
+    pub fn take_body(&self) -> Option<ClientBody> {
         self.body.borrow_mut().take()
     }
 
@@ -154,7 +154,7 @@
         /// The length of its body, where told.
         length: Option<u64>,
         /// Its body, piece by piece.
-        pieces: mpsc::Receiver<BodyFrame>,
+        frames: mpsc::Receiver<BodyFrame>,
     },
     /// Turned away; a repeat is harmless.
     Refused {
@@ -164,7 +164,7 @@
     /// Failed, with no word on its effect.
     Failed {
         /// Its time was up.
-        late: bool,
+        timed_out: bool,
     },
 }
 
--- a/crates/engine/src/requests.rs
+++ b/crates/engine/src/requests.rs
@@ -24,11 +24,11 @@
 /// What is carried to servers for a request: a handle that is cheap to clone.
 pub trait RequestMessage: Clone {
     /// It has gone, in whole or in part, and is not there for another attempt.
-    fn spent(&self) -> bool;
+    fn is_body_consumed(&self) -> bool;
 
     /// When the request's time is up, as far as it is known by now, where that depends on how far its body has come. The
     /// patience is how long it may take from the end of its body.
-    fn due(&self, patience: Nanos) -> Option<Nanos>;
+    fn deadline(&self, patience: Nanos) -> Option<Nanos>;
 }
 
 /// The one final answer.
@@ -46,7 +46,7 @@
     /// Failed, with no word on its effect.
     Failed {
         /// Its time was up.
-        late: bool,
+        timed_out: bool,
     },
 }
 
@@ -56,15 +56,15 @@
         match self {
             FinalAnswer::FromServer(_) => "by-server",
             FinalAnswer::Refused { reason, .. } => reason.name(),
-            FinalAnswer::Failed { late: true } => "out-of-time",
-            FinalAnswer::Failed { late: false } => "failed",
+            FinalAnswer::Failed { timed_out: true } => "out-of-time",
+            FinalAnswer::Failed { timed_out: false } => "failed",
         }
     }
 }
 
 /// What is to be done, in the order in which it is written down.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Command<L, A> {
+pub enum Command<M, A> {
     /// Begin an attempt.
     Send {
         /// Which one.
@@ -72,24 +72,24 @@
         /// Where to.
         server: ServerId,
         /// What is carried.
-        load: L,
+        message: M,
         /// It goes out beside another attempt of its request.
         hedge: bool,
     },
     /// Nobody waits for the attempt any longer.
-    GiveUp(AttemptId),
+    Abandon(AttemptId),
     /// The attempt's request is over. Where its last byte has not been written, it must not be: then it is called off, and
     /// has [`Ending::NotSent`]. One that is written goes on to its end.
-    Withdraw(AttemptId),
+    CancelUnsent(AttemptId),
     /// Give the client its final answer. Comes once for each request, unless its client leaves before.
     Answer {
         /// Whose.
         request: RequestId,
         /// The answer.
-        verdict: FinalAnswer<A>,
+        answer: FinalAnswer<A>,
     },
     /// Ask discovery.
-    Ask(DiscoveryCall),
+    CallDiscovery(DiscoveryCall),
     /// Write a line of the module's, about this server.
     Log {
         /// The server, where it is about one.
@@ -98,19 +98,19 @@
         text: String,
     },
     /// For the figures: an attempt has ended.
-    Ended {
+    AttemptEnded {
         /// Which one.
         id: AttemptId,
         /// How.
         ending: Ending,
     },
     /// For the figures: an attempt follows on another one of its request.
-    Repeated {
+    AttemptRepeated {
         /// How the one before has ended; none where it is open and this one is a hedge.
         after: Option<Ending>,
     },
     /// For the figures: the decision module has proposed what the rules deny, and it is not done.
-    Denied {
+    ProposalDenied {
         /// Of this request.
         request: RequestId,
         /// Why.
@@ -125,10 +125,10 @@
     sent: bool,
 }
 
-struct Live<N, L, A> {
+struct Live<N, M, A> {
     /// Its client's id, held in `names`, where the front wants it to be the only one.
     name: Option<N>,
-    load: L,
+    message: M,
     give_up_at: Nanos,
     /// How long it may take from the end of its body.
     patience: Nanos,
@@ -136,7 +136,7 @@
     owed: bool,
     attempts: Vec<Attempt>,
     /// What the settings allowed for it when it was taken.
-    terms: Option<RetryPolicy>,
+    policy: Option<RetryPolicy>,
     /// A server's own answer that tells of a failure: the client's, unless a later attempt brings a better one.
     fallback: Option<A>,
 }
@@ -148,12 +148,12 @@
     AttemptTimeout(RequestId, u8),
 }
 
-/// The requests of one pool, its balancer and its timers. `N` names requests, `L` is what is carried, `A` a server's answer.
+/// The requests of one pool, its balancer and its timers. `N` names requests, `M` is what is carried, `A` a server's answer.
 /// Equal settings, seed, times and events give equal commands.
-pub struct Requests<N, L, A> {
+pub struct Requests<N, M, A> {
     balancer: Balancer,
     /// Bounded by the clients' connections: each carries one request, and attempts outlive it by a deadline.
-    live: HashMap<RequestId, Live<N, L, A>>,
+    live: HashMap<RequestId, Live<N, M, A>>,
     /// The clients' ids of all that is live: a second request under one of them would be a second copy.
     names: HashSet<N>,
     /// Bounded by the rate of requests times the longest give-up time: an entry stays until it is due.
@@ -167,7 +167,7 @@
     ends_at: Nanos,
 }
 
-impl<N: Clone + Eq + Hash, L: RequestMessage, A> Requests<N, L, A> {
+impl<N: Clone + Eq + Hash, M: RequestMessage, A> Requests<N, M, A> {
     /// None yet, and no servers. The seed settles the balancer's random draws.
     ///
     /// # Errors
@@ -200,7 +200,7 @@
         self.live.is_empty()
     }
 
-    /// When [`Requests::fire`] is due next.
+    /// When [`Requests::fire_timers`] is due next.
     pub fn next_timer(&self) -> Option<Nanos> {
         self.timers.peek().map(|Reverse((at, _))| *at)
     }
@@ -212,8 +212,8 @@
         now: Nanos,
         name: Option<N>,
         request: Request,
-        load: L,
-        sink: &mut Vec<Command<L, A>>,
+        message: M,
+        sink: &mut Vec<Command<M, A>>,
     ) -> Option<RequestId> {
         if name.as_ref().is_some_and(|name| !self.names.insert(name.clone())) {
             return None;
@@ -224,12 +224,12 @@
         let class = settings.classes.get(usize::from(request.class));
         let live = Live {
             name,
-            load,
+            message,
             give_up_at,
             patience: give_up_at.saturating_sub(now),
             owed: true,
             attempts: Vec::new(),
-            terms: class.map(|class| RetryPolicy::of(class, settings)),
+            policy: class.map(|class| RetryPolicy::for_class(class, settings)),
             fallback: None,
         };
         self.live.insert(id, live);
@@ -239,18 +239,24 @@
     }
 
     /// An attempt has come to an end without an answer for the client.
-    pub fn ended(&mut self, now: Nanos, id: AttemptId, ending: Ending, sink: &mut Vec<Command<L, A>>) {
+    pub fn on_attempt_ended(
+        &mut self,
+        now: Nanos,
+        id: AttemptId,
+        ending: Ending,
+        sink: &mut Vec<Command<M, A>>,
+    ) {
         self.conclude(now, id, ending, sink);
     }
 
     /// A server has the last byte of a request that went on as it came.
-    pub fn written(&mut self, now: Nanos, id: AttemptId, sink: &mut Vec<Command<L, A>>) {
+    pub fn on_request_written(&mut self, now: Nanos, id: AttemptId, sink: &mut Vec<Command<M, A>>) {
         self.handle(now, Event::Written { request: id.request, attempt: id.number }, sink);
     }
 
     /// The head of an answer has come, so long after the request's last byte went. That tells how busy the server is;
     /// how long the bodies take on their way, slow peers that they are, does not.
-    pub fn answering(&mut self, id: AttemptId, took: Nanos) {
+    pub fn on_answer_head(&mut self, id: AttemptId, took: Nanos) {
         let attempts = self.live.get_mut(&id.request).map(|live| &mut live.attempts);
         if let Some(attempt) = attempts.and_then(|all| all.get_mut(usize::from(id.number))) {
             attempt.took = Some(took);
@@ -268,30 +274,30 @@
     /// The module hears that it is served, now: a long answer's time is that of its first bytes. Told at the end,
     /// it would take a server whose answer a slow client reads for a hung one, and leave it out. (The classes
     /// that the settings call streams are another thing; this site has none.)
-    pub fn served(&mut self, now: Nanos, id: AttemptId, answer: A, sink: &mut Vec<Command<L, A>>) -> bool {
+    pub fn on_answer(&mut self, now: Nanos, id: AttemptId, answer: A, sink: &mut Vec<Command<M, A>>) -> bool {
         if !self.is_open(id) {
             return false;
         }
         let live = self.live.get_mut(&id.request).expect("an open attempt has its request");
         let owed = std::mem::take(&mut live.owed);
         if owed {
-            sink.push(Command::Answer { request: id.request, verdict: FinalAnswer::FromServer(answer) });
+            sink.push(Command::Answer { request: id.request, answer: FinalAnswer::FromServer(answer) });
         }
         self.conclude(now, id, Ending::Ok, sink);
         if owed {
-            self.withdraw(id.request, sink);
+            self.cancel_unsent(id.request, sink);
         }
         owed
     }
 
     /// An attempt has brought an answer that tells of a failure. It goes to the client if nothing better comes.
-    pub fn errored(
+    pub fn on_error_answer(
         &mut self,
         now: Nanos,
         id: AttemptId,
         ending: Ending,
         answer: A,
-        sink: &mut Vec<Command<L, A>>,
+        sink: &mut Vec<Command<M, A>>,
     ) {
         if self.is_open(id) {
             if let Some(live) = self.live.get_mut(&id.request) {
@@ -302,8 +308,8 @@
     }
 
     /// What is carried for an attempt's request, while the attempt is out and a client waits for its answer.
-    pub fn awaited(&self, id: AttemptId) -> Option<&L> {
-        self.live.get(&id.request).filter(|live| live.owed && self.is_open(id)).map(|live| &live.load)
+    pub fn awaited_message(&self, id: AttemptId) -> Option<&M> {
+        self.live.get(&id.request).filter(|live| live.owed && self.is_open(id)).map(|live| &live.message)
     }
 
     /// Whether an attempt may still be written. To be asked right before its first byte goes: opening a connection takes
@@ -323,40 +329,46 @@
         rules::may_send(now, self.facts(live)?, others, server)
     }
 
-    fn facts(&self, live: &Live<N, L, A>) -> Result<RequestState, Denial> {
-        let terms = live.terms.ok_or(Denial::RequestOver)?;
-        Ok(RequestState { terms, awaited: live.owed, due: self.due(live) })
+    fn facts(&self, live: &Live<N, M, A>) -> Result<RequestState, Denial> {
+        let policy = live.policy.ok_or(Denial::RequestOver)?;
+        Ok(RequestState { policy, is_awaited: live.owed, deadline: self.due(live) })
     }
 
     /// Whether the attempt that the decision module proposes may be sent.
-    fn may_send(&self, now: Nanos, live: &Live<N, L, A>, server: ServerId) -> Result<(), Denial> {
+    fn may_send(&self, now: Nanos, live: &Live<N, M, A>, server: ServerId) -> Result<(), Denial> {
         let earlier = live.attempts.iter().map(|attempt| &attempt.record);
         rules::may_send(now, self.facts(live)?, earlier, self.balancer.server(server))?;
-        match live.load.spent() {
+        match live.message.is_body_consumed() {
             true => Err(Denial::BodySpent),
             false => Ok(()),
         }
     }
 
     /// The client is gone: nothing more is owed.
-    pub fn client_gone(&mut self, now: Nanos, request: RequestId, sink: &mut Vec<Command<L, A>>) {
+    pub fn on_client_left(&mut self, now: Nanos, request: RequestId, sink: &mut Vec<Command<M, A>>) {
         let owed = self.live.get_mut(&request).is_some_and(|live| std::mem::take(&mut live.owed));
         if owed {
             self.handle(now, Event::ClientGone { request }, sink);
-            self.withdraw(request, sink);
+            self.cancel_unsent(request, sink);
             self.forget(request);
         }
     }
 
     /// Calls off what has not been written of a request that is over, whatever the settings say of cancelling.
-    fn withdraw(&self, request: RequestId, sink: &mut Vec<Command<L, A>>) {
+    fn cancel_unsent(&self, request: RequestId, sink: &mut Vec<Command<M, A>>) {
         let attempts = self.live.get(&request).map_or(&[][..], |live| &live.attempts);
         let open = attempts.iter().enumerate().filter(|(_, attempt)| attempt.record.is_open());
-        sink.extend(open.map(|(k, _)| Command::Withdraw(AttemptId { request, number: k as u8 })));
+        sink.extend(open.map(|(k, _)| Command::CancelUnsent(AttemptId { request, number: k as u8 })));
     }
 
     /// Discovery has spoken. Whoever carries attempts must have been told before: what is then sent must find it.
-    pub fn list(&mut self, now: Nanos, kind: ListKind, servers: Vec<Server>, sink: &mut Vec<Command<L, A>>) {
+    pub fn on_server_list(
+        &mut self,
+        now: Nanos,
+        kind: ListKind,
+        servers: Vec<Server>,
+        sink: &mut Vec<Command<M, A>>,
+    ) {
         if matches!(kind, ListKind::Changes | ListKind::Full) {
             self.listed_at = now;
         }
@@ -399,7 +411,7 @@
     }
 
     /// What the module goes by now, and the servers in its list.
-    pub fn told(&self) -> (&Settings, Vec<Server>) {
+    pub fn settings_and_servers(&self) -> (&Settings, Vec<Server>) {
         (self.balancer.settings(), self.balancer.listed())
     }
 
@@ -425,7 +437,7 @@
     }
 
     /// Tells of all timers that are due.
-    pub fn fire(&mut self, now: Nanos, sink: &mut Vec<Command<L, A>>) {
+    pub fn fire_timers(&mut self, now: Nanos, sink: &mut Vec<Command<M, A>>) {
         while let Some(&Reverse((_, wake))) = self.timers.peek().filter(|t| t.0 .0 <= now) {
             self.timers.pop();
             match wake {
@@ -440,19 +452,19 @@
 
     /// Nobody will be there to answer after this: what is under way then has failed, and so has what comes and would wait
     /// longer.
-    pub fn end_by(&mut self, at: Nanos) {
+    pub fn set_shutdown_deadline(&mut self, at: Nanos) {
         self.ends_at = at;
         let late = self.live.iter().filter(|(_, live)| live.owed);
         self.timers.extend(late.map(|(id, _)| Reverse((at, Wake::Deadline(*id)))));
     }
 
     /// When a request's time is up. Where its body is still coming that counts from the body's end.
-    fn due(&self, live: &Live<N, L, A>) -> Nanos {
-        live.load.due(live.patience).unwrap_or(live.give_up_at).min(self.ends_at)
+    fn due(&self, live: &Live<N, M, A>) -> Nanos {
+        live.message.deadline(live.patience).unwrap_or(live.give_up_at).min(self.ends_at)
     }
 
     /// The client waits no longer: all that is out has timed out.
-    fn deadline(&mut self, now: Nanos, request: RequestId, sink: &mut Vec<Command<L, A>>) {
+    fn deadline(&mut self, now: Nanos, request: RequestId, sink: &mut Vec<Command<M, A>>) {
         let Some(live) = self.live.get(&request) else { return };
         let due = self.due(live);
         if live.owed && due > now {
@@ -460,7 +472,7 @@
         }
         // The answer first: where the node leaves, the module knows of more time, and would use it.
         let (owed, attempts) = (live.owed, live.attempts.len() as u8);
-        self.answer(request, FinalAnswer::Failed { late: true }, sink);
+        self.answer(request, FinalAnswer::Failed { timed_out: true }, sink);
         for number in 0..attempts {
             self.conclude(now, AttemptId { request, number }, Ending::TimedOut, sink);
         }
@@ -470,14 +482,14 @@
         self.forget(request);
     }
 
-    fn conclude(&mut self, now: Nanos, id: AttemptId, ending: Ending, sink: &mut Vec<Command<L, A>>) {
+    fn conclude(&mut self, now: Nanos, id: AttemptId, ending: Ending, sink: &mut Vec<Command<M, A>>) {
         let Some(live) = self.live.get_mut(&id.request) else { return };
         let Some(attempt) = live.attempts.get_mut(usize::from(id.number)).filter(|a| a.record.is_open())
         else {
             return;
         };
         attempt.record.state = AttemptState::Ended(ending);
-        sink.push(Command::Ended { id, ending });
+        sink.push(Command::AttemptEnded { id, ending });
         let event = Event::Outcome {
             request: id.request,
             server: attempt.record.server.id,
@@ -485,11 +497,11 @@
             finished: !live.owed,
             took: attempt.took.unwrap_or(now.saturating_sub(attempt.record.sent_at)),
             ending,
-            spent: live.load.spent(),
+            spent: live.message.is_body_consumed(),
             report: None,
         };
         if attempt.sent && matches!(ending, Ending::TimedOut | Ending::Cancelled) {
-            sink.push(Command::GiveUp(id));
+            sink.push(Command::Abandon(id));
         }
         self.handle(now, event, sink);
         self.forget(id.request);
@@ -497,7 +509,7 @@
 
     /// Drops a request that is answered and has no attempt out.
     fn forget(&mut self, request: RequestId) {
-        let over = |l: &Live<N, L, A>| !l.owed && l.attempts.iter().all(|a| !a.record.is_open());
+        let over = |l: &Live<N, M, A>| !l.owed && l.attempts.iter().all(|a| !a.record.is_open());
         if self.live.get(&request).is_some_and(over) {
             if let Some(name) = self.live.remove(&request).and_then(|live| live.name) {
                 self.names.remove(&name);
@@ -505,7 +517,7 @@
         }
     }
 
-    fn handle(&mut self, now: Nanos, event: Event, sink: &mut Vec<Command<L, A>>) {
+    fn handle(&mut self, now: Nanos, event: Event, sink: &mut Vec<Command<M, A>>) {
         let mut actions = std::mem::take(&mut self.actions);
         self.balancer.handle(now, event, &mut actions);
         for action in actions.drain(..) {
@@ -514,15 +526,15 @@
         self.actions = actions;
     }
 
-    fn carry_out(&mut self, now: Nanos, action: Action, sink: &mut Vec<Command<L, A>>) {
+    fn carry_out(&mut self, now: Nanos, action: Action, sink: &mut Vec<Command<M, A>>) {
         match action {
             Action::Send { request, server, timeout } => self.send(now, request, server, timeout, sink),
             Action::Refuse { request, retry_after, reason } => {
                 self.refuse(request, FinalAnswer::Refused { retry_after, reason }, sink);
             }
             Action::Fail { request } => {
-                let late = self.live.get(&request).is_some_and(|live| live.give_up_at <= now);
-                self.answer(request, FinalAnswer::Failed { late }, sink);
+                let timed_out = self.live.get(&request).is_some_and(|live| live.give_up_at <= now);
+                self.answer(request, FinalAnswer::Failed { timed_out }, sink);
             }
             Action::Cancel { request, attempt } => {
                 self.conclude(now, AttemptId { request, number: attempt }, Ending::Cancelled, sink);
@@ -530,8 +542,8 @@
             Action::StartTimer { after, token } => {
                 self.timers.push(Reverse((now.saturating_add(after), Wake::Module(token))));
             }
-            Action::Subscribe => sink.push(Command::Ask(DiscoveryCall::Subscribe)),
-            Action::FetchList => sink.push(Command::Ask(DiscoveryCall::Fetch)),
+            Action::Subscribe => sink.push(Command::CallDiscovery(DiscoveryCall::Subscribe)),
+            Action::FetchList => sink.push(Command::CallDiscovery(DiscoveryCall::Fetch)),
             Action::Log { server, text } => sink.push(Command::Log { server, text }),
             // The site allows neither, and the module asks for neither.
             Action::Probe { .. } | Action::Tell { .. } => {}
@@ -544,7 +556,7 @@
         request: RequestId,
         server: ServerId,
         timeout: Nanos,
-        sink: &mut Vec<Command<L, A>>,
+        sink: &mut Vec<Command<M, A>>,
     ) {
         let Some(live) = self.live.get(&request) else { return };
         let allowed = self.may_send(now, live, server);
@@ -558,15 +570,15 @@
                 AttemptState::Ended(ending) if !hedge => Some(ending),
                 _ => None,
             };
-            sink.push(Command::Repeated { after });
+            sink.push(Command::AttemptRepeated { after });
         }
         let record = SentAttempt { server: listed, sent_at: now, state: AttemptState::Open };
         live.attempts.push(Attempt { record, took: None, sent: allowed.is_ok() });
         if let Err(denial) = allowed {
-            sink.push(Command::Denied { request, denial });
+            sink.push(Command::ProposalDenied { request, denial });
             return self.conclude(now, id, Ending::NotSent, sink);
         }
-        sink.push(Command::Send { id, server, load: live.load.clone(), hedge });
+        sink.push(Command::Send { id, server, message: live.message.clone(), hedge });
         if timeout > 0 {
             let wake = Wake::AttemptTimeout(request, id.number);
             self.timers.push(Reverse((now.saturating_add(timeout), wake)));
@@ -574,25 +586,25 @@
     }
 
     /// Refuses a request, or fails it where a repeat might do harm.
-    fn refuse(&mut self, request: RequestId, refused: FinalAnswer<A>, sink: &mut Vec<Command<L, A>>) {
-        let attempts = |live: &Live<N, L, A>| {
-            live.terms.is_none_or(|terms| {
-                rules::may_refuse(terms, live.attempts.iter().map(|attempt| &attempt.record))
+    fn refuse(&mut self, request: RequestId, refused: FinalAnswer<A>, sink: &mut Vec<Command<M, A>>) {
+        let attempts = |live: &Live<N, M, A>| {
+            live.policy.is_none_or(|policy| {
+                rules::may_refuse(policy, live.attempts.iter().map(|attempt| &attempt.record))
             })
         };
         if self.live.get(&request).is_none_or(attempts) {
             return self.answer(request, refused, sink);
         }
-        sink.push(Command::Denied { request, denial: Denial::RefusalNotHarmless });
-        self.answer(request, FinalAnswer::Failed { late: false }, sink);
+        sink.push(Command::ProposalDenied { request, denial: Denial::RefusalNotHarmless });
+        self.answer(request, FinalAnswer::Failed { timed_out: false }, sink);
     }
 
-    fn answer(&mut self, request: RequestId, verdict: FinalAnswer<A>, sink: &mut Vec<Command<L, A>>) {
+    fn answer(&mut self, request: RequestId, answer: FinalAnswer<A>, sink: &mut Vec<Command<M, A>>) {
         if let Some(live) = self.live.get_mut(&request) {
-            let verdict = live.fallback.take().map_or(verdict, FinalAnswer::FromServer);
+            let answer = live.fallback.take().map_or(answer, FinalAnswer::FromServer);
             if std::mem::take(&mut live.owed) {
-                sink.push(Command::Answer { request, verdict });
-                self.withdraw(request, sink);
+                sink.push(Command::Answer { request, answer });
+                self.cancel_unsent(request, sink);
             }
         }
         self.forget(request);
--- a/crates/engine/src/rules.rs
+++ b/crates/engine/src/rules.rs
@@ -20,7 +20,7 @@
 
 impl RetryPolicy {
     /// The terms of a class.
-    pub fn of(class: &Class, settings: &Settings) -> Self {
+    pub fn for_class(class: &Class, settings: &Settings) -> Self {
         RetryPolicy {
             effect: class.effect,
             group: class.group,
@@ -133,11 +133,11 @@
 #[derive(Clone, Copy, Debug)]
 pub struct RequestState {
     /// What the settings allow for it.
-    pub terms: RetryPolicy,
+    pub policy: RetryPolicy,
     /// Its client waits for the final answer.
-    pub awaited: bool,
+    pub is_awaited: bool,
     /// When its time is up.
-    pub due: Nanos,
+    pub deadline: Nanos,
 }
 
 /// Whether one more attempt, or the first one, may go to this server now; `others` are the request's other attempts, the first of
@@ -151,32 +151,32 @@
     others: impl Iterator<Item = &'a SentAttempt> + Clone,
     server: Option<&Server>,
 ) -> Result<(), Denial> {
-    let RequestState { terms, awaited, due } = request;
-    if !awaited {
+    let RequestState { policy, is_awaited, deadline } = request;
+    if !is_awaited {
         return Err(Denial::RequestOver);
     }
-    if now >= due {
+    if now >= deadline {
         return Err(Denial::OutOfTime);
     }
-    if others.clone().count() >= terms.max_attempts {
+    if others.clone().count() >= policy.max_attempts {
         return Err(Denial::TooManyAttempts);
     }
-    if !terms.hedging && others.clone().any(SentAttempt::is_open) {
+    if !policy.hedging && others.clone().any(SentAttempt::is_open) {
         return Err(Denial::AnotherAttemptOpen);
     }
     let server = server.filter(|server| server.phase == Phase::Ready).ok_or(Denial::ServerNotReady)?;
     let first_run = others.clone().find(|attempt| attempt.may_have_run());
-    first_run.map_or(Ok(()), |first| may_repeat(now, terms, first, server))
+    first_run.map_or(Ok(()), |first| may_repeat(now, policy, first, server))
 }
 
 /// Whether a request of which this attempt may have run may go to this server now.
-fn may_repeat(now: Nanos, terms: RetryPolicy, first: &SentAttempt, server: &Server) -> Result<(), Denial> {
-    match terms.effect {
+fn may_repeat(now: Nanos, policy: RetryPolicy, first: &SentAttempt, server: &Server) -> Result<(), Denial> {
+    match policy.effect {
         Effect::Safe => Ok(()),
         Effect::Unsafe => Err(Denial::MayHaveRun),
-        Effect::Keyed if now >= first.sent_at.saturating_add(terms.window) => Err(Denial::WindowOver),
+        Effect::Keyed if now >= first.sent_at.saturating_add(policy.window) => Err(Denial::WindowOver),
         Effect::Keyed => {
-            let same = match terms.group {
+            let same = match policy.group {
                 Group::All => true,
                 Group::Zone => first.server.zone == server.zone,
                 Group::Cell => first.server.cell == server.cell,
@@ -187,10 +187,10 @@
 }
 
 /// Whether a request with these attempts may be refused, which promises its client that a repeat does no harm.
-pub fn may_refuse<'a>(terms: RetryPolicy, mut attempts: impl Iterator<Item = &'a SentAttempt>) -> bool {
-    match terms.effect {
+pub fn may_refuse<'a>(policy: RetryPolicy, mut attempts: impl Iterator<Item = &'a SentAttempt>) -> bool {
+    match policy.effect {
         Effect::Safe => true,
-        Effect::Keyed if terms.group == Group::All => true,
+        Effect::Keyed if policy.group == Group::All => true,
         Effect::Keyed | Effect::Unsafe => !attempts.any(SentAttempt::may_have_run),
     }
 }
--- a/crates/engine/tests/rules.rs
+++ b/crates/engine/tests/rules.rs
@@ -8,34 +8,34 @@
 const MS: Nanos = 1_000_000;
 const NOW: Nanos = 1_000 * MS;
 
-fn terms(effect: Effect, group: Group) -> RetryPolicy {
+fn policy(effect: Effect, group: Group) -> RetryPolicy {
     RetryPolicy { effect, group, window: 500 * MS, hedging: false, max_attempts: 3 }
 }
 
-fn facts(terms: RetryPolicy) -> RequestState {
-    RequestState { terms, awaited: true, due: NOW + 1 }
+fn facts(policy: RetryPolicy) -> RequestState {
+    RequestState { policy, is_awaited: true, deadline: NOW + 1 }
 }
 
 fn server(id: u64, zone: u8) -> Server {
     Server { zone, cell: u16::from(zone), ..Server::warm(ServerId(id)) }
 }
 
-fn ended(ending: Ending, sent_at: Nanos) -> SentAttempt {
+fn ended_attempt(ending: Ending, sent_at: Nanos) -> SentAttempt {
     SentAttempt { server: server(0, 0), sent_at, state: AttemptState::Ended(ending) }
 }
 
 #[test]
 fn a_request_that_is_over_or_out_of_time_gets_no_attempt() {
-    let facts = facts(terms(Effect::Safe, Group::All));
+    let facts = facts(policy(Effect::Safe, Group::All));
     let ask = |facts| may_send(NOW, facts, [].iter(), Some(&server(1, 0)));
     assert_eq!(ask(facts), Ok(()));
-    assert_eq!(ask(RequestState { awaited: false, ..facts }), Err(Denial::RequestOver));
-    assert_eq!(ask(RequestState { due: NOW, ..facts }), Err(Denial::OutOfTime));
+    assert_eq!(ask(RequestState { is_awaited: false, ..facts }), Err(Denial::RequestOver));
+    assert_eq!(ask(RequestState { deadline: NOW, ..facts }), Err(Denial::OutOfTime));
 }
 
 #[test]
 fn servers_that_drain_or_are_unknown_get_nothing() {
-    let facts = facts(terms(Effect::Safe, Group::All));
+    let facts = facts(policy(Effect::Safe, Group::All));
     for phase in [Phase::Draining, Phase::Gone] {
         let server = Server { phase, ..server(1, 0) };
         assert_eq!(may_send(NOW, facts, [].iter(), Some(&server)), Err(Denial::ServerNotReady));
@@ -45,14 +45,14 @@
 
 #[test]
 fn attempts_are_bounded_and_open_one_at_a_time_without_hedging() {
-    let facts = facts(terms(Effect::Safe, Group::All));
-    let failed = ended(Ending::ConnectFailed, NOW);
+    let facts = facts(policy(Effect::Safe, Group::All));
+    let failed = ended_attempt(Ending::ConnectFailed, NOW);
     let open = SentAttempt { state: AttemptState::Open, ..failed };
     let ask = |facts, others: &[SentAttempt]| may_send(NOW, facts, others.iter(), Some(&server(1, 0)));
     assert_eq!(ask(facts, &[failed; 2]), Ok(()));
     assert_eq!(ask(facts, &[failed; 3]), Err(Denial::TooManyAttempts));
     assert_eq!(ask(facts, &[open]), Err(Denial::AnotherAttemptOpen));
-    let hedging = RequestState { terms: RetryPolicy { hedging: true, ..facts.terms }, ..facts };
+    let hedging = RequestState { policy: RetryPolicy { hedging: true, ..facts.policy }, ..facts };
     assert_eq!(ask(hedging, &[open]), Ok(()));
 }
 
@@ -71,15 +71,15 @@
         (Ending::ConnectFailed, false),
         (Ending::NotSent, false),
     ] {
-        let others = [ended(ending, NOW - MS)];
-        let ask = |effect| may_send(NOW, facts(terms(effect, Group::All)), others.iter(), Some(&near));
+        let others = [ended_attempt(ending, NOW - MS)];
+        let ask = |effect| may_send(NOW, facts(policy(effect, Group::All)), others.iter(), Some(&near));
         assert_eq!(ask(Effect::Safe), Ok(()));
         assert_eq!(ask(Effect::Keyed), Ok(()));
         assert_eq!(ask(Effect::Unsafe), if ran { Err(Denial::MayHaveRun) } else { Ok(()) }, "{ending:?}");
-        assert_eq!(may_refuse(terms(Effect::Unsafe, Group::All), others.iter()), !ran, "{ending:?}");
-        assert_eq!(may_refuse(terms(Effect::Keyed, Group::Zone), others.iter()), !ran, "{ending:?}");
-        assert!(may_refuse(terms(Effect::Keyed, Group::All), others.iter()));
-        assert!(may_refuse(terms(Effect::Safe, Group::All), others.iter()));
+        assert_eq!(may_refuse(policy(Effect::Unsafe, Group::All), others.iter()), !ran, "{ending:?}");
+        assert_eq!(may_refuse(policy(Effect::Keyed, Group::Zone), others.iter()), !ran, "{ending:?}");
+        assert!(may_refuse(policy(Effect::Keyed, Group::All), others.iter()));
+        assert!(may_refuse(policy(Effect::Safe, Group::All), others.iter()));
     }
 }
 
@@ -87,11 +87,11 @@
 #[test]
 fn keyed_requests_stay_in_their_group_and_window() {
     let ask = |group, now, others: &[SentAttempt], to: &Server| {
-        let facts = RequestState { due: Nanos::MAX, ..facts(terms(Effect::Keyed, group)) };
+        let facts = RequestState { deadline: Nanos::MAX, ..facts(policy(Effect::Keyed, group)) };
         may_send(now, facts, others.iter(), Some(to))
     };
     let (near, far) = (server(1, 0), server(2, 1));
-    let others = [ended(Ending::ConnectFailed, NOW - 90 * MS), ended(Ending::Reset, NOW)];
+    let others = [ended_attempt(Ending::ConnectFailed, NOW - 90 * MS), ended_attempt(Ending::Reset, NOW)];
     for (group, elsewhere) in
         [(Group::All, Ok(())), (Group::Zone, Err(Denial::OtherGroup)), (Group::Cell, Err(Denial::OtherGroup))]
     {
--- a/crates/laboratory/src/histories.rs
+++ b/crates/laboratory/src/histories.rs
@@ -21,10 +21,10 @@
 struct Parcel(u32);
 
 impl RequestMessage for Parcel {
-    fn spent(&self) -> bool {
+    fn is_body_consumed(&self) -> bool {
         false
     }
-    fn due(&self, _: Nanos) -> Option<Nanos> {
+    fn deadline(&self, _: Nanos) -> Option<Nanos> {
         None
     }
 }
@@ -184,7 +184,7 @@
             last: VecDeque::new(),
         };
         let servers = (0..SERVERS).map(|k| Server::warm(ServerId(k))).collect();
-        world.step(|r, now, sink| r.list(now, ListKind::Full, servers, sink));
+        world.step(|r, now, sink| r.on_server_list(now, ListKind::Full, servers, sink));
         world.after(0, Step::Arrive);
         if crossings && below(&mut world.rng, 2) == 0 {
             let at = below(&mut world.rng, 800) * MS;
@@ -230,29 +230,29 @@
 
     fn carry_out(&mut self, command: Command<Parcel, u32>) {
         match command {
-            Command::Send { id, server, load, .. } => {
+            Command::Send { id, server, message, .. } => {
                 let key = (id.request, id.number);
-                self.request_of.insert(id.request, load.0);
-                self.out.insert(key, Out { server, client: load.0, written: false });
+                self.request_of.insert(id.request, message.0);
+                self.out.insert(key, Out { server, client: message.0, written: false });
                 let slow = self.crossings && below(&mut self.rng, 4) == 0;
                 let way = MS / 10 + below(&mut self.rng, if slow { 300 * MS } else { MS });
                 self.after(way, Step::Begin(key));
             }
             // What is written and at work may run all the same.
-            Command::GiveUp(id) => {
+            Command::Abandon(id) => {
                 let key = (id.request, id.number);
                 if self.out.get(&key).is_some_and(|out| !out.written) {
                     self.out.remove(&key);
                 }
             }
-            Command::Withdraw(id) => {
+            Command::CancelUnsent(id) => {
                 let key = (id.request, id.number);
                 let unwritten = self.out.get(&key).is_some_and(|out| !out.written);
                 if unwritten && self.fault != Fault::BegunUnasked {
                     self.end(key, 5);
                 }
             }
-            Command::Answer { request, verdict } => {
+            Command::Answer { request, answer } => {
                 let lost = self.fault == Fault::AnswerLost && below(&mut self.rng, 100) == 0;
                 let twice = self.fault == Fault::AnswerDoubled && below(&mut self.rng, 100) == 0;
                 let times = if lost { 0 } else { 1 + u32::from(twice) };
@@ -264,7 +264,7 @@
                 let client = &mut self.clients[client as usize];
                 client.answers += times;
                 let (answers, late) = (client.answers, self.now > client.due + LATE_SLACK);
-                self.served += u32::from(matches!(verdict, FinalAnswer::FromServer(_)));
+                self.served += u32::from(matches!(answer, FinalAnswer::FromServer(_)));
                 if answers > 1 {
                     self.breaks(format!("request {request} has {answers} answers"));
                 }
@@ -272,14 +272,17 @@
                     self.breaks(format!("request {request} is answered after its time"));
                 }
             }
-            Command::Denied { request, denial } if !denial.is_expected() => {
+            Command::ProposalDenied { request, denial } if !denial.is_expected() => {
                 self.breaks(format!(
                     "request {request}: the module proposes what is denied: {}",
                     denial.name()
                 ));
             }
-            Command::Denied { .. } => {}
-            Command::Ask(_) | Command::Log { .. } | Command::Ended { .. } | Command::Repeated { .. } => {}
+            Command::ProposalDenied { .. } => {}
+            Command::CallDiscovery(_)
+            | Command::Log { .. }
+            | Command::AttemptEnded { .. }
+            | Command::AttemptRepeated { .. } => {}
         }
     }
 
@@ -367,16 +370,16 @@
         let id = AttemptId { request: key.0, number: key.1 };
         self.step(|r, now, sink| match ending {
             0 => {
-                let _ = r.served(now, id, key.0, sink);
+                let _ = r.on_answer(now, id, key.0, sink);
             }
-            3 => r.errored(now, id, Ending::Error, key.0, sink),
-            4 => r.ended(now, id, Ending::Full, sink),
-            1 => r.ended(now, id, Ending::ConnectFailed, sink),
-            5 => r.ended(now, id, Ending::NotSent, sink),
+            3 => r.on_error_answer(now, id, Ending::Error, key.0, sink),
+            4 => r.on_attempt_ended(now, id, Ending::Full, sink),
+            1 => r.on_attempt_ended(now, id, Ending::ConnectFailed, sink),
+            5 => r.on_attempt_ended(now, id, Ending::NotSent, sink),
             _ => {
                 // The head was there long before: how long the server took does not tell when the request was sent.
-                r.answering(id, 5 * MS);
-                r.ended(now, id, Ending::Reset, sink)
+                r.on_answer_head(id, 5 * MS);
+                r.on_attempt_ended(now, id, Ending::Reset, sink)
             }
         });
     }
@@ -389,7 +392,7 @@
         }
         if self.fault != Fault::DrainIgnored {
             let entry = Server { phase, ..Server::warm(id) };
-            self.step(|r, now, sink| r.list(now, ListKind::Changes, vec![entry], sink));
+            self.step(|r, now, sink| r.on_server_list(now, ListKind::Changes, vec![entry], sink));
         }
     }
 
@@ -407,7 +410,7 @@
                 }
                 (_, Some(at)) => {
                     self.now = at;
-                    self.step(|r, now, sink| r.fire(now, sink));
+                    self.step(|r, now, sink| r.fire_timers(now, sink));
                 }
                 _ => break,
             }
@@ -430,7 +433,7 @@
                 let client = &mut self.clients[self.request_of[&request] as usize];
                 if client.answers == 0 {
                     client.gone = true;
-                    self.step(|r, now, sink| r.client_gone(now, request, sink));
+                    self.step(|r, now, sink| r.on_client_left(now, request, sink));
                 }
             }
             Step::Begin(key) => self.begin(key),
@@ -440,7 +443,7 @@
                 self.ends_at = self.now + (100 + below(&mut self.rng, 700)) * MS;
                 let ends_at = self.ends_at;
                 self.clients.iter_mut().for_each(|client| client.due = client.due.min(ends_at));
-                self.requests.end_by(ends_at);
+                self.requests.set_shutdown_deadline(ends_at);
             }
             Step::Drain(server) => self.tell(server, Phase::Draining),
             Step::Die(server) => {
--- a/crates/proxy/src/body.rs
+++ b/crates/proxy/src/body.rs
@@ -22,7 +22,7 @@
     }
 
     fn next(&mut self) -> Option<Frame<Bytes>> {
-        let piece = self.pieces.piece(self.at).cloned()?;
+        let piece = self.pieces.chunk(self.at).cloned()?;
         self.at += 1;
         self.left -= piece.len() as u64;
         Some(Frame::data(piece))
--- a/crates/proxy/src/http1/general.rs
+++ b/crates/proxy/src/http1/general.rs
@@ -207,8 +207,14 @@
                 ..interface::Request::new(0, give_up_at)
             };
             let interims = (head.version == Version::HTTP_11).then(|| interims(client, listener));
-            let message =
-                Message { method: head.method, uri: Uri::from(sent), headers, payload, give_up_at, interims };
+            let message = Message {
+                method: head.method,
+                uri: Uri::from(sent),
+                headers,
+                payload,
+                deadline: give_up_at,
+                interim_handler: interims,
+            };
             client.stage.set(Stage::Waiting);
             if matches!(message.payload, Payload::Buffered(_)) {
                 client.taken(service.clock.now());
@@ -375,7 +381,7 @@
         Answer::Buffered { status, headers, body } => {
             (status, headers, AnswerBody::Whole(PieceBody::new(Rc::new(body))))
         }
-        Answer::Stream { status, headers, length, pieces } => {
+        Answer::Stream { status, headers, length, frames: pieces } => {
             (status, headers, AnswerBody::Stream { pieces, length })
         }
         Answer::Refused { retry_after } => {
@@ -383,11 +389,11 @@
             let problem = Problem::new(StatusCode::SERVICE_UNAVAILABLE, "refused", detail);
             return Err(Problem { retry_after: Some(retry_after), ..problem });
         }
-        Answer::Failed { late: true } => {
+        Answer::Failed { timed_out: true } => {
             let detail = "no answer in time; it may have run";
             return Err(Problem::new(StatusCode::GATEWAY_TIMEOUT, "late", detail));
         }
-        Answer::Failed { late: false } => {
+        Answer::Failed { timed_out: false } => {
             let detail = "no server answered; it may have run";
             return Err(Problem::new(StatusCode::BAD_GATEWAY, "failed", detail));
         }
--- a/crates/proxy/src/http1/platform.rs
+++ b/crates/proxy/src/http1/platform.rs
@@ -132,7 +132,8 @@
         Some(path) if head.uri.scheme().is_some() => Uri::from(path.clone()),
         _ => head.uri,
     };
-    let message = Message { method: head.method, uri, headers, payload, give_up_at, interims: None };
+    let message =
+        Message { method: head.method, uri, headers, payload, deadline: give_up_at, interim_handler: None };
     pool.first_list().await;
     let Some(mut ticket) = pool.engine.submit(Some(id), request, message) else {
         return closing(text(StatusCode::CONFLICT, "a request with this X-Request-ID is open\n"));
@@ -152,12 +153,12 @@
         Answer::Buffered { headers, body, .. } => {
             served(headers, AnswerBody::Whole(PieceBody::new(Rc::new(body))))
         }
-        Answer::Stream { headers, length, pieces, .. } => {
+        Answer::Stream { headers, length, frames: pieces, .. } => {
             served(headers, AnswerBody::Stream { pieces, length })
         }
         Answer::Refused { retry_after } => refused(retry_after, settings),
-        Answer::Failed { late: true } => text(StatusCode::GATEWAY_TIMEOUT, "no answer in time\n"),
-        Answer::Failed { late: false } => text(StatusCode::BAD_GATEWAY, "failed\n"),
+        Answer::Failed { timed_out: true } => text(StatusCode::GATEWAY_TIMEOUT, "no answer in time\n"),
+        Answer::Failed { timed_out: false } => text(StatusCode::BAD_GATEWAY, "failed\n"),
     };
     if whole {
         response
--- a/crates/proxy/src/http1/upload.rs
+++ b/crates/proxy/src/http1/upload.rs
@@ -160,7 +160,7 @@
             self.progress.ended_at.set(Some(self.clock.now()));
             self.client.taken(self.clock.now());
         }
-        self.progress.failed.set(failed || self.progress.failed.get());
+        self.progress.client_failed.set(failed || self.progress.client_failed.get());
     }
 }
 
@@ -219,7 +219,7 @@
     fn poll_frame(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<BodyFrame>> {
         let this = self.get_mut();
         if let Some(frame) = this.first.pop_front() {
-            this.progress.moved_at.set(this.clock.now());
+            this.progress.last_progress_at.set(this.clock.now());
             return Poll::Ready(Some(Ok(frame)));
         }
         this.held = None;
@@ -228,7 +228,7 @@
             Poll::Ready(Some(Ok(frame))) => {
                 let over = body.is_end_stream();
                 this.waiting = false;
-                this.progress.moved_at.set(this.clock.now());
+                this.progress.last_progress_at.set(this.clock.now());
                 this.got += frame.data_ref().map_or(0, |d| d.len() as u64);
                 if this.got > this.rules.most {
                     this.ended(true);
--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -38,8 +38,8 @@
     let _fault = Fault { engine: &engine, id };
     if let Err(ending) = exchange(&upstreams, &engine, id, server, &message, &seen).await {
         // What a client spoils says nothing of the server.
-        let spoilt = message.upload().is_some_and(|upload| upload.progress.failed.get());
-        engine.ended(id, if spoilt { Ending::Cancelled } else { ending });
+        let spoilt = message.upload().is_some_and(|upload| upload.progress.client_failed.get());
+        engine.on_attempt_ended(id, if spoilt { Ending::Cancelled } else { ending });
     }
 }
 
@@ -52,7 +52,7 @@
 impl Drop for Fault<'_> {
     fn drop(&mut self) {
         if std::thread::panicking() {
-            self.engine.ended(self.id, Ending::Cancelled);
+            self.engine.on_attempt_ended(self.id, Ending::Cancelled);
         }
     }
 }
@@ -97,7 +97,7 @@
         if !engine.may_begin(id) {
             return Err(Ending::NotSent);
         }
-        let heard = message.interims.as_ref().map(|_| link.interims());
+        let heard = message.interim_handler.as_ref().map(|_| link.interims());
         let Some(request) = request(upstreams, message, begun, heard.clone()) else {
             return Err(Ending::NotSent);
         };
@@ -118,11 +118,11 @@
                 .iter()
                 .filter_map(Heard::take)
                 .flatten()
-                .for_each(|(status, headers)| engine.interim(id, status, headers));
+                .for_each(|(status, headers)| engine.on_interim_answer(id, status, headers));
             let polled = response.as_mut().poll(cx);
             if coming && socket.written() {
                 coming = false;
-                engine.written(id);
+                engine.on_request_written(id);
             }
             polled
         });
@@ -131,7 +131,7 @@
                 let now = upstreams.clock.now();
                 upstreams.fleet(|f| f.lives.note(now, rested, false));
                 if let Some(took) = socket.since_written() {
-                    engine.answering(id, took.as_nanos() as Nanos);
+                    engine.on_answer_head(id, took.as_nanos() as Nanos);
                 }
                 let keep = answer(upstreams, engine, id, message, &mut link, response).await;
                 let reusable = keep && link.reusable().await;
@@ -157,7 +157,7 @@
                 }
                 // A kept connection that the server was just closing: it does not have the request, whose
                 // attempt has not begun. A new connection tells whether the server is there.
-                if rested.is_some() && !message.spent() {
+                if rested.is_some() && !message.is_body_consumed() {
                     continue;
                 }
                 Err(Ending::ConnectFailed)
@@ -200,7 +200,7 @@
     let body = match &message.payload {
         Payload::Buffered(pieces) => RequestBody::Whole(PieceBody::new(pieces.clone())),
         Payload::Stream(upload) => {
-            let body: ClientBody = upload.take()?;
+            let body: ClientBody = upload.take_body()?;
             RequestBody::Stream { body, wait: asked.clone().map(until_asked) }
         }
     };
@@ -209,7 +209,7 @@
     *request.uri_mut() = message.uri.clone();
     *request.headers_mut() = message.headers.clone();
     if upstreams.dialect == Dialect::Platform {
-        let left = message.give_up_at.saturating_sub(now).div_ceil(1_000_000).max(1);
+        let left = message.deadline.saturating_sub(now).div_ceil(1_000_000).max(1);
         request.headers_mut().insert(TIMEOUT, HeaderValue::from(left));
     }
     if asked.is_some() || heard.is_some() {
--- a/crates/proxy/src/upstream/discovery.rs
+++ b/crates/proxy/src/upstream/discovery.rs
@@ -192,7 +192,7 @@
                     next = Some(call);
                     continue;
                 }
-                self.engine.list(ListKind::Failed, Vec::new());
+                self.engine.on_server_list(ListKind::Failed, Vec::new());
             }
             next = calls.recv().await;
         }
@@ -291,7 +291,7 @@
             },
         };
         let servers = self.upstreams.follow(kind, hosts.into_iter().map(entry).collect());
-        self.engine.list(kind, servers);
+        self.engine.on_server_list(kind, servers);
     }
 
     /// Opens a watch and waits for the first that it says.
--- a/crates/proxy/src/upstream/general.rs
+++ b/crates/proxy/src/upstream/general.rs
@@ -73,7 +73,7 @@
         }
     };
     let (to_client, pieces) = mpsc::channel(1);
-    if !tell(engine, id, ending, Answer::Stream { status, headers, length, pieces }) {
+    if !tell(engine, id, ending, Answer::Stream { status, headers, length, frames: pieces }) {
         return false;
     }
     let (gathered, _lease) = gathered.into_parts();
@@ -104,12 +104,12 @@
 fn tell(engine: &Rc<Engine>, id: AttemptId, ending: Ending, answer: Answer) -> bool {
     match (ending, answer) {
         (Ending::Ok, Answer::Buffered { status, headers, body }) => {
-            engine.served(id, status, headers, body);
+            engine.on_buffered_answer(id, status, headers, body);
             true
         }
-        (Ending::Ok, answer) => engine.streams(id, answer),
+        (Ending::Ok, answer) => engine.on_answer(id, answer),
         (ending, answer) => {
-            engine.errored(id, ending, answer);
+            engine.on_error_answer(id, ending, answer);
             true
         }
     }
--- a/crates/proxy/src/upstream/platform.rs
+++ b/crates/proxy/src/upstream/platform.rs
@@ -44,7 +44,7 @@
         };
         // An attempt is out as long as its answer is on its way, and another may not be allowed beside it.
         let whole = Box::pin(drain(link, body)).await;
-        engine.ended(id, ending);
+        engine.on_attempt_ended(id, ending);
         return whole;
     }
     let mut headers = head.headers;
@@ -53,7 +53,7 @@
     headers.remove(header::TRAILER);
     let length = body.size_hint().exact();
     if length.is_some_and(|l| l > LONGEST) {
-        engine.ended(id, Ending::Reset);
+        engine.on_attempt_ended(id, Ending::Reset);
         return false;
     }
     let mut pieces = BufferedBody::new(upstreams.budget.lease());
@@ -61,12 +61,12 @@
     while length.is_none_or(|l| l <= WHOLE) {
         match tokio::time::timeout(SHORT_STALL, link.drive(body.frame())).await {
             Ok(None) => {
-                engine.served(id, head.status, headers, pieces);
+                engine.on_buffered_answer(id, head.status, headers, pieces);
                 return true;
             }
             // It may have run. Waited for to the deadline it would look to the module like a server in a jam.
             Ok(Some(Err(_))) | Err(_) => {
-                engine.ended(id, Ending::Reset);
+                engine.on_attempt_ended(id, Ending::Reset);
                 return false;
             }
             Ok(Some(Ok(frame))) => {
@@ -114,7 +114,7 @@
     mut body: Incoming,
 ) -> bool {
     let (to_client, pieces) = mpsc::channel(1);
-    if !engine.streams(id, Answer::Stream { status: StatusCode::OK, headers, length, pieces }) {
+    if !engine.on_answer(id, Answer::Stream { status: StatusCode::OK, headers, length, frames: pieces }) {
         return false;
     }
     let (held, _lease) = held.into_parts();
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -60,7 +60,7 @@
 
     /// Answers all that is under way by then, for the node leaves.
     pub fn end_by(&self, at: Nanos) {
-        self.0.borrow().iter().filter_map(Weak::upgrade).for_each(|engine| engine.end_by(at));
+        self.0.borrow().iter().filter_map(Weak::upgrade).for_each(|engine| engine.set_shutdown_deadline(at));
     }
 }
 
@@ -294,7 +294,7 @@
     fn tell(&self, kind: ListKind, listed: Vec<Listed>) {
         let entries = listed.into_iter().map(entry).collect();
         let servers = self.upstreams.follow(kind, entries);
-        self.engine.list(kind, servers);
+        self.engine.on_server_list(kind, servers);
     }
 }
 
--- a/crates/proxy/src/upstream/upstreams.rs
+++ b/crates/proxy/src/upstream/upstreams.rs
@@ -207,17 +207,17 @@
         })
     }
 
-    fn ask(&self, call: DiscoveryCall) {
+    fn call_discovery(&self, call: DiscoveryCall) {
         let _ = self.0.list_calls.send(call);
     }
 
-    fn name(&self, server: ServerId) -> Option<Arc<str>> {
+    fn server_name(&self, server: ServerId) -> Option<Arc<str>> {
         self.0.fleet(|f| f.name(server))
     }
 
     fn log(&self, server: Option<ServerId>, text: &str) {
         let pool = &self.0.name;
-        match server.and_then(|id| Transport::name(self, id)) {
+        match server.and_then(|id| Transport::server_name(self, id)) {
             Some(server) => log(format_args!("pool {pool}: server {server}: {text}")),
             None => log(format_args!("pool {pool}: {text}")),
         }
@@ -239,7 +239,7 @@
 }
 
 impl RunningAttempt for Sent {
-    fn withdraw(&self) -> bool {
+    fn cancel_if_unsent(&self) -> bool {
         let unwritten = !self.written();
         if unwritten {
             self.task.abort();
@@ -247,7 +247,7 @@
         unwritten
     }
 
-    fn give_up(self: Box<Self>) {
+    fn abandon(self: Box<Self>) {
         if self.written() {
             self.lingering.borrow_mut().push_back((self.clock.now() + LINGER, self.task));
         } else {
--- a/crates/proxy/tests/follow.rs
+++ b/crates/proxy/tests/follow.rs
@@ -131,7 +131,7 @@
     let pools = site.pools.iter().zip(&site.places).zip(&site.plan.pools);
     pools
         .map(|((pool, places), told)| {
-            let (settings, mut servers) = pool.engine.told();
+            let (settings, mut servers) = pool.engine.settings_and_servers();
             // One that drains gets nothing, whether the module has met it before or not.
             servers.retain(|server| server.phase == Phase::Ready);
             servers.sort_by_key(|server| server.id);
