--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -1,8 +1,8 @@
 //! One attempt: a connection, the request on it, and what becomes of that.
 
-use super::link::{connect, Heard, Idle, Link, NoLink};
+use super::connection::{connect, ConnectError, IdleConnection, InterimAnswers, ServerConnection};
 use super::upstreams::Upstreams;
-use super::{general, platform};
+use super::{http, platform};
 use crate::body::{PieceBody, RequestBody};
 use crate::headers::TIMEOUT_MS;
 use crate::socket::Socket;
@@ -35,7 +35,7 @@
     message: Rc<Message>,
     seen: Rc<RefCell<Option<Rc<Socket>>>>,
 ) {
-    let _fault = Fault { engine: &engine, id };
+    let _fault = CancelOnPanic { engine: &engine, id };
     if let Err(ending) = exchange(&upstreams, &engine, id, server, &message, &seen).await {
         // What a client spoils says nothing of the server.
         let spoilt = message.upload().is_some_and(|upload| upload.progress.client_failed.get());
@@ -44,12 +44,12 @@
 }
 
 /// Concludes an attempt whose task panics: its request is owed an answer all the same, and its server is not to blame.
-struct Fault<'e> {
+struct CancelOnPanic<'e> {
     engine: &'e Rc<Engine>,
     id: AttemptId,
 }
 
-impl Drop for Fault<'_> {
+impl Drop for CancelOnPanic<'_> {
     fn drop(&mut self) {
         if std::thread::panicking() {
             self.engine.on_attempt_ended(self.id, Ending::Cancelled);
@@ -89,8 +89,8 @@
                     begun = upstreams.clock.now();
                     (link, begun)
                 }
-                Err(NoLink::Failed) => return Err(Ending::ConnectFailed),
-                Err(NoLink::Exhausted) => return Err(Ending::NotSent),
+                Err(ConnectError::Failed) => return Err(Ending::ConnectFailed),
+                Err(ConnectError::NoCapacity) => return Err(Ending::NotSent),
             },
         };
         // Whatever has been decided, the moment that counts is this one.
@@ -113,10 +113,10 @@
         let mut coming = message.upload().is_some();
         let mut response = pin!(link.sender.try_send_request(request));
         let response = poll_fn(|cx| {
-            // Interim answers first: they came before the final one.
+            // InterimBuffer answers first: they came before the final one.
             heard
                 .iter()
-                .filter_map(Heard::take)
+                .filter_map(InterimAnswers::take)
                 .flatten()
                 .for_each(|(status, headers)| engine.on_interim_answer(id, status, headers));
             let polled = response.as_mut().poll(cx);
@@ -139,7 +139,7 @@
                     upstreams.fleet(|f| f.spoke(upstreams.clock.now()));
                 }
                 if reusable && !upstreams.crowded() {
-                    let idle = Idle { link, opened, since: upstreams.clock.now() };
+                    let idle = IdleConnection { link, opened, since: upstreams.clock.now() };
                     upstreams.fleet(|f| f.checkin(server, dial, idle));
                 }
                 Ok(())
@@ -171,14 +171,14 @@
     engine: &Rc<Engine>,
     id: AttemptId,
     message: &Message,
-    link: &mut Link,
+    link: &mut ServerConnection,
     response: Response<Incoming>,
 ) -> bool {
     match upstreams.dialect {
         Dialect::Platform => platform::answer(upstreams, engine, id, link, response).await,
         Dialect::Http => {
             let bodiless = message.method == Method::HEAD;
-            general::answer(upstreams, engine, id, link, response, bodiless).await
+            http::answer(upstreams, engine, id, link, response, bodiless).await
         }
     }
 }
@@ -194,7 +194,7 @@
     upstreams: &Upstreams,
     message: &Message,
     now: Nanos,
-    heard: Option<Heard>,
+    heard: Option<InterimAnswers>,
 ) -> Option<Request<RequestBody>> {
     let asked = message.headers.contains_key(header::EXPECT).then(|| Arc::new(Notify::new()));
     let body = match &message.payload {
@@ -223,7 +223,7 @@
     Some(request)
 }
 
-/// Ends when the server has asked for the body, or has said nothing for long enough.
+/// AbortOnDrop when the server has asked for the body, or has said nothing for long enough.
 fn until_asked(asked: Arc<Notify>) -> Pin<Box<dyn std::future::Future<Output = ()>>> {
     Box::pin(async move {
         let _ = tokio::time::timeout(CONTINUE, asked.notified()).await;
--- a/crates/proxy/src/upstream/link.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -1,6 +1,6 @@
 //! One connection to a server.
 
-use super::upstreams::{Place, Upstreams};
+use super::upstreams::{ConnectionPermit, Upstreams};
 use crate::body::RequestBody;
 use crate::socket::{is_out_of_descriptors, Socket, SocketIo};
 use corkhollow_balance::interface::Nanos;
@@ -16,45 +16,45 @@
 use std::task::{Context, Poll};
 use tokio::net::TcpStream;
 
-/// Interim answers of one request that are passed on; a server that sends more says nothing by them.
+/// InterimBuffer answers of one request that are passed on; a server that sends more says nothing by them.
 const MOST_INTERIMS: usize = 16;
 
 /// A connection with hyper's two halves. There is no task behind it: whoever uses it drives it.
-pub(super) struct Link {
+pub(super) struct ServerConnection {
     pub(super) socket: Rc<Socket>,
     pub(super) sender: SendRequest<RequestBody>,
     /// In a place of its own: it is large, and a link is handed on twice for each attempt.
     pub(super) connection: Option<Box<Connection<TokioIo<SocketIo>, RequestBody>>>,
-    pub(super) heard: Heard,
+    pub(super) heard: InterimAnswers,
     /// More has come than the answer that was asked for.
     pub(super) surplus: bool,
     pub(super) _slot: Slot,
-    pub(super) _place: Place,
+    pub(super) _place: ConnectionPermit,
 }
 
 /// A connection that waits for its next request.
-pub(super) struct Idle {
-    pub(super) link: Link,
+pub(super) struct IdleConnection {
+    pub(super) link: ServerConnection,
     /// When it came up.
     pub(super) opened: Nanos,
     /// Since when it waits.
     pub(super) since: Nanos,
 }
 
-/// Interim answers (1xx) that have come on a connection and have not been passed on. (Hyper may tell of them on any
+/// InterimBuffer answers (1xx) that have come on a connection and have not been passed on. (Hyper may tell of them on any
 /// thread.)
 #[derive(Clone, Default)]
-pub(super) struct Heard(Arc<Mutex<Interim>>);
+pub(super) struct InterimAnswers(Arc<Mutex<InterimBuffer>>);
 
 #[derive(Default)]
-struct Interim {
+struct InterimBuffer {
     /// How many this request has brought.
     count: usize,
     left: Vec<(StatusCode, HeaderMap)>,
 }
 
-impl Heard {
-    fn lock(&self) -> MutexGuard<'_, Interim> {
+impl InterimAnswers {
+    fn lock(&self) -> MutexGuard<'_, InterimBuffer> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -72,10 +72,10 @@
     }
 }
 
-impl Link {
+impl ServerConnection {
     /// What comes of interim answers from here on.
-    pub(super) fn interims(&self) -> Heard {
-        *self.heard.lock() = Interim::default();
+    pub(super) fn interims(&self) -> InterimAnswers {
+        *self.heard.lock() = InterimBuffer::default();
         self.heard.clone()
     }
 
@@ -113,16 +113,19 @@
 }
 
 /// Why no connection was to be had.
-pub(super) enum NoLink {
+pub(super) enum ConnectError {
     /// The server's side: it counts against the server.
     Failed,
     /// The node itself has no descriptor left.
-    Exhausted,
+    NoCapacity,
 }
 
 /// Opens a connection, as soon as the pool and the program have a place for one.
-pub(super) async fn connect(upstreams: &Rc<Upstreams>, dial: SocketAddr) -> Result<Link, NoLink> {
-    let place = upstreams.place().await.ok_or(NoLink::Exhausted)?;
+pub(super) async fn connect(
+    upstreams: &Rc<Upstreams>,
+    dial: SocketAddr,
+) -> Result<ServerConnection, ConnectError> {
+    let place = upstreams.place().await.ok_or(ConnectError::NoCapacity)?;
     let slot = loop {
         if let Some(slot) = upstreams.budget.server() {
             break slot;
@@ -131,26 +134,26 @@
             continue;
         }
         if !upstreams.stop_lingering() {
-            return Err(NoLink::Exhausted);
+            return Err(ConnectError::NoCapacity);
         }
         // What was told to stop gives its descriptor back when the runtime gets to it.
         tokio::task::yield_now().await;
     };
     let stream = match tokio::time::timeout(upstreams.connect_timeout.get(), TcpStream::connect(dial)).await {
         Ok(Ok(stream)) => stream,
-        Ok(Err(e)) if is_out_of_descriptors(&e) => return Err(NoLink::Exhausted),
-        Ok(Err(_)) | Err(_) => return Err(NoLink::Failed),
+        Ok(Err(e)) if is_out_of_descriptors(&e) => return Err(ConnectError::NoCapacity),
+        Ok(Err(_)) | Err(_) => return Err(ConnectError::Failed),
     };
     let socket = Socket::new(stream);
     let mut builder = http1::Builder::new();
     builder.max_buf_size(upstreams.buffer);
     let handshake = builder.handshake(TokioIo::new(SocketIo(socket.clone()))).await;
-    let (sender, connection) = handshake.map_err(|_| NoLink::Failed)?;
-    Ok(Link {
+    let (sender, connection) = handshake.map_err(|_| ConnectError::Failed)?;
+    Ok(ServerConnection {
         socket,
         sender,
         connection: Some(Box::new(connection)),
-        heard: Heard::default(),
+        heard: InterimAnswers::default(),
         surplus: false,
         _slot: slot,
         _place: place,
--- a/crates/proxy/src/upstream/discovery.rs
+++ b/crates/proxy/src/upstream/discovery.rs
@@ -1,7 +1,7 @@
 //! The list of servers: read once, then watched. Nonsense leaves the old list in place and the watch is opened
 //! anew.
 
-use super::fleet::Entry;
+use super::servers::ListedServer;
 use super::upstreams::Upstreams;
 use crate::socket::{Socket, SocketIo};
 use corkhollow_balance::interface::{ListKind, Phase, Server, ServerId};
@@ -77,7 +77,7 @@
 
 /// What a watcher has to know of its pool.
 #[derive(Clone, Debug)]
-pub struct Following {
+pub struct WatcherConfig {
     /// Zones by their index.
     pub zones: Vec<String>,
     /// Kinds of machines by their index.
@@ -94,7 +94,7 @@
 pub struct Watcher {
     engine: Rc<Engine>,
     upstreams: Rc<Upstreams>,
-    following: Following,
+    following: WatcherConfig,
     /// Set once discovery has told the list.
     ready: Rc<watch::Sender<bool>>,
     /// Where discovery is, by the configuration in force.
@@ -113,7 +113,7 @@
     pub fn new(
         engine: Rc<Engine>,
         upstreams: Rc<Upstreams>,
-        mut following: Following,
+        mut following: WatcherConfig,
         address: watch::Receiver<SocketAddr>,
         ready: Rc<watch::Sender<bool>>,
     ) -> Self {
@@ -218,7 +218,7 @@
         if !self.blank && self.older == 0 {
             path += &format!("&since={}", self.seq);
         }
-        let Opened { first, mut body, _connection } = self.open(path).await?;
+        let OpenWatch { first, mut body, _connection } = self.open(path).await?;
         self.opened_at = Some(Instant::now());
         let mut reader = ListReader::default();
         self.read(&mut reader, &first)?;
@@ -273,7 +273,7 @@
             let name = name.as_deref().unwrap_or_default();
             names.iter().position(|n| n == name).unwrap_or(names.len())
         };
-        let entry = |h: Host| Entry {
+        let entry = |h: Host| ListedServer {
             host: h.host,
             dial: h.dial,
             server: Server {
@@ -295,11 +295,11 @@
     }
 
     /// Opens a watch and waits for the first that it says.
-    async fn open(&self, path: String) -> Result<Opened, WatchError> {
+    async fn open(&self, path: String) -> Result<OpenWatch, WatchError> {
         if self.following.must_subscribe {
             return timeout(CALL, self.call(path, CALL)).await.unwrap_or(Err(WatchError::Silent));
         }
-        let mut calls: Vec<Calling<'_>> = Vec::new();
+        let mut calls: Vec<PendingCall<'_>> = Vec::new();
         let mut another = interval(ANOTHER);
         another.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
@@ -329,17 +329,17 @@
     }
 
     /// One call, up to the first that it says.
-    async fn call(&self, path: String, patience: Duration) -> Result<Opened, WatchError> {
+    async fn call(&self, path: String, patience: Duration) -> Result<OpenWatch, WatchError> {
         let (mut body, _connection) = self.get(path, patience).await?;
         loop {
             let frame = timeout(patience, body.frame()).await.map_err(|_| WatchError::Silent)?;
             if let Ok(first) = frame.ok_or(WatchError::Ended)??.into_data() {
-                return Ok(Opened { first, body, _connection });
+                return Ok(OpenWatch { first, body, _connection });
             }
         }
     }
 
-    async fn get(&self, path: String, patience: Duration) -> Result<(Incoming, Ends), WatchError> {
+    async fn get(&self, path: String, patience: Duration) -> Result<(Incoming, AbortOnDrop), WatchError> {
         let address = *self.address.borrow();
         let stream = match timeout(CONNECT, TcpStream::connect(address)).await {
             Ok(stream) => stream.map_err(WatchError::Connect)?,
@@ -347,7 +347,7 @@
         };
         let io = TokioIo::new(SocketIo(Socket::new(stream)));
         let (mut sender, connection) = hyper::client::conn::http1::handshake(io).await?;
-        let ends = Ends(tokio::task::spawn_local(connection).abort_handle());
+        let ends = AbortOnDrop(tokio::task::spawn_local(connection).abort_handle());
         let mut request = Request::new(Empty::<Bytes>::new());
         *request.uri_mut() = path.parse().unwrap_or_default();
         let host = hyper::header::HeaderValue::try_from(address.to_string());
@@ -362,19 +362,19 @@
 }
 
 /// A call that is out.
-type Calling<'c> = Pin<Box<dyn Future<Output = Result<Opened, WatchError>> + 'c>>;
+type PendingCall<'c> = Pin<Box<dyn Future<Output = Result<OpenWatch, WatchError>> + 'c>>;
 
 /// A watch that has said something.
-struct Opened {
+struct OpenWatch {
     first: Bytes,
     body: Incoming,
-    _connection: Ends,
+    _connection: AbortOnDrop,
 }
 
 /// A connection's task, which ends with it.
-struct Ends(AbortHandle);
+struct AbortOnDrop(AbortHandle);
 
-impl Drop for Ends {
+impl Drop for AbortOnDrop {
     fn drop(&mut self) {
         self.0.abort();
     }
--- a/crates/proxy/src/upstream/general.rs
+++ b/crates/proxy/src/upstream/http.rs
@@ -1,6 +1,6 @@
 //! Answers of any HTTP/1.1 server: every status passes, and bodies are passed on as they come.
 
-use super::link::Link;
+use super::connection::ServerConnection;
 use super::upstreams::Upstreams;
 use crate::headers::{strip_hop_by_hop, NOT_PROCESSED};
 use corkhollow_balance::interface::Ending;
@@ -37,7 +37,7 @@
     upstreams: &Upstreams,
     engine: &Rc<Engine>,
     id: AttemptId,
-    link: &mut Link,
+    link: &mut ServerConnection,
     response: Response<Incoming>,
     bodiless: bool,
 ) -> bool {
@@ -86,7 +86,7 @@
 /// Passes an answer on, its first pieces and then the rest; true where it came to its end.
 async fn stream(
     upstreams: &Upstreams,
-    link: &mut Link,
+    link: &mut ServerConnection,
     body: &mut Incoming,
     first: impl Iterator<Item = BodyFrame>,
     to_client: mpsc::Sender<BodyFrame>,
@@ -117,7 +117,7 @@
 
 /// The next piece if it is there already: `Some(None)` is the body's end, `None` that it has to be waited for.
 async fn at_hand(
-    link: &mut Link,
+    link: &mut ServerConnection,
     body: &mut Incoming,
 ) -> Option<Option<Result<hyper::body::Frame<bytes::Bytes>, hyper::Error>>> {
     let mut rounds = 0;
@@ -135,7 +135,7 @@
 /// Passes the rest on as fast as the client takes it; true where it came to its end.
 async fn pass_on(
     upstreams: &Upstreams,
-    link: &mut Link,
+    link: &mut ServerConnection,
     body: &mut Incoming,
     to_client: &mpsc::Sender<BodyFrame>,
 ) -> bool {
--- a/crates/proxy/src/upstream/lives.rs
+++ b/crates/proxy/src/upstream/idle_lifetime.rs
@@ -13,7 +13,7 @@
 /// without a word: the next request is answered by a reset at once, and has failed if it must not run twice.
 /// But connections are reset for other reasons too, new ones as well as old, and a new connection costs the
 /// server work: only if those that have stood idle for long are lost more often is it their age.
-pub(super) struct Lives {
+pub(super) struct IdleLifetime {
     /// Uses and losses by idle time: at 0 new connections, then from 2^(k-1) ms.
     seen: [(f64, f64); 16],
     halved_at: Nanos,
@@ -22,10 +22,10 @@
     pub(super) keep: Nanos,
 }
 
-impl Lives {
+impl IdleLifetime {
     /// Until something is learnt, they are kept for `most`.
     pub(super) fn new(most: Nanos) -> Self {
-        Lives { seen: [(0.0, 0.0); 16], halved_at: 0, most, keep: most }
+        IdleLifetime { seen: [(0.0, 0.0); 16], halved_at: 0, most, keep: most }
     }
 
     /// From here on they are kept for `most`, or for less where that has been learnt.
@@ -74,7 +74,7 @@
 
     #[test]
     fn connections_are_kept_for_as_long_as_they_live() {
-        let mut lives = Lives::new(6_000 * MS);
+        let mut lives = IdleLifetime::new(6_000 * MS);
         for k in 0..60 {
             lives.note(k * 10 * MS, None, false);
             lives.note(k * 10 * MS, Some(k % 60 * MS), false);
@@ -88,7 +88,7 @@
     /// Where all are lost alike, new ones would be no better.
     #[test]
     fn resets_that_hit_all_alike_say_nothing_of_age() {
-        let mut lives = Lives::new(6_000 * MS);
+        let mut lives = IdleLifetime::new(6_000 * MS);
         for k in 0..400 {
             lives.note(k * 10 * MS, None, k % 8 == 0);
             lives.note(k * 10 * MS, Some((k * 7) % 200 * MS), k % 8 == 0);
--- a/crates/proxy/src/upstream/platform.rs
+++ b/crates/proxy/src/upstream/platform.rs
@@ -1,7 +1,7 @@
 //! Answers in the platform's dialect: only 200 serves, and short answers are read to their end before anybody sees
 //! them.
 
-use super::link::Link;
+use super::connection::ServerConnection;
 use super::upstreams::Upstreams;
 use crate::headers::{strip_hop_by_hop, NOT_PROCESSED};
 use bytes::Bytes;
@@ -30,7 +30,7 @@
     upstreams: &Upstreams,
     engine: &Rc<Engine>,
     id: AttemptId,
-    link: &mut Link,
+    link: &mut ServerConnection,
     response: Response<Incoming>,
 ) -> bool {
     let (head, mut body) = response.into_parts();
@@ -84,7 +84,7 @@
 }
 
 /// Reads the rest of an answer that nobody wants, so that the connection can be kept; not for long.
-pub(super) async fn drain(link: &mut Link, mut body: Incoming) -> bool {
+pub(super) async fn drain(link: &mut ServerConnection, mut body: Incoming) -> bool {
     let mut left = WHOLE as usize;
     let all = async {
         loop {
@@ -106,7 +106,7 @@
 async fn stream(
     engine: &Rc<Engine>,
     id: AttemptId,
-    link: &mut Link,
+    link: &mut ServerConnection,
     headers: HeaderMap,
     length: Option<u64>,
     held: BufferedBody,
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -1,11 +1,11 @@
 //! One pool at work: its engine, its connections, and whoever tells its servers.
 
-use super::check;
-use super::discovery::{Following, Watcher};
-use super::fleet::Entry;
-use super::upstreams::{Sender, Upstreams};
+use super::discovery::{Watcher, WatcherConfig};
+use super::health_check;
+use super::servers::ListedServer;
+use super::upstreams::{UpstreamTransport, Upstreams};
 use corkhollow_balance::interface::{
-    ListKind, Nanos, Phase, Quotas, Server as Told, ServerId, Settings, SettingsError,
+    ListKind, Nanos, Phase, Quotas, Server as ServerInfo, ServerId, Settings, SettingsError,
 };
 use corkhollow_engine::{log, Clock, Engine};
 use corkhollow_fleet::Group;
@@ -129,7 +129,8 @@
         let told = plan.pools[at].clone();
         let (list_calls, calls) = mpsc::unbounded_channel();
         let upstreams = Upstreams::new(&told, &plan.limits, shared, list_calls);
-        let (sender, figures) = (Rc::new(Sender(upstreams.clone())), shared.figures.pool(&told.name));
+        let (sender, figures) =
+            (Rc::new(UpstreamTransport(upstreams.clone())), shared.figures.pool(&told.name));
         let engine = Engine::new(terms.settings(&told), seed, shared.clock, sender, figures)?;
         shared.engines.add(&engine);
         let retired = Rc::new(Cell::new(false));
@@ -149,7 +150,7 @@
                 });
             }
             let must_subscribe = told.settings.must_subscribe;
-            let following = Following {
+            let following = WatcherConfig {
                 zones: from.zones.clone(),
                 kinds: from.kinds.clone(),
                 must_subscribe,
@@ -179,7 +180,7 @@
         });
         pool.follow(plan, &pool.told.source);
         if let Some(settings) = &pool.told.check {
-            let task = check::run(Rc::downgrade(&pool), settings.clone(), seed);
+            let task = health_check::run(Rc::downgrade(&pool), settings.clone(), seed);
             pool.checks.replace(Some(spawn_local(task).abort_handle()));
         }
         Ok(pool)
@@ -226,9 +227,9 @@
         match source {
             Source::Static(servers) => self.replace(servers),
             Source::Watch(path) => {
-                let look = Look { path: path.clone(), seen: None };
+                let look = WatchedFile { path: path.clone(), seen: None };
                 let zones = (plan.zone, plan.zones.clone());
-                let task = spawn_local(watch_file(self.replacer(), look, zones)).abort_handle();
+                let task = spawn_local(watch_file(self.updater(), look, zones)).abort_handle();
                 // The old list stands until the new one is read.
                 if let Some(old) = self.source.replace(Some(task)) {
                     old.abort();
@@ -238,8 +239,8 @@
         }
     }
 
-    fn replacer(&self) -> Replacer {
-        Replacer {
+    fn updater(&self) -> ServerListUpdater {
+        ServerListUpdater {
             engine: self.engine.clone(),
             upstreams: self.upstreams.clone(),
             roster: self.roster.clone(),
@@ -248,7 +249,7 @@
     }
 
     fn replace(&self, servers: &[plan::Server]) {
-        self.replacer().replace(servers);
+        self.updater().replace(servers);
     }
 
     /// Waits until the pool has been told who its servers are, or its process is no longer new.
@@ -271,20 +272,20 @@
         if let Some(listed) = changed {
             let word = if listed.phase == Phase::Ready { "back" } else { "out" };
             log(format_args!("pool {}: checks take server {name} {word}", self.told.name));
-            self.replacer().tell(ListKind::Changes, vec![listed]);
+            self.updater().tell(ListKind::Changes, vec![listed]);
         }
     }
 }
 
 /// What a list of servers is handed to.
-struct Replacer {
+struct ServerListUpdater {
     engine: Rc<Engine>,
     upstreams: Rc<Upstreams>,
     roster: Rc<RefCell<Roster>>,
     ready: Rc<watch::Sender<bool>>,
 }
 
-impl Replacer {
+impl ServerListUpdater {
     fn replace(&self, servers: &[plan::Server]) {
         let listed = self.roster.borrow_mut().replace(self.engine.clock().now(), servers);
         self.tell(ListKind::Full, listed);
@@ -298,28 +299,28 @@
     }
 }
 
-fn entry(listed: Listed) -> Entry {
-    Entry {
+fn entry(listed: Listed) -> ListedServer {
+    ListedServer {
         host: listed.name,
         dial: listed.address,
-        server: Told {
+        server: ServerInfo {
             zone: listed.zone,
             kind: listed.kind,
             phase: listed.phase,
             size: listed.weight as f32,
             started_at: listed.started_at,
-            ..Told::warm(ServerId(0))
+            ..ServerInfo::warm(ServerId(0))
         },
     }
 }
 
 /// A file and how it was when it was last read.
-struct Look {
+struct WatchedFile {
     path: PathBuf,
     seen: Option<(SystemTime, u64)>,
 }
 
-impl Look {
+impl WatchedFile {
     fn changed(&mut self) -> bool {
         let meta = std::fs::metadata(&self.path).ok();
         let now = meta.and_then(|m| Some((m.modified().ok()?, m.len())));
@@ -330,11 +331,11 @@
 }
 
 /// Reads the file whenever it changes, for good. One that cannot be used leaves the old list in force.
-async fn watch_file(replacer: Replacer, mut look: Look, (zone, zones): (u8, Vec<String>)) {
+async fn watch_file(updater: ServerListUpdater, mut look: WatchedFile, (zone, zones): (u8, Vec<String>)) {
     loop {
         if look.changed() {
             match read_list(&look.path, zone, &zones) {
-                Ok(servers) => replacer.replace(&servers),
+                Ok(servers) => updater.replace(&servers),
                 Err(why) => log(format_args!("{}: not taken over: {why}", look.path.display())),
             }
         }
--- a/crates/proxy/src/upstream/fleet.rs
+++ b/crates/proxy/src/upstream/servers.rs
@@ -1,7 +1,7 @@
 //! The servers that a list has named, and the connections to them that are kept.
 
-use super::link::Idle;
-use super::lives::Lives;
+use super::connection::IdleConnection;
+use super::idle_lifetime::IdleLifetime;
 use corkhollow_balance::interface::{ListKind, Nanos, Phase, Server, ServerId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -12,7 +12,7 @@
 
 /// One entry of discovery's list.
 #[derive(Clone, Debug)]
-pub struct Entry {
+pub struct ListedServer {
     /// Its name, the same at every node.
     pub host: String,
     /// Where it listens for this node.
@@ -21,7 +21,7 @@
     pub server: Server,
 }
 
-struct Upstream {
+struct ServerState {
     host: Arc<str>,
     dial: SocketAddr,
     /// When its process started, by another machine's clock: compared with itself alone.
@@ -31,28 +31,28 @@
     /// Since when it takes nothing new.
     closed_at: Option<Nanos>,
     /// Oldest first: the newest is used first, so that the others can age and close.
-    idle: Vec<Idle>,
+    idle: Vec<IdleConnection>,
 }
 
 /// The servers that the list has named, by the identity under which the module knows them.
-pub struct Fleet {
-    upstreams: BTreeMap<ServerId, Upstream>,
+pub struct ServerTable {
+    upstreams: BTreeMap<ServerId, ServerState>,
     /// When connections rest before they are used again.
-    rests: Rests,
+    rests: ReuseDelay,
     /// When a server last said more than it was asked for.
     spoke_at: Option<Nanos>,
-    pub(super) lives: Lives,
+    pub(super) lives: IdleLifetime,
 }
 
 /// When a connection rests before it is used again. Some servers answer twice, the second time some milliseconds later: it would be
 /// taken for the answer to the next request on that connection. One that has rested is found to have spoken. A request waits for one
 /// that rests: a new one costs the server more, and may not come up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Rests {
+pub enum ReuseDelay {
     /// Always, where servers are known to do so: the first such answer must not be another client's either.
     Always,
     /// For a while after a server has done so. Where requests come without a pause, a rest would cost a connection for each.
-    WhereServersSpeakUnasked,
+    AfterSurplusBytes,
 }
 
 /// For so long after it has been seen.
@@ -68,9 +68,14 @@
     ServerId(corkhollow_plan::mix(&name))
 }
 
-impl Fleet {
-    pub fn new(conn_idle: Nanos, rests: Rests) -> Self {
-        Fleet { upstreams: BTreeMap::new(), rests, spoke_at: None, lives: Lives::new(Self::keep(conn_idle)) }
+impl ServerTable {
+    pub fn new(conn_idle: Nanos, rests: ReuseDelay) -> Self {
+        ServerTable {
+            upstreams: BTreeMap::new(),
+            rests,
+            spoke_at: None,
+            lives: IdleLifetime::new(Self::keep(conn_idle)),
+        }
     }
 
     fn keep(conn_idle: Nanos) -> Nanos {
@@ -88,12 +93,12 @@
     }
 
     /// Takes over a list or changes to it, and puts it into the module's words.
-    pub fn follow(&mut self, now: Nanos, kind: ListKind, entries: Vec<Entry>) -> Vec<Server> {
+    pub fn follow(&mut self, now: Nanos, kind: ListKind, entries: Vec<ListedServer>) -> Vec<Server> {
         let mut servers = Vec::with_capacity(entries.len());
         for entry in entries {
             let id = self.id(&entry.host);
             let (dial, started_at) = (entry.dial, entry.server.started_at);
-            let upstream = self.upstreams.entry(id).or_insert_with(|| Upstream {
+            let upstream = self.upstreams.entry(id).or_insert_with(|| ServerState {
                 host: entry.host.into(),
                 dial,
                 started_at,
@@ -130,7 +135,7 @@
         self.upstreams.get(&server).filter(|u| u.closed_at.is_none()).map(|u| u.dial)
     }
 
-    pub(super) fn checkout(&mut self, server: ServerId, now: Nanos) -> Option<Idle> {
+    pub(super) fn checkout(&mut self, server: ServerId, now: Nanos) -> Option<IdleConnection> {
         let oldest = now.saturating_sub(self.lives.keep);
         let newest = now.saturating_sub(self.rest(now));
         let upstream = self.upstreams.get_mut(&server)?;
@@ -152,9 +157,9 @@
     fn rest(&self, now: Nanos) -> Nanos {
         let spoken = self.spoke_at.is_some_and(|at| now.saturating_sub(at) < SPOKEN);
         match self.rests {
-            Rests::Always => REST,
-            Rests::WhereServersSpeakUnasked if spoken => REST,
-            Rests::WhereServersSpeakUnasked => 0,
+            ReuseDelay::Always => REST,
+            ReuseDelay::AfterSurplusBytes if spoken => REST,
+            ReuseDelay::AfterSurplusBytes => 0,
         }
     }
 
@@ -169,7 +174,7 @@
         self.spoke_at = Some(now);
     }
 
-    pub(super) fn checkin(&mut self, server: ServerId, dial: SocketAddr, idle: Idle) {
+    pub(super) fn checkin(&mut self, server: ServerId, dial: SocketAddr, idle: IdleConnection) {
         if let Some(u) = self.upstreams.get_mut(&server) {
             if u.closed_at.is_none() && u.dial == dial && u.started_anew_at <= idle.opened {
                 u.idle.push(idle);
@@ -191,13 +196,13 @@
     }
 
     pub(super) fn evict(&mut self) -> bool {
-        let since = |u: &Upstream| u.idle.first().map(|i| i.since);
+        let since = |u: &ServerState| u.idle.first().map(|i| i.since);
         let upstreams = self.upstreams.values_mut().filter(|u| !u.idle.is_empty());
         upstreams.min_by_key(|u| since(u)).map(|u| u.idle.remove(0)).is_some()
     }
 }
 
-impl Upstream {
+impl ServerState {
     fn close(&mut self, now: Nanos) {
         self.closed_at.get_or_insert(now);
         self.idle.clear();
@@ -206,7 +211,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::super::link::Link;
+    use super::super::connection::ServerConnection;
     use super::*;
     use crate::socket::{Socket, SocketIo};
     use corkhollow_plan::limits::Budget;
@@ -218,21 +223,21 @@
     const MS: Nanos = 1_000_000;
 
     /// A connection to a peer, the peer's end of it, and its address.
-    async fn link() -> (Link, std::net::TcpStream, SocketAddr) {
+    async fn link() -> (ServerConnection, std::net::TcpStream, SocketAddr) {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let dial = listener.local_addr().unwrap();
         let socket = Socket::new(TcpStream::connect(dial).await.unwrap());
         let peer = listener.accept().unwrap().0;
         let io = TokioIo::new(SocketIo(socket.clone()));
         let (sender, connection) = http1::handshake::<_, crate::body::RequestBody>(io).await.unwrap();
-        let link = Link {
+        let link = ServerConnection {
             socket,
             sender,
             connection: Some(Box::new(connection)),
             heard: Default::default(),
             surplus: false,
             _slot: Budget::new(100, 100).server().unwrap(),
-            _place: super::super::upstreams::Place::free(),
+            _place: super::super::upstreams::ConnectionPermit::free(),
         };
         (link, peer, dial)
     }
@@ -241,20 +246,20 @@
     #[tokio::test]
     async fn connections_rest_where_servers_speak_unasked() {
         let (link, _peer, dial) = link().await;
-        let mut fleet = Fleet::new(10_000 * MS, Rests::WhereServersSpeakUnasked);
-        let entry = Entry { host: "s-0".into(), dial, server: Server::warm(ServerId(0)) };
+        let mut fleet = ServerTable::new(10_000 * MS, ReuseDelay::AfterSurplusBytes);
+        let entry = ListedServer { host: "s-0".into(), dial, server: Server::warm(ServerId(0)) };
         let server = fleet.follow(0, ListKind::Full, vec![entry])[0].id;
         let put_back = 100 * MS;
-        fleet.checkin(server, dial, Idle { link, opened: 0, since: put_back });
+        fleet.checkin(server, dial, IdleConnection { link, opened: 0, since: put_back });
         assert_eq!(fleet.rested_at(server, put_back), None);
         let idle = fleet.checkout(server, put_back).expect("it is used at once");
         fleet.spoke(put_back);
-        fleet.checkin(server, dial, Idle { since: put_back, ..idle });
+        fleet.checkin(server, dial, IdleConnection { since: put_back, ..idle });
         assert!(fleet.checkout(server, put_back + REST - 1).is_none());
         assert_eq!(fleet.rested_at(server, put_back + REST - 1), Some(put_back + REST));
         let idle = fleet.checkout(server, put_back + REST).expect("it has rested");
         let later = put_back + SPOKEN;
-        fleet.checkin(server, dial, Idle { since: later, ..idle });
+        fleet.checkin(server, dial, IdleConnection { since: later, ..idle });
         assert!(fleet.checkout(server, later).is_some(), "that is long ago");
     }
 
@@ -262,11 +267,11 @@
     #[tokio::test]
     async fn connections_rest_from_the_start_where_servers_answer_twice() {
         let (link, _peer, dial) = link().await;
-        let mut fleet = Fleet::new(10_000 * MS, Rests::Always);
-        let entry = Entry { host: "s-0".into(), dial, server: Server::warm(ServerId(0)) };
+        let mut fleet = ServerTable::new(10_000 * MS, ReuseDelay::Always);
+        let entry = ListedServer { host: "s-0".into(), dial, server: Server::warm(ServerId(0)) };
         let server = fleet.follow(0, ListKind::Full, vec![entry])[0].id;
         let put_back = 100 * MS;
-        fleet.checkin(server, dial, Idle { link, opened: 0, since: put_back });
+        fleet.checkin(server, dial, IdleConnection { link, opened: 0, since: put_back });
         assert!(fleet.checkout(server, put_back + REST - 1).is_none());
         assert_eq!(fleet.rested_at(server, put_back), Some(put_back + REST));
         assert!(fleet.checkout(server, put_back + REST).is_some());
@@ -277,20 +282,20 @@
     #[tokio::test]
     async fn connections_are_kept_whatever_clock_dates_a_start() {
         let far_ahead = 3_600_000 * MS;
-        let mut fleet = Fleet::new(10_000 * MS, Rests::WhereServersSpeakUnasked);
+        let mut fleet = ServerTable::new(10_000 * MS, ReuseDelay::AfterSurplusBytes);
         let (first, _peer, dial) = link().await;
         let list = |started_at| {
             let server = Server { started_at, ..Server::warm(ServerId(0)) };
-            vec![Entry { host: "s-0".into(), dial, server }]
+            vec![ListedServer { host: "s-0".into(), dial, server }]
         };
         let server = fleet.follow(100 * MS, ListKind::Full, list(far_ahead))[0].id;
-        fleet.checkin(server, dial, Idle { link: first, opened: 200 * MS, since: 200 * MS });
+        fleet.checkin(server, dial, IdleConnection { link: first, opened: 200 * MS, since: 200 * MS });
         let kept = fleet.checkout(server, 200 * MS).expect("it is kept");
         fleet.follow(300 * MS, ListKind::Changes, list(far_ahead - MS));
         fleet.checkin(server, dial, kept);
         assert!(fleet.checkout(server, 300 * MS).is_none(), "it led to the process before");
         let (second, _peer, _) = link().await;
-        fleet.checkin(server, dial, Idle { link: second, opened: 400 * MS, since: 400 * MS });
+        fleet.checkin(server, dial, IdleConnection { link: second, opened: 400 * MS, since: 400 * MS });
         assert!(fleet.checkout(server, 400 * MS).is_some());
     }
 
@@ -301,10 +306,10 @@
         for word in [&b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"[..], b""] {
             let (link, mut peer, dial) = link().await;
             let socket = link.socket.clone();
-            let mut fleet = Fleet::new(10_000 * MS, Rests::WhereServersSpeakUnasked);
-            let entry = Entry { host: "s-0".into(), dial, server: Server::warm(ServerId(0)) };
+            let mut fleet = ServerTable::new(10_000 * MS, ReuseDelay::AfterSurplusBytes);
+            let entry = ListedServer { host: "s-0".into(), dial, server: Server::warm(ServerId(0)) };
             let server = fleet.follow(0, ListKind::Full, vec![entry])[0].id;
-            fleet.checkin(server, dial, Idle { link, opened: 0, since: 0 });
+            fleet.checkin(server, dial, IdleConnection { link, opened: 0, since: 0 });
             let idle = fleet.checkout(server, 0).expect("a quiet one is used");
             fleet.checkin(server, dial, idle);
             peer.write_all(word).unwrap();
@@ -321,13 +326,13 @@
     #[test]
     fn identity_comes_from_the_name() {
         let list = |dials: [&str; 2]| {
-            let entry = |(k, dial): (usize, &&str)| Entry {
+            let entry = |(k, dial): (usize, &&str)| ListedServer {
                 host: format!("s-{k}"),
                 dial: dial.parse().unwrap(),
                 server: Server::warm(ServerId(0)),
             };
             let entries = dials.iter().enumerate().map(entry).collect();
-            Fleet::new(1, Rests::Always).follow(0, ListKind::Full, entries)
+            ServerTable::new(1, ReuseDelay::Always).follow(0, ListKind::Full, entries)
         };
         let (a, b) = (list(["127.0.0.1:1", "127.0.0.1:2"]), list(["127.0.0.2:9", "127.0.0.1:1"]));
         assert_eq!(a, b);
--- a/crates/proxy/src/upstream/upstreams.rs
+++ b/crates/proxy/src/upstream/upstreams.rs
@@ -1,7 +1,7 @@
 //! The servers of one pool with their connections, and the attempts on these.
 
 use super::attempt::attempt;
-use super::fleet::{Entry, Fleet, Rests};
+use super::servers::{ListedServer, ReuseDelay, ServerTable};
 use super::PoolContext;
 use crate::socket::Socket;
 use corkhollow_balance::interface::{ListKind, Nanos, Server, ServerId};
@@ -25,7 +25,7 @@
 pub struct Upstreams {
     /// The pool's name.
     name: String,
-    fleet: RefCell<Fleet>,
+    fleet: RefCell<ServerTable>,
     pub(super) dialect: Dialect,
     pub(super) budget: Rc<Budget>,
     pub(super) clock: Clock,
@@ -36,7 +36,7 @@
     pub(super) stall: Duration,
     /// How much a connection reads at once; an answer's head has to fit.
     pub(super) buffer: usize,
-    places: Rc<Places>,
+    places: Rc<ConnectionLimiter>,
     /// Attempts that were given up and go on for a while; bounded by the connections to servers.
     lingering: Rc<RefCell<VecDeque<(Nanos, AbortHandle)>>>,
     /// Bounded by the module, which asks again only after an answer.
@@ -44,7 +44,7 @@
 }
 
 /// Connections that a pool may hold, and requests that wait for one.
-struct Places {
+struct ConnectionLimiter {
     most: usize,
     most_waiting: usize,
     taken: Cell<usize>,
@@ -53,17 +53,17 @@
 }
 
 /// One connection's place in its pool, given back when dropped.
-pub(super) struct Place(Option<Rc<Places>>);
+pub(super) struct ConnectionPermit(Option<Rc<ConnectionLimiter>>);
 
-impl Place {
+impl ConnectionPermit {
     /// A place in no pool.
     #[cfg(test)]
     pub(super) fn free() -> Self {
-        Place(None)
+        ConnectionPermit(None)
     }
 }
 
-impl Drop for Place {
+impl Drop for ConnectionPermit {
     fn drop(&mut self) {
         if let Some(places) = &self.0 {
             places.taken.set(places.taken.get() - 1);
@@ -73,9 +73,9 @@
 }
 
 /// Counts one that waits, also where it is dropped while it does.
-struct Waiting<'p>(&'p Places);
+struct WaitingGuard<'p>(&'p ConnectionLimiter);
 
-impl Drop for Waiting<'_> {
+impl Drop for WaitingGuard<'_> {
     fn drop(&mut self) {
         self.0.waiting.set(self.0.waiting.get() - 1);
         // It may have been woken, and the next one in its place must not sleep on.
@@ -94,12 +94,12 @@
         list_calls: mpsc::UnboundedSender<DiscoveryCall>,
     ) -> Rc<Self> {
         let rests = match pool.dialect {
-            Dialect::Platform => Rests::Always,
-            Dialect::Http => Rests::WhereServersSpeakUnasked,
+            Dialect::Platform => ReuseDelay::Always,
+            Dialect::Http => ReuseDelay::AfterSurplusBytes,
         };
         Rc::new(Upstreams {
             name: pool.name.clone(),
-            fleet: RefCell::new(Fleet::new(pool.idle_timeout, rests)),
+            fleet: RefCell::new(ServerTable::new(pool.idle_timeout, rests)),
             dialect: pool.dialect,
             budget: shared.budget.clone(),
             clock: shared.clock,
@@ -107,7 +107,7 @@
             connect_timeout: Cell::new(Duration::from_nanos(pool.connect_timeout)),
             stall: Duration::from_nanos(limits.stall_timeout),
             buffer: limits.read_buffer(),
-            places: Rc::new(Places {
+            places: Rc::new(ConnectionLimiter {
                 most: pool.max_connections.unwrap_or(usize::MAX),
                 most_waiting: pool.max_waiting,
                 taken: Cell::new(0),
@@ -126,12 +126,12 @@
     }
 
     /// Runs `f` on the fleet's connections.
-    pub(super) fn fleet<T>(&self, f: impl FnOnce(&mut Fleet) -> T) -> T {
+    pub(super) fn fleet<T>(&self, f: impl FnOnce(&mut ServerTable) -> T) -> T {
         f(&mut self.fleet.borrow_mut())
     }
 
     /// Takes over a list or changes to it, and puts it into the module's words.
-    pub fn follow(&self, kind: ListKind, entries: Vec<Entry>) -> Vec<Server> {
+    pub fn follow(&self, kind: ListKind, entries: Vec<ListedServer>) -> Vec<Server> {
         self.fleet(|f| f.follow(self.clock.now(), kind, entries))
     }
 
@@ -141,7 +141,7 @@
         while self.budget.servers_over() && self.evict() {}
     }
 
-    /// Ends attempts that have lingered for long enough.
+    /// AbortOnDrop attempts that have lingered for long enough.
     pub fn abort_overdue_attempts(&self) {
         let now = self.clock.now();
         let mut lingering = self.lingering.borrow_mut();
@@ -158,7 +158,7 @@
 
     /// Closes the connection that has stood idle for longest; false where there is none.
     pub(super) fn evict(&self) -> bool {
-        self.fleet(Fleet::evict)
+        self.fleet(ServerTable::evict)
     }
 
     /// Whether requests wait for a connection: one that gets free is worth more than one that is kept.
@@ -167,14 +167,14 @@
     }
 
     /// A place for one more connection, as soon as there is one; none where too many wait already.
-    pub(super) async fn place(&self) -> Option<Place> {
+    pub(super) async fn place(&self) -> Option<ConnectionPermit> {
         let places = &self.places;
         if places.taken.get() >= places.most && !self.evict() {
             if places.waiting.get() >= places.most_waiting {
                 return None;
             }
             places.waiting.set(places.waiting.get() + 1);
-            let _waiting = Waiting(places);
+            let _waiting = WaitingGuard(places);
             while places.taken.get() >= places.most && !self.evict() {
                 places.freed.notified().await;
             }
@@ -182,14 +182,14 @@
         } else {
             places.taken.set(places.taken.get() + 1);
         }
-        Some(Place(Some(places.clone())))
+        Some(ConnectionPermit(Some(places.clone())))
     }
 }
 
 /// A handle on the upstreams that an engine can own.
-pub struct Sender(pub Rc<Upstreams>);
+pub struct UpstreamTransport(pub Rc<Upstreams>);
 
-impl Transport for Sender {
+impl Transport for UpstreamTransport {
     fn send(
         &self,
         engine: &Rc<Engine>,
@@ -199,7 +199,7 @@
     ) -> Box<dyn RunningAttempt> {
         let socket = Rc::default();
         let task = attempt(self.0.clone(), engine.clone(), id, server, message, Rc::clone(&socket));
-        Box::new(Sent {
+        Box::new(SpawnedAttempt {
             socket,
             task: tokio::task::spawn_local(task).abort_handle(),
             lingering: self.0.lingering.clone(),
@@ -224,7 +224,7 @@
     }
 }
 
-struct Sent {
+struct SpawnedAttempt {
     /// The connection that it has, once it has one.
     socket: Rc<RefCell<Option<Rc<Socket>>>>,
     task: AbortHandle,
@@ -232,13 +232,13 @@
     clock: Clock,
 }
 
-impl Sent {
+impl SpawnedAttempt {
     fn written(&self) -> bool {
         self.socket.borrow().as_ref().is_some_and(|s| s.is_request_written())
     }
 }
 
-impl RunningAttempt for Sent {
+impl RunningAttempt for SpawnedAttempt {
     fn cancel_if_unsent(&self) -> bool {
         let unwritten = !self.written();
         if unwritten {
