--- a/crates/proxy/src/body.rs
+++ b/crates/proxy/src/body.rs
@@ -10,15 +10,15 @@
 use tokio::sync::mpsc;
 
 /// Pieces on their way out.
-pub struct PieceBody {
+pub struct BufferedBodyReader {
     pieces: Rc<BufferedBody>,
     at: usize,
     left: u64,
 }
 
-impl PieceBody {
+impl BufferedBodyReader {
     pub fn new(pieces: Rc<BufferedBody>) -> Self {
-        PieceBody { left: pieces.len(), pieces, at: 0 }
+        BufferedBodyReader { left: pieces.len(), pieces, at: 0 }
     }
 
     fn next(&mut self) -> Option<Frame<Bytes>> {
@@ -32,12 +32,12 @@
 /// The body of a request on its way to a server.
 pub enum RequestBody {
     /// All of it is here.
-    Whole(PieceBody),
+    Buffered(BufferedBodyReader),
     /// As it comes from the client.
     Stream {
         body: ClientBody,
         /// The server has not asked for it yet (`Expect: 100-continue`).
-        wait: Option<Pin<Box<dyn Future<Output = ()>>>>,
+        continue_wait: Option<Pin<Box<dyn Future<Output = ()>>>>,
     },
 }
 
@@ -47,11 +47,11 @@
 
     fn poll_frame(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<BodyFrame>> {
         match self.get_mut() {
-            RequestBody::Whole(body) => Poll::Ready(body.next().map(Ok)),
-            RequestBody::Stream { body, wait } => {
-                if let Some(waiting) = wait {
+            RequestBody::Buffered(body) => Poll::Ready(body.next().map(Ok)),
+            RequestBody::Stream { body, continue_wait } => {
+                if let Some(waiting) = continue_wait {
                     ready!(waiting.as_mut().poll(cx));
-                    *wait = None;
+                    *continue_wait = None;
                 }
                 body.as_mut().poll_frame(cx)
             }
@@ -60,14 +60,14 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            RequestBody::Whole(body) => body.left == 0,
+            RequestBody::Buffered(body) => body.left == 0,
             RequestBody::Stream { body, .. } => body.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            RequestBody::Whole(body) => SizeHint::with_exact(body.left),
+            RequestBody::Buffered(body) => SizeHint::with_exact(body.left),
             RequestBody::Stream { body, .. } => body.size_hint(),
         }
     }
@@ -76,7 +76,7 @@
 /// What goes back to a client.
 pub enum AnswerBody {
     Text(Option<Bytes>),
-    Whole(PieceBody),
+    Buffered(BufferedBodyReader),
     /// A long answer as it comes.
     Stream {
         pieces: mpsc::Receiver<BodyFrame>,
@@ -91,7 +91,7 @@
     fn poll_frame(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<BodyFrame>> {
         match self.get_mut() {
             AnswerBody::Text(text) => Poll::Ready(text.take().map(|t| Ok(Frame::data(t)))),
-            AnswerBody::Whole(body) => Poll::Ready(body.next().map(Ok)),
+            AnswerBody::Buffered(body) => Poll::Ready(body.next().map(Ok)),
             AnswerBody::Stream { pieces, .. } => pieces.poll_recv(cx),
         }
     }
@@ -99,7 +99,7 @@
     fn is_end_stream(&self) -> bool {
         match self {
             AnswerBody::Text(text) => text.is_none(),
-            AnswerBody::Whole(body) => body.left == 0,
+            AnswerBody::Buffered(body) => body.left == 0,
             AnswerBody::Stream { .. } => false,
         }
     }
@@ -107,7 +107,7 @@
     fn size_hint(&self) -> SizeHint {
         match self {
             AnswerBody::Text(text) => SizeHint::with_exact(text.as_ref().map_or(0, |t| t.len() as u64)),
-            AnswerBody::Whole(body) => SizeHint::with_exact(body.left),
+            AnswerBody::Buffered(body) => SizeHint::with_exact(body.left),
             AnswerBody::Stream { length, .. } => length.map_or_else(SizeHint::default, SizeHint::with_exact),
         }
     }
--- a/crates/proxy/src/http1/general.rs
+++ b/crates/proxy/src/http1/general.rs
@@ -6,7 +6,7 @@
 use super::service::Service;
 use super::upload::{self, UploadError};
 use crate::active_plan::ActivePlan;
-use crate::body::{AnswerBody, PieceBody};
+use crate::body::{AnswerBody, BufferedBodyReader};
 use crate::headers::strip_hop_by_hop;
 use bytes::Bytes;
 use corkhollow_balance::interface::{self, Nanos};
@@ -381,7 +381,7 @@
 fn answered(answer: Answer, rewrite: &Rewrite, listener: &Listener) -> Result<Response<AnswerBody>, Problem> {
     let (status, mut headers, body) = match answer {
         Answer::Buffered { status, headers, body } => {
-            (status, headers, AnswerBody::Whole(PieceBody::new(Rc::new(body))))
+            (status, headers, AnswerBody::Buffered(BufferedBodyReader::new(Rc::new(body))))
         }
         Answer::Stream { status, headers, length, frames: pieces } => {
             (status, headers, AnswerBody::Stream { pieces, length })
--- a/crates/proxy/src/http1/platform.rs
+++ b/crates/proxy/src/http1/platform.rs
@@ -6,7 +6,7 @@
 use super::service::Service;
 use super::upload::{self, Pace, Rules, UploadError};
 use crate::active_plan::ActivePlan;
-use crate::body::{AnswerBody, PieceBody};
+use crate::body::{AnswerBody, BufferedBodyReader};
 use crate::headers::{strip_hop_by_hop, REQUEST_ID, TIMEOUT_MS};
 use bytes::Bytes;
 use corkhollow_balance::interface::{self, Nanos, Settings};
@@ -153,7 +153,7 @@
     };
     let response = match answer {
         Answer::Buffered { headers, body, .. } => {
-            served(headers, AnswerBody::Whole(PieceBody::new(Rc::new(body))))
+            served(headers, AnswerBody::Buffered(BufferedBodyReader::new(Rc::new(body))))
         }
         Answer::Stream { headers, length, frames: pieces, .. } => {
             served(headers, AnswerBody::Stream { pieces, length })
--- a/crates/proxy/src/http1/respond.rs
+++ b/crates/proxy/src/http1/respond.rs
@@ -87,7 +87,7 @@
     };
     client.stage.set(Stage::Writing);
     if let Some(tally) = &mut *client.tally.borrow_mut() {
-        let by_server = matches!(response.body(), AnswerBody::Whole(_) | AnswerBody::Stream { .. });
+        let by_server = matches!(response.body(), AnswerBody::Buffered(_) | AnswerBody::Stream { .. });
         tally.answer(service.clock.now(), response.status().as_u16(), by_server);
     }
     let last = !service.control.lock().keeps() || client.surplus || client.last.get();
--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -1,9 +1,9 @@
-//! One attempt: a connection, the request on it, and what becomes of that.
+//! One attempt: obtains a connection, sends the request on it and forwards the answer.
 
 use super::connection::{connect, ConnectError, IdleConnection, InterimAnswers, ServerConnection};
 use super::upstreams::Upstreams;
 use super::{http, platform};
-use crate::body::{PieceBody, RequestBody};
+use crate::body::{BufferedBodyReader, RequestBody};
 use crate::headers::TIMEOUT_MS;
 use crate::socket::Socket;
 use corkhollow_balance::interface::{Ending, Nanos, ServerId};
@@ -20,30 +20,32 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// A reset that comes later than this is the end of a process that had the request.
-const AT_ONCE: Nanos = 20_000_000;
-/// A server that does not say `100 Continue` within this gets the body all the same (RFC 9110, 10.1.1).
-const CONTINUE: Duration = Duration::from_secs(1);
+/// A connection that is reset within this time counts as reset_at_once while it was idle; a later reset means that the server failed while
+/// it processed the request.
+const IMMEDIATE_RESET: Nanos = 20_000_000;
+/// How long to wait for `100 Continue` before the body is sent without it (RFC 9110, 10.1.1).
+const CONTINUE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Plays one attempt to its end and tells the engine how it went. Where the engine has stopped waiting, the
-/// attempt may go on for a while, so that its connection can be kept.
-pub(super) async fn attempt(
+/// Runs one attempt to its end and reports the outcome to the engine. The attempt may outlast the engine's interest in it by a
+/// limited time, so that its connection can be reused.
+pub(super) async fn run_attempt(
     upstreams: Rc<Upstreams>,
     engine: Rc<Engine>,
     id: AttemptId,
     server: ServerId,
     message: Rc<Message>,
-    seen: Rc<RefCell<Option<Rc<Socket>>>>,
+    attempt_socket: Rc<RefCell<Option<Rc<Socket>>>>,
 ) {
-    let _fault = CancelOnPanic { engine: &engine, id };
-    if let Err(ending) = exchange(&upstreams, &engine, id, server, &message, &seen).await {
-        // What a client spoils says nothing of the server.
-        let spoilt = message.upload().is_some_and(|upload| upload.progress.client_failed.get());
-        engine.on_attempt_ended(id, if spoilt { Ending::Cancelled } else { ending });
+    let _cancel_on_panic = CancelOnPanic { engine: &engine, id };
+    if let Err(ending) = exchange(&upstreams, &engine, id, server, &message, &attempt_socket).await {
+        // An attempt that failed because of the client does not count against the server's health.
+        let client_failed = message.upload().is_some_and(|upload| upload.progress.client_failed.get());
+        engine.on_attempt_ended(id, if client_failed { Ending::Cancelled } else { ending });
     }
 }
 
-/// Concludes an attempt whose task panics: its request is owed an answer all the same, and its server is not to blame.
+/// Reports an attempt whose task panics as cancelled: its request still gets an answer, and the panic does not count against the
+/// server.
 struct CancelOnPanic<'e> {
     engine: &'e Rc<Engine>,
     id: AttemptId,
@@ -57,107 +59,115 @@
     }
 }
 
+/// Sends the request and forwards the answer; an error is the attempt's outcome if there is no answer.
 async fn exchange(
     upstreams: &Rc<Upstreams>,
     engine: &Rc<Engine>,
     id: AttemptId,
     server: ServerId,
     message: &Rc<Message>,
-    seen: &RefCell<Option<Rc<Socket>>>,
+    attempt_socket: &RefCell<Option<Rc<Socket>>>,
 ) -> Result<(), Ending> {
-    let mut begun = upstreams.clock.now();
-    let mut kept = upstreams.fleet(|f| f.checkout(server, begun));
-    if kept.is_none() {
-        if let Some(at) = upstreams.fleet(|f| f.rested_at(server, begun)) {
+    let mut started_at = upstreams.clock.now();
+    let mut reused = upstreams.with_servers(|servers| servers.checkout(server, started_at));
+    if reused.is_none() {
+        if let Some(at) = upstreams.with_servers(|servers| servers.reusable_at(server, started_at)) {
             tokio::time::sleep_until(upstreams.clock.instant(at)).await;
-            begun = upstreams.clock.now();
-            kept = upstreams.fleet(|f| f.checkout(server, begun));
+            started_at = upstreams.clock.now();
+            reused = upstreams.with_servers(|servers| servers.checkout(server, started_at));
         }
     }
-    let Some(dial) = upstreams.fleet(|f| f.dial(server)) else { return Err(Ending::NotSent) };
+    let Some(address) = upstreams.with_servers(|servers| servers.address(server)) else {
+        return Err(Ending::NotSent);
+    };
     loop {
-        let rested = kept.as_ref().map(|idle| begun.saturating_sub(idle.since));
-        let (mut link, opened) = match kept.take() {
-            Some(idle) => (idle.link, idle.opened),
-            // Rare and large: apart from the attempt, which is made for every request.
-            None => match Box::pin(connect(upstreams, dial)).await {
-                Ok(link) => {
-                    // Connecting takes time, and discovery may have spoken: nothing new to a server that drains.
-                    if upstreams.fleet(|f| f.dial(server)) != Some(dial) {
+        let idle_for = reused.as_ref().map(|idle| started_at.saturating_sub(idle.idle_since));
+        let (mut connection, opened_at) = match reused.take() {
+            Some(idle) => (idle.connection, idle.opened_at),
+            // Boxed to keep the future of the attempt small.
+            None => match Box::pin(connect(upstreams, address)).await {
+                Ok(connection) => {
+                    // The server may have been drained or moved while the connection was being opened.
+                    if upstreams.with_servers(|servers| servers.address(server)) != Some(address) {
                         return Err(Ending::ConnectFailed);
                     }
-                    begun = upstreams.clock.now();
-                    (link, begun)
+                    started_at = upstreams.clock.now();
+                    (connection, started_at)
                 }
                 Err(ConnectError::Failed) => return Err(Ending::ConnectFailed),
                 Err(ConnectError::NoCapacity) => return Err(Ending::NotSent),
             },
         };
-        // Whatever has been decided, the moment that counts is this one.
+        // The decision to send may be stale by now, after waiting for a connection: check it again.
         if !engine.may_begin(id) {
             return Err(Ending::NotSent);
         }
-        let heard = message.interim_handler.as_ref().map(|_| link.interims());
-        let Some(request) = request(upstreams, message, begun, heard.clone()) else {
+        let interim_answers = message.interim_handler.as_ref().map(|_| connection.start_interim_answers());
+        let Some(request) = build_request(upstreams, message, started_at, interim_answers.clone()) else {
             return Err(Ending::NotSent);
         };
-        *seen.borrow_mut() = Some(link.socket.clone());
-        // A server of the platform begins a request with its last byte; any other may do so with its head.
-        let body = match (&message.payload, upstreams.dialect) {
+        *attempt_socket.borrow_mut() = Some(connection.socket.clone());
+        // A server of the platform starts to process a request when it has the last byte; any other server may start when it has
+        // the head.
+        let body_bytes = match (&message.payload, upstreams.dialect) {
             (Payload::Buffered(body), Dialect::Platform) => body.len(),
-            (Payload::Stream(_), Dialect::Platform) => length(message),
+            (Payload::Stream(_), Dialect::Platform) => declared_length(message),
             _ => 0,
         };
-        link.socket.begin_request(body, upstreams.forwards.clone());
-        let socket = link.socket.clone();
-        let mut coming = message.upload().is_some();
-        let mut response = pin!(link.sender.try_send_request(request));
+        connection.socket.begin_request(body_bytes, upstreams.forwards.clone());
+        let socket = connection.socket.clone();
+        let mut awaits_write = message.upload().is_some();
+        let mut response = pin!(connection.sender.try_send_request(request));
         let response = poll_fn(|cx| {
-            // InterimBuffer answers first: they came before the final one.
-            heard
+            // Interim answers precede the final one.
+            interim_answers
                 .iter()
                 .filter_map(InterimAnswers::take)
                 .flatten()
                 .for_each(|(status, headers)| engine.on_interim_answer(id, status, headers));
             let polled = response.as_mut().poll(cx);
-            if coming && socket.is_request_written() {
-                coming = false;
+            if awaits_write && socket.is_request_written() {
+                awaits_write = false;
                 engine.on_request_written(id);
             }
             polled
         });
-        return match link.drive(response).await {
+        return match connection.drive(response).await {
             Ok(response) => {
                 let now = upstreams.clock.now();
-                upstreams.fleet(|f| f.lives.note(now, rested, false));
-                if let Some(took) = socket.time_since_written() {
-                    engine.on_answer_head(id, took.as_nanos() as Nanos);
+                upstreams.with_servers(|servers| servers.idle_lifetime.record_use(now, idle_for, false));
+                if let Some(elapsed) = socket.time_since_written() {
+                    engine.on_answer_head(id, elapsed.as_nanos() as Nanos);
                 }
-                let keep = answer(upstreams, engine, id, message, &mut link, response).await;
-                let reusable = keep && link.reusable().await;
-                if keep && link.surplus {
-                    upstreams.fleet(|f| f.spoke(upstreams.clock.now()));
+                let is_complete =
+                    forward_answer(upstreams, engine, id, message, &mut connection, response).await;
+                let is_reusable = is_complete && connection.is_reusable().await;
+                if is_complete && connection.has_surplus_bytes {
+                    upstreams.with_servers(|servers| servers.record_surplus(upstreams.clock.now()));
                 }
-                if reusable && !upstreams.crowded() {
-                    let idle = IdleConnection { link, opened, since: upstreams.clock.now() };
-                    upstreams.fleet(|f| f.checkin(server, dial, idle));
+                if is_reusable && !upstreams.has_waiting_requests() {
+                    let idle = IdleConnection { connection, opened_at, idle_since: upstreams.clock.now() };
+                    upstreams.with_servers(|servers| servers.checkin(server, address, idle));
                 }
                 Ok(())
             }
             Err(_) if socket.is_request_written() => {
                 let now = upstreams.clock.now();
-                let lost = now.saturating_sub(begun) < AT_ONCE;
-                upstreams.fleet(|f| f.lives.note(now, rested, lost));
+                let reset_at_once = now.saturating_sub(started_at) < IMMEDIATE_RESET;
+                upstreams
+                    .with_servers(|servers| servers.idle_lifetime.record_use(now, idle_for, reset_at_once));
                 Err(Ending::Reset)
             }
             Err(mut error) => {
-                let unread = error.take_message().map(Request::into_body);
-                if let (Some(RequestBody::Stream { body, .. }), Some(upload)) = (unread, message.upload()) {
+                let unsent_body = error.take_message().map(Request::into_body);
+                if let (Some(RequestBody::Stream { body, .. }), Some(upload)) =
+                    (unsent_body, message.upload())
+                {
                     upload.put_back(body);
                 }
-                // A kept connection that the server was just closing: it does not have the request, whose
-                // attempt has not begun. A new connection tells whether the server is there.
-                if rested.is_some() && !message.is_body_consumed() {
+                // The server closed the reused connection before the request was written, so the request was not processed.
+                // Retry on a new connection.
+                if idle_for.is_some() && !message.is_body_consumed() {
                     continue;
                 }
                 Err(Ending::ConnectFailed)
@@ -166,42 +176,43 @@
     }
 }
 
-async fn answer(
+/// Forwards the answer in the server's dialect; true if the connection was read to the answer's end.
+async fn forward_answer(
     upstreams: &Upstreams,
     engine: &Rc<Engine>,
     id: AttemptId,
     message: &Message,
-    link: &mut ServerConnection,
+    connection: &mut ServerConnection,
     response: Response<Incoming>,
 ) -> bool {
     match upstreams.dialect {
-        Dialect::Platform => platform::answer(upstreams, engine, id, link, response).await,
+        Dialect::Platform => platform::answer(upstreams, engine, id, connection, response).await,
         Dialect::Http => {
             let bodiless = message.method == Method::HEAD;
-            http::answer(upstreams, engine, id, link, response, bodiless).await
+            http::answer(upstreams, engine, id, connection, response, bodiless).await
         }
     }
 }
 
-/// The length that the client has told of a body, 0 where it has told none.
-fn length(message: &Message) -> u64 {
-    let told = message.headers.get(header::CONTENT_LENGTH).and_then(|l| l.to_str().ok()?.parse().ok());
-    told.unwrap_or(0)
+/// The body declared_length from the client's `Content-Length`, or 0 without one.
+fn declared_length(message: &Message) -> u64 {
+    let length = message.headers.get(header::CONTENT_LENGTH).and_then(|l| l.to_str().ok()?.parse().ok());
+    length.unwrap_or(0)
 }
 
-/// The client's request as it goes to a server; none where its body has gone elsewhere.
-fn request(
+/// Builds the request to send to the server; `None` if another attempt has taken the body.
+fn build_request(
     upstreams: &Upstreams,
     message: &Message,
     now: Nanos,
-    heard: Option<InterimAnswers>,
+    interim_answers: Option<InterimAnswers>,
 ) -> Option<Request<RequestBody>> {
-    let asked = message.headers.contains_key(header::EXPECT).then(|| Arc::new(Notify::new()));
+    let continue_received = message.headers.contains_key(header::EXPECT).then(|| Arc::new(Notify::new()));
     let body = match &message.payload {
-        Payload::Buffered(pieces) => RequestBody::Whole(PieceBody::new(pieces.clone())),
+        Payload::Buffered(body) => RequestBody::Buffered(BufferedBodyReader::new(body.clone())),
         Payload::Stream(upload) => {
             let body: ClientBody = upload.take_body()?;
-            RequestBody::Stream { body, wait: asked.clone().map(until_asked) }
+            RequestBody::Stream { body, continue_wait: continue_received.clone().map(wait_for_continue) }
         }
     };
     let mut request = Request::new(body);
@@ -209,23 +220,25 @@
     *request.uri_mut() = message.uri.clone();
     *request.headers_mut() = message.headers.clone();
     if upstreams.dialect == Dialect::Platform {
-        let left = message.deadline.saturating_sub(now).div_ceil(1_000_000).max(1);
-        request.headers_mut().insert(TIMEOUT_MS, HeaderValue::from(left));
+        let timeout_ms = message.deadline.saturating_sub(now).div_ceil(1_000_000).max(1);
+        request.headers_mut().insert(TIMEOUT_MS, HeaderValue::from(timeout_ms));
     }
-    if asked.is_some() || heard.is_some() {
-        // `100 Continue` is the program's own affair: it asks its client by itself.
-        hyper::ext::on_informational(&mut request, move |interim| match (interim.status(), &asked, &heard) {
-            (StatusCode::CONTINUE, Some(asked), _) => asked.notify_one(),
-            (StatusCode::CONTINUE, None, _) | (_, _, None) => {}
-            (status, _, Some(heard)) => heard.note(status, interim.headers()),
+    if continue_received.is_some() || interim_answers.is_some() {
+        // `100 Continue` is not forwarded: the gateway sends its own to the client.
+        hyper::ext::on_informational(&mut request, move |interim| {
+            match (interim.status(), &continue_received, &interim_answers) {
+                (StatusCode::CONTINUE, Some(continue_received), _) => continue_received.notify_one(),
+                (StatusCode::CONTINUE, None, _) | (_, _, None) => {}
+                (status, _, Some(interim_answers)) => interim_answers.note(status, interim.headers()),
+            }
         });
     }
     Some(request)
 }
 
-/// AbortOnDrop when the server has asked for the body, or has said nothing for long enough.
-fn until_asked(asked: Arc<Notify>) -> Pin<Box<dyn std::future::Future<Output = ()>>> {
+/// Waits for `100 Continue` from the server, for at most [`CONTINUE_TIMEOUT`].
+fn wait_for_continue(continue_received: Arc<Notify>) -> Pin<Box<dyn std::future::Future<Output = ()>>> {
     Box::pin(async move {
-        let _ = tokio::time::timeout(CONTINUE, asked.notified()).await;
+        let _ = tokio::time::timeout(CONTINUE_TIMEOUT, continue_received.notified()).await;
     })
 }
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -23,22 +23,22 @@
 pub(super) struct ServerConnection {
     pub(super) socket: Rc<Socket>,
     pub(super) sender: SendRequest<RequestBody>,
-    /// In a place of its own: it is large, and a link is handed on twice for each attempt.
-    pub(super) connection: Option<Box<Connection<TokioIo<SocketIo>, RequestBody>>>,
-    pub(super) heard: InterimAnswers,
+    /// In a permit of its own: it is large, and a connection is handed on twice for each attempt.
+    pub(super) driver: Option<Box<Connection<TokioIo<SocketIo>, RequestBody>>>,
+    pub(super) interim_answers: InterimAnswers,
     /// More has come than the answer that was asked for.
-    pub(super) surplus: bool,
+    pub(super) has_surplus_bytes: bool,
     pub(super) _slot: Slot,
-    pub(super) _place: ConnectionPermit,
+    pub(super) _permit: ConnectionPermit,
 }
 
 /// A connection that waits for its next request.
 pub(super) struct IdleConnection {
-    pub(super) link: ServerConnection,
+    pub(super) connection: ServerConnection,
     /// When it came up.
-    pub(super) opened: Nanos,
+    pub(super) opened_at: Nanos,
     /// Since when it waits.
-    pub(super) since: Nanos,
+    pub(super) idle_since: Nanos,
 }
 
 /// InterimBuffer answers (1xx) that have come on a connection and have not been passed on. (Hyper may tell of them on any
@@ -59,34 +59,34 @@
     }
 
     pub(super) fn note(&self, status: StatusCode, headers: &HeaderMap) {
-        let mut heard = self.lock();
-        heard.count += 1;
-        if heard.count <= MOST_INTERIMS {
-            heard.left.push((status, headers.clone()));
+        let mut interim_answers = self.lock();
+        interim_answers.count += 1;
+        if interim_answers.count <= MOST_INTERIMS {
+            interim_answers.left.push((status, headers.clone()));
         }
     }
 
     pub(super) fn take(&self) -> Option<Vec<(StatusCode, HeaderMap)>> {
-        let mut heard = self.lock();
-        (!heard.left.is_empty()).then(|| std::mem::take(&mut heard.left))
+        let mut interim_answers = self.lock();
+        (!interim_answers.left.is_empty()).then(|| std::mem::take(&mut interim_answers.left))
     }
 }
 
 impl ServerConnection {
     /// What comes of interim answers from here on.
-    pub(super) fn interims(&self) -> InterimAnswers {
-        *self.heard.lock() = InterimBuffer::default();
-        self.heard.clone()
+    pub(super) fn start_interim_answers(&self) -> InterimAnswers {
+        *self.interim_answers.lock() = InterimBuffer::default();
+        self.interim_answers.clone()
     }
 
-    pub(super) fn turn(&mut self, cx: &mut Context<'_>) {
-        if let Some(connection) = &mut self.connection {
-            if let Poll::Ready(ended) = Pin::new(&mut **connection).poll(cx) {
-                self.connection = None;
+    pub(super) fn poll_driver(&mut self, cx: &mut Context<'_>) {
+        if let Some(driver) = &mut self.driver {
+            if let Poll::Ready(ended) = Pin::new(&mut **driver).poll(cx) {
+                self.driver = None;
                 // What the socket fails with has a source.
                 let unasked =
                     |e: &hyper::Error| std::error::Error::source(e).is_none() && !e.is_incomplete_message();
-                self.surplus = ended.as_ref().is_err_and(unasked);
+                self.has_surplus_bytes = ended.as_ref().is_err_and(unasked);
             }
         }
     }
@@ -95,20 +95,20 @@
     pub(super) async fn drive<F: Future>(&mut self, future: F) -> F::Output {
         let mut future = pin!(future);
         poll_fn(|cx| {
-            self.turn(cx);
+            self.poll_driver(cx);
             future.as_mut().poll(cx)
         })
         .await
     }
 
     /// Whether the connection can carry another request, now that an answer is read to its end.
-    pub(super) async fn reusable(&mut self) -> bool {
+    pub(super) async fn is_reusable(&mut self) -> bool {
         poll_fn(|cx| {
-            self.turn(cx);
+            self.poll_driver(cx);
             Poll::Ready(())
         })
         .await;
-        self.connection.is_some() && self.sender.is_ready()
+        self.driver.is_some() && self.sender.is_ready()
     }
 }
 
@@ -120,42 +120,43 @@
     NoCapacity,
 }
 
-/// Opens a connection, as soon as the pool and the program have a place for one.
+/// Opens a connection, as soon as the pool and the program have a permit for one.
 pub(super) async fn connect(
     upstreams: &Rc<Upstreams>,
-    dial: SocketAddr,
+    address: SocketAddr,
 ) -> Result<ServerConnection, ConnectError> {
-    let place = upstreams.place().await.ok_or(ConnectError::NoCapacity)?;
+    let permit = upstreams.acquire_permit().await.ok_or(ConnectError::NoCapacity)?;
     let slot = loop {
         if let Some(slot) = upstreams.budget.server() {
             break slot;
         }
-        if upstreams.evict() {
+        if upstreams.close_oldest_idle() {
             continue;
         }
-        if !upstreams.stop_lingering() {
+        if !upstreams.abort_oldest_abandoned() {
             return Err(ConnectError::NoCapacity);
         }
         // What was told to stop gives its descriptor back when the runtime gets to it.
         tokio::task::yield_now().await;
     };
-    let stream = match tokio::time::timeout(upstreams.connect_timeout.get(), TcpStream::connect(dial)).await {
-        Ok(Ok(stream)) => stream,
-        Ok(Err(e)) if is_out_of_descriptors(&e) => return Err(ConnectError::NoCapacity),
-        Ok(Err(_)) | Err(_) => return Err(ConnectError::Failed),
-    };
+    let stream =
+        match tokio::time::timeout(upstreams.connect_timeout.get(), TcpStream::connect(address)).await {
+            Ok(Ok(stream)) => stream,
+            Ok(Err(e)) if is_out_of_descriptors(&e) => return Err(ConnectError::NoCapacity),
+            Ok(Err(_)) | Err(_) => return Err(ConnectError::Failed),
+        };
     let socket = Socket::new(stream);
     let mut builder = http1::Builder::new();
-    builder.max_buf_size(upstreams.buffer);
+    builder.max_buf_size(upstreams.read_buffer_bytes);
     let handshake = builder.handshake(TokioIo::new(SocketIo(socket.clone()))).await;
-    let (sender, connection) = handshake.map_err(|_| ConnectError::Failed)?;
+    let (sender, driver) = handshake.map_err(|_| ConnectError::Failed)?;
     Ok(ServerConnection {
         socket,
         sender,
-        connection: Some(Box::new(connection)),
-        heard: InterimAnswers::default(),
-        surplus: false,
+        driver: Some(Box::new(driver)),
+        interim_answers: InterimAnswers::default(),
+        has_surplus_bytes: false,
         _slot: slot,
-        _place: place,
+        _permit: permit,
     })
 }
--- a/crates/proxy/src/upstream/discovery.rs
+++ b/crates/proxy/src/upstream/discovery.rs
@@ -275,7 +275,7 @@
         };
         let entry = |h: Host| ListedServer {
             host: h.host,
-            dial: h.dial,
+            address: h.dial,
             server: Server {
                 id: ServerId(0),
                 zone: place(&self.following.zones, &h.site).min(255) as u8,
@@ -290,7 +290,7 @@
                 started_at: h.born_ms.unwrap_or(0).saturating_mul(1_000_000),
             },
         };
-        let servers = self.upstreams.follow(kind, hosts.into_iter().map(entry).collect());
+        let servers = self.upstreams.apply_list(kind, hosts.into_iter().map(entry).collect());
         self.engine.on_server_list(kind, servers);
     }
 
--- a/crates/proxy/src/upstream/http.rs
+++ b/crates/proxy/src/upstream/http.rs
@@ -37,7 +37,7 @@
     upstreams: &Upstreams,
     engine: &Rc<Engine>,
     id: AttemptId,
-    link: &mut ServerConnection,
+    connection: &mut ServerConnection,
     response: Response<Incoming>,
     bodiless: bool,
 ) -> bool {
@@ -46,7 +46,7 @@
     let ending = ending(head.status, not_processed);
     // Two lengths: the next answer on this connection might begin inside this one (RFC 9112, 6.3).
     let two_lengths = head.headers.contains_key(header::TRANSFER_ENCODING)
-        && link.socket.head_contains("\ncontent-length:");
+        && connection.socket.head_contains("\ncontent-length:");
     let (status, mut headers) = (head.status, head.headers);
     strip_hop_by_hop(&mut headers);
     if !bodiless && status != StatusCode::NOT_MODIFIED {
@@ -55,7 +55,7 @@
     let length = body.size_hint().exact();
     let mut gathered = BufferedBody::new(upstreams.budget.lease());
     let over = loop {
-        match at_hand(link, &mut body).await {
+        match at_hand(connection, &mut body).await {
             None => break None,
             Some(None) => {
                 tell(engine, id, ending, Answer::Buffered { status, headers, body: gathered });
@@ -79,14 +79,14 @@
     let (gathered, _lease) = gathered.into_parts();
     let first = gathered.into_iter().map(|data| Ok(hyper::body::Frame::data(data))).chain(over);
     // Apart from the attempt, which is made for short answers too.
-    let whole = Box::pin(stream(upstreams, link, &mut body, first, to_client)).await;
+    let whole = Box::pin(stream(upstreams, connection, &mut body, first, to_client)).await;
     whole && !two_lengths
 }
 
 /// Passes an answer on, its first pieces and then the rest; true where it came to its end.
 async fn stream(
     upstreams: &Upstreams,
-    link: &mut ServerConnection,
+    connection: &mut ServerConnection,
     body: &mut Incoming,
     first: impl Iterator<Item = BodyFrame>,
     to_client: mpsc::Sender<BodyFrame>,
@@ -97,7 +97,7 @@
             return false;
         }
     }
-    pass_on(upstreams, link, body, &to_client).await
+    pass_on(upstreams, connection, body, &to_client).await
 }
 
 /// Tells the engine; false where nobody wants the answer.
@@ -117,12 +117,12 @@
 
 /// The next piece if it is there already: `Some(None)` is the body's end, `None` that it has to be waited for.
 async fn at_hand(
-    link: &mut ServerConnection,
+    connection: &mut ServerConnection,
     body: &mut Incoming,
 ) -> Option<Option<Result<hyper::body::Frame<bytes::Bytes>, hyper::Error>>> {
     let mut rounds = 0;
     poll_fn(|cx| loop {
-        link.turn(cx);
+        connection.poll_driver(cx);
         match Pin::new(&mut *body).poll_frame(cx) {
             Poll::Ready(piece) => return Poll::Ready(Some(piece)),
             Poll::Pending if rounds < ROUNDS => rounds += 1,
@@ -135,13 +135,13 @@
 /// Passes the rest on as fast as the client takes it; true where it came to its end.
 async fn pass_on(
     upstreams: &Upstreams,
-    link: &mut ServerConnection,
+    connection: &mut ServerConnection,
     body: &mut Incoming,
     to_client: &mpsc::Sender<BodyFrame>,
 ) -> bool {
     loop {
         let next = poll_fn(|cx| Pin::new(&mut *body).poll_frame(cx));
-        let piece = match tokio::time::timeout(upstreams.stall, link.drive(next)).await {
+        let piece = match tokio::time::timeout(upstreams.stall_timeout, connection.drive(next)).await {
             Ok(None) => return true,
             Ok(Some(Ok(frame))) => frame,
             Ok(Some(Err(_))) | Err(_) => {
--- a/crates/proxy/src/upstream/platform.rs
+++ b/crates/proxy/src/upstream/platform.rs
@@ -30,7 +30,7 @@
     upstreams: &Upstreams,
     engine: &Rc<Engine>,
     id: AttemptId,
-    link: &mut ServerConnection,
+    connection: &mut ServerConnection,
     response: Response<Incoming>,
 ) -> bool {
     let (head, mut body) = response.into_parts();
@@ -43,7 +43,7 @@
             _ => Ending::Error,
         };
         // An attempt is out as long as its answer is on its way, and another may not be allowed beside it.
-        let whole = Box::pin(drain(link, body)).await;
+        let whole = Box::pin(drain(connection, body)).await;
         engine.on_attempt_ended(id, ending);
         return whole;
     }
@@ -59,7 +59,7 @@
     let mut pieces = BufferedBody::new(upstreams.budget.lease());
     let mut next = None;
     while length.is_none_or(|l| l <= WHOLE) {
-        match tokio::time::timeout(SHORT_STALL, link.drive(body.frame())).await {
+        match tokio::time::timeout(SHORT_STALL, connection.drive(body.frame())).await {
             Ok(None) => {
                 engine.on_buffered_answer(id, head.status, headers, pieces);
                 return true;
@@ -80,15 +80,15 @@
         }
     }
     // Apart from the attempt, which is made for short answers too.
-    Box::pin(stream(engine, id, link, headers, length, pieces, next, body)).await
+    Box::pin(stream(engine, id, connection, headers, length, pieces, next, body)).await
 }
 
 /// Reads the rest of an answer that nobody wants, so that the connection can be kept; not for long.
-pub(super) async fn drain(link: &mut ServerConnection, mut body: Incoming) -> bool {
+pub(super) async fn drain(connection: &mut ServerConnection, mut body: Incoming) -> bool {
     let mut left = WHOLE as usize;
     let all = async {
         loop {
-            match link.drive(body.frame()).await {
+            match connection.drive(body.frame()).await {
                 None => return true,
                 Some(Ok(frame)) => match left.checked_sub(frame.data_ref().map_or(0, Bytes::len)) {
                     Some(rest) => left = rest,
@@ -106,7 +106,7 @@
 async fn stream(
     engine: &Rc<Engine>,
     id: AttemptId,
-    link: &mut ServerConnection,
+    connection: &mut ServerConnection,
     headers: HeaderMap,
     length: Option<u64>,
     held: BufferedBody,
@@ -123,7 +123,7 @@
     loop {
         let piece = match held.next().or_else(|| next.take()) {
             Some(piece) => piece,
-            None => match tokio::time::timeout(STALL, link.drive(body.frame())).await {
+            None => match tokio::time::timeout(STALL, connection.drive(body.frame())).await {
                 Ok(None) => return true,
                 Ok(Some(Ok(frame))) => match frame.into_data() {
                     Ok(data) => data,
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -208,7 +208,7 @@
             self.engine.keep_quotas(terms.quotas.clone())?;
         }
         if differs.times {
-            self.upstreams.keep_times(told);
+            self.upstreams.set_timeouts(told);
         }
         if differs.source {
             match (&self.discovery, &told.source) {
@@ -294,7 +294,7 @@
 
     fn tell(&self, kind: ListKind, listed: Vec<Listed>) {
         let entries = listed.into_iter().map(entry).collect();
-        let servers = self.upstreams.follow(kind, entries);
+        let servers = self.upstreams.apply_list(kind, entries);
         self.engine.on_server_list(kind, servers);
     }
 }
@@ -302,7 +302,7 @@
 fn entry(listed: Listed) -> ListedServer {
     ListedServer {
         host: listed.name,
-        dial: listed.address,
+        address: listed.address,
         server: ServerInfo {
             zone: listed.zone,
             kind: listed.kind,
--- a/crates/proxy/src/upstream/servers.rs
+++ b/crates/proxy/src/upstream/servers.rs
@@ -16,14 +16,14 @@
     /// Its name, the same at every node.
     pub host: String,
     /// Where it listens for this node.
-    pub dial: SocketAddr,
-    /// All that the module is told; its id is filled in by the fleet.
+    pub address: SocketAddr,
+    /// All that the module is told; its id is filled in by the table.
     pub server: Server,
 }
 
 struct ServerState {
     host: Arc<str>,
-    dial: SocketAddr,
+    address: SocketAddr,
     /// When its process started, by another machine's clock: compared with itself alone.
     started_at: Nanos,
     /// Since when it has been listed with this start, on our own clock; 0 for the first.
@@ -40,8 +40,8 @@
     /// When connections rest before they are used again.
     rests: ReuseDelay,
     /// When a server last said more than it was asked for.
-    spoke_at: Option<Nanos>,
-    pub(super) lives: IdleLifetime,
+    surplus_at: Option<Nanos>,
+    pub(super) idle_lifetime: IdleLifetime,
 }
 
 /// When a connection rests before it is used again. Some servers answer twice, the second time some milliseconds later: it would be
@@ -73,8 +73,8 @@
         ServerTable {
             upstreams: BTreeMap::new(),
             rests,
-            spoke_at: None,
-            lives: IdleLifetime::new(Self::keep(conn_idle)),
+            surplus_at: None,
+            idle_lifetime: IdleLifetime::new(Self::keep(conn_idle)),
         }
     }
 
@@ -83,8 +83,8 @@
     }
 
     /// Servers may close connections that have stood idle for this long, from here on.
-    pub(super) fn keep_idle(&mut self, conn_idle: Nanos) {
-        self.lives.keep_to(Self::keep(conn_idle));
+    pub(super) fn set_server_idle_timeout(&mut self, conn_idle: Nanos) {
+        self.idle_lifetime.set_upper_limit(Self::keep(conn_idle));
     }
 
     fn id(&self, host: &str) -> ServerId {
@@ -93,21 +93,21 @@
     }
 
     /// Takes over a list or changes to it, and puts it into the module's words.
-    pub fn follow(&mut self, now: Nanos, kind: ListKind, entries: Vec<ListedServer>) -> Vec<Server> {
+    pub fn apply_list(&mut self, now: Nanos, kind: ListKind, entries: Vec<ListedServer>) -> Vec<Server> {
         let mut servers = Vec::with_capacity(entries.len());
         for entry in entries {
             let id = self.id(&entry.host);
-            let (dial, started_at) = (entry.dial, entry.server.started_at);
+            let (address, started_at) = (entry.address, entry.server.started_at);
             let upstream = self.upstreams.entry(id).or_insert_with(|| ServerState {
                 host: entry.host.into(),
-                dial,
+                address,
                 started_at,
                 started_anew_at: 0,
                 closed_at: None,
                 idle: Vec::new(),
             });
-            if upstream.dial != dial || upstream.started_at != started_at {
-                (upstream.dial, upstream.started_at) = (dial, started_at);
+            if upstream.address != address || upstream.started_at != started_at {
+                (upstream.address, upstream.started_at) = (address, started_at);
                 upstream.started_anew_at = now;
                 upstream.idle.clear();
             }
@@ -131,23 +131,23 @@
         self.upstreams.get(&server).map(|u| u.host.clone())
     }
 
-    pub(super) fn dial(&self, server: ServerId) -> Option<SocketAddr> {
-        self.upstreams.get(&server).filter(|u| u.closed_at.is_none()).map(|u| u.dial)
+    pub(super) fn address(&self, server: ServerId) -> Option<SocketAddr> {
+        self.upstreams.get(&server).filter(|u| u.closed_at.is_none()).map(|u| u.address)
     }
 
     pub(super) fn checkout(&mut self, server: ServerId, now: Nanos) -> Option<IdleConnection> {
-        let oldest = now.saturating_sub(self.lives.keep);
+        let oldest = now.saturating_sub(self.idle_lifetime.max_idle);
         let newest = now.saturating_sub(self.rest(now));
         let upstream = self.upstreams.get_mut(&server)?;
-        while let Some(at) = upstream.idle.iter().rposition(|idle| idle.since <= newest) {
+        while let Some(at) = upstream.idle.iter().rposition(|idle| idle.idle_since <= newest) {
             let idle = upstream.idle.remove(at);
             // What has come since it was kept (a close, a second copy of the last answer, noise) would be taken
             // for the next request's end or answer. The kernel knows; the runtime may not yet.
-            if idle.since >= oldest && idle.link.socket.is_quiet() {
+            if idle.idle_since >= oldest && idle.connection.socket.is_quiet() {
                 return Some(idle);
             }
-            if idle.link.socket.has_unread_bytes() {
-                self.spoke_at = Some(now);
+            if idle.connection.socket.has_unread_bytes() {
+                self.surplus_at = Some(now);
             }
         }
         None
@@ -155,7 +155,7 @@
 
     /// How long connections rest before they are used again.
     fn rest(&self, now: Nanos) -> Nanos {
-        let spoken = self.spoke_at.is_some_and(|at| now.saturating_sub(at) < SPOKEN);
+        let spoken = self.surplus_at.is_some_and(|at| now.saturating_sub(at) < SPOKEN);
         match self.rests {
             ReuseDelay::Always => REST,
             ReuseDelay::AfterSurplusBytes if spoken => REST,
@@ -164,19 +164,19 @@
     }
 
     /// When a connection to this server that rests may be used; none where none does.
-    pub(super) fn rested_at(&self, server: ServerId, now: Nanos) -> Option<Nanos> {
+    pub(super) fn reusable_at(&self, server: ServerId, now: Nanos) -> Option<Nanos> {
         let oldest = self.upstreams.get(&server)?.idle.first()?;
-        Some(oldest.since + self.rest(now)).filter(|at| *at > now)
+        Some(oldest.idle_since + self.rest(now)).filter(|at| *at > now)
     }
 
     /// A server has said more than it was asked for.
-    pub(super) fn spoke(&mut self, now: Nanos) {
-        self.spoke_at = Some(now);
+    pub(super) fn record_surplus(&mut self, now: Nanos) {
+        self.surplus_at = Some(now);
     }
 
-    pub(super) fn checkin(&mut self, server: ServerId, dial: SocketAddr, idle: IdleConnection) {
+    pub(super) fn checkin(&mut self, server: ServerId, address: SocketAddr, idle: IdleConnection) {
         if let Some(u) = self.upstreams.get_mut(&server) {
-            if u.closed_at.is_none() && u.dial == dial && u.started_anew_at <= idle.opened {
+            if u.closed_at.is_none() && u.address == address && u.started_anew_at <= idle.opened_at {
                 u.idle.push(idle);
             }
         }
@@ -184,19 +184,19 @@
 
     /// Closes what has stood idle for too long or was closed by its server.
     pub fn sweep(&mut self, now: Nanos) {
-        let oldest = now.saturating_sub(self.lives.keep);
-        let mut spoke = false;
+        let oldest = now.saturating_sub(self.idle_lifetime.max_idle);
+        let mut surplus = false;
         for upstream in self.upstreams.values_mut() {
             upstream.idle.retain(|i| {
-                spoke |= i.link.socket.has_unread_bytes();
-                i.since >= oldest && i.link.socket.is_quiet()
+                surplus |= i.connection.socket.has_unread_bytes();
+                i.idle_since >= oldest && i.connection.socket.is_quiet()
             });
         }
-        self.spoke_at = spoke.then_some(now).or(self.spoke_at);
+        self.surplus_at = surplus.then_some(now).or(self.surplus_at);
     }
 
-    pub(super) fn evict(&mut self) -> bool {
-        let since = |u: &ServerState| u.idle.first().map(|i| i.since);
+    pub(super) fn close_oldest_idle(&mut self) -> bool {
+        let since = |u: &ServerState| u.idle.first().map(|i| i.idle_since);
         let upstreams = self.upstreams.values_mut().filter(|u| !u.idle.is_empty());
         upstreams.min_by_key(|u| since(u)).map(|u| u.idle.remove(0)).is_some()
     }
@@ -223,58 +223,58 @@
     const MS: Nanos = 1_000_000;
 
     /// A connection to a peer, the peer's end of it, and its address.
-    async fn link() -> (ServerConnection, std::net::TcpStream, SocketAddr) {
+    async fn connection() -> (ServerConnection, std::net::TcpStream, SocketAddr) {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
-        let dial = listener.local_addr().unwrap();
-        let socket = Socket::new(TcpStream::connect(dial).await.unwrap());
+        let address = listener.local_addr().unwrap();
+        let socket = Socket::new(TcpStream::connect(address).await.unwrap());
         let peer = listener.accept().unwrap().0;
         let io = TokioIo::new(SocketIo(socket.clone()));
-        let (sender, connection) = http1::handshake::<_, crate::body::RequestBody>(io).await.unwrap();
-        let link = ServerConnection {
+        let (sender, driver) = http1::handshake::<_, crate::body::RequestBody>(io).await.unwrap();
+        let connection = ServerConnection {
             socket,
             sender,
-            connection: Some(Box::new(connection)),
-            heard: Default::default(),
-            surplus: false,
+            driver: Some(Box::new(driver)),
+            interim_answers: Default::default(),
+            has_surplus_bytes: false,
             _slot: Budget::new(100, 100).server().unwrap(),
-            _place: super::super::upstreams::ConnectionPermit::free(),
+            _permit: super::super::upstreams::ConnectionPermit::free(),
         };
-        (link, peer, dial)
+        (connection, peer, address)
     }
 
-    /// Where servers have been heard to say more than they were asked for, and there alone, connections rest.
+    /// Where servers have been interim_answers to say more than they were asked for, and there alone, connections rest.
     #[tokio::test]
     async fn connections_rest_where_servers_speak_unasked() {
-        let (link, _peer, dial) = link().await;
-        let mut fleet = ServerTable::new(10_000 * MS, ReuseDelay::AfterSurplusBytes);
-        let entry = ListedServer { host: "s-0".into(), dial, server: Server::warm(ServerId(0)) };
-        let server = fleet.follow(0, ListKind::Full, vec![entry])[0].id;
+        let (connection, _peer, address) = connection().await;
+        let mut table = ServerTable::new(10_000 * MS, ReuseDelay::AfterSurplusBytes);
+        let entry = ListedServer { host: "s-0".into(), address, server: Server::warm(ServerId(0)) };
+        let server = table.apply_list(0, ListKind::Full, vec![entry])[0].id;
         let put_back = 100 * MS;
-        fleet.checkin(server, dial, IdleConnection { link, opened: 0, since: put_back });
-        assert_eq!(fleet.rested_at(server, put_back), None);
-        let idle = fleet.checkout(server, put_back).expect("it is used at once");
-        fleet.spoke(put_back);
-        fleet.checkin(server, dial, IdleConnection { since: put_back, ..idle });
-        assert!(fleet.checkout(server, put_back + REST - 1).is_none());
-        assert_eq!(fleet.rested_at(server, put_back + REST - 1), Some(put_back + REST));
-        let idle = fleet.checkout(server, put_back + REST).expect("it has rested");
+        table.checkin(server, address, IdleConnection { connection, opened_at: 0, idle_since: put_back });
+        assert_eq!(table.reusable_at(server, put_back), None);
+        let idle = table.checkout(server, put_back).expect("it is used at once");
+        table.record_surplus(put_back);
+        table.checkin(server, address, IdleConnection { idle_since: put_back, ..idle });
+        assert!(table.checkout(server, put_back + REST - 1).is_none());
+        assert_eq!(table.reusable_at(server, put_back + REST - 1), Some(put_back + REST));
+        let idle = table.checkout(server, put_back + REST).expect("it has rested");
         let later = put_back + SPOKEN;
-        fleet.checkin(server, dial, IdleConnection { since: later, ..idle });
-        assert!(fleet.checkout(server, later).is_some(), "that is long ago");
+        table.checkin(server, address, IdleConnection { idle_since: later, ..idle });
+        assert!(table.checkout(server, later).is_some(), "that is long ago");
     }
 
     /// Where servers are known to answer twice, connections rest whether or not one of them has done so yet.
     #[tokio::test]
     async fn connections_rest_from_the_start_where_servers_answer_twice() {
-        let (link, _peer, dial) = link().await;
-        let mut fleet = ServerTable::new(10_000 * MS, ReuseDelay::Always);
-        let entry = ListedServer { host: "s-0".into(), dial, server: Server::warm(ServerId(0)) };
-        let server = fleet.follow(0, ListKind::Full, vec![entry])[0].id;
+        let (connection, _peer, address) = connection().await;
+        let mut table = ServerTable::new(10_000 * MS, ReuseDelay::Always);
+        let entry = ListedServer { host: "s-0".into(), address, server: Server::warm(ServerId(0)) };
+        let server = table.apply_list(0, ListKind::Full, vec![entry])[0].id;
         let put_back = 100 * MS;
-        fleet.checkin(server, dial, IdleConnection { link, opened: 0, since: put_back });
-        assert!(fleet.checkout(server, put_back + REST - 1).is_none());
-        assert_eq!(fleet.rested_at(server, put_back), Some(put_back + REST));
-        assert!(fleet.checkout(server, put_back + REST).is_some());
+        table.checkin(server, address, IdleConnection { connection, opened_at: 0, idle_since: put_back });
+        assert!(table.checkout(server, put_back + REST - 1).is_none());
+        assert_eq!(table.reusable_at(server, put_back), Some(put_back + REST));
+        assert!(table.checkout(server, put_back + REST).is_some());
     }
 
     /// A start is listed by another machine's clock, which may be ahead: connections are kept all the same. Those from before another
@@ -282,21 +282,29 @@
     #[tokio::test]
     async fn connections_are_kept_whatever_clock_dates_a_start() {
         let far_ahead = 3_600_000 * MS;
-        let mut fleet = ServerTable::new(10_000 * MS, ReuseDelay::AfterSurplusBytes);
-        let (first, _peer, dial) = link().await;
+        let mut table = ServerTable::new(10_000 * MS, ReuseDelay::AfterSurplusBytes);
+        let (first, _peer, address) = connection().await;
         let list = |started_at| {
             let server = Server { started_at, ..Server::warm(ServerId(0)) };
-            vec![ListedServer { host: "s-0".into(), dial, server }]
+            vec![ListedServer { host: "s-0".into(), address, server }]
         };
-        let server = fleet.follow(100 * MS, ListKind::Full, list(far_ahead))[0].id;
-        fleet.checkin(server, dial, IdleConnection { link: first, opened: 200 * MS, since: 200 * MS });
-        let kept = fleet.checkout(server, 200 * MS).expect("it is kept");
-        fleet.follow(300 * MS, ListKind::Changes, list(far_ahead - MS));
-        fleet.checkin(server, dial, kept);
-        assert!(fleet.checkout(server, 300 * MS).is_none(), "it led to the process before");
-        let (second, _peer, _) = link().await;
-        fleet.checkin(server, dial, IdleConnection { link: second, opened: 400 * MS, since: 400 * MS });
-        assert!(fleet.checkout(server, 400 * MS).is_some());
+        let server = table.apply_list(100 * MS, ListKind::Full, list(far_ahead))[0].id;
+        table.checkin(
+            server,
+            address,
+            IdleConnection { connection: first, opened_at: 200 * MS, idle_since: 200 * MS },
+        );
+        let kept = table.checkout(server, 200 * MS).expect("it is kept");
+        table.apply_list(300 * MS, ListKind::Changes, list(far_ahead - MS));
+        table.checkin(server, address, kept);
+        assert!(table.checkout(server, 300 * MS).is_none(), "it led to the process before");
+        let (second, _peer, _) = connection().await;
+        table.checkin(
+            server,
+            address,
+            IdleConnection { connection: second, opened_at: 400 * MS, idle_since: 400 * MS },
+        );
+        assert!(table.checkout(server, 400 * MS).is_some());
     }
 
     /// What has come on a connection while it was kept is not the answer to the next request, and a close there
@@ -304,21 +312,21 @@
     #[tokio::test]
     async fn a_kept_connection_that_has_spoken_is_not_used() {
         for word in [&b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"[..], b""] {
-            let (link, mut peer, dial) = link().await;
-            let socket = link.socket.clone();
-            let mut fleet = ServerTable::new(10_000 * MS, ReuseDelay::AfterSurplusBytes);
-            let entry = ListedServer { host: "s-0".into(), dial, server: Server::warm(ServerId(0)) };
-            let server = fleet.follow(0, ListKind::Full, vec![entry])[0].id;
-            fleet.checkin(server, dial, IdleConnection { link, opened: 0, since: 0 });
-            let idle = fleet.checkout(server, 0).expect("a quiet one is used");
-            fleet.checkin(server, dial, idle);
+            let (connection, mut peer, address) = connection().await;
+            let socket = connection.socket.clone();
+            let mut table = ServerTable::new(10_000 * MS, ReuseDelay::AfterSurplusBytes);
+            let entry = ListedServer { host: "s-0".into(), address, server: Server::warm(ServerId(0)) };
+            let server = table.apply_list(0, ListKind::Full, vec![entry])[0].id;
+            table.checkin(server, address, IdleConnection { connection, opened_at: 0, idle_since: 0 });
+            let idle = table.checkout(server, 0).expect("a quiet one is used");
+            table.checkin(server, address, idle);
             peer.write_all(word).unwrap();
             drop(peer);
             let start = std::time::Instant::now();
             while socket.is_quiet() {
                 assert!(start.elapsed().as_secs() < 20, "nothing came");
             }
-            assert!(fleet.checkout(server, 0).is_none(), "{} bytes and a close", word.len());
+            assert!(table.checkout(server, 0).is_none(), "{} bytes and a close", word.len());
         }
     }
 
@@ -326,13 +334,13 @@
     #[test]
     fn identity_comes_from_the_name() {
         let list = |dials: [&str; 2]| {
-            let entry = |(k, dial): (usize, &&str)| ListedServer {
+            let entry = |(k, address): (usize, &&str)| ListedServer {
                 host: format!("s-{k}"),
-                dial: dial.parse().unwrap(),
+                address: address.parse().unwrap(),
                 server: Server::warm(ServerId(0)),
             };
             let entries = dials.iter().enumerate().map(entry).collect();
-            ServerTable::new(1, ReuseDelay::Always).follow(0, ListKind::Full, entries)
+            ServerTable::new(1, ReuseDelay::Always).apply_list(0, ListKind::Full, entries)
         };
         let (a, b) = (list(["127.0.0.1:1", "127.0.0.1:2"]), list(["127.0.0.2:9", "127.0.0.1:1"]));
         assert_eq!(a, b);
--- a/crates/proxy/src/upstream/upstreams.rs
+++ b/crates/proxy/src/upstream/upstreams.rs
@@ -1,6 +1,6 @@
 //! The servers of one pool with their connections, and the attempts on these.
 
-use super::attempt::attempt;
+use super::attempt::run_attempt;
 use super::servers::{ListedServer, ReuseDelay, ServerTable};
 use super::PoolContext;
 use crate::socket::Socket;
@@ -19,13 +19,13 @@
 
 /// How long an attempt that was given up may go on, so that its connection can be used again. Giving it up by
 /// closing costs the server a new handshake, and the work goes on there all the same.
-const LINGER: Nanos = 1_000_000_000;
+const ABANDONED_ATTEMPT_GRACE: Nanos = 1_000_000_000;
 
 /// See the module's documentation.
 pub struct Upstreams {
     /// The pool's name.
     name: String,
-    fleet: RefCell<ServerTable>,
+    servers: RefCell<ServerTable>,
     pub(super) dialect: Dialect,
     pub(super) budget: Rc<Budget>,
     pub(super) clock: Clock,
@@ -33,21 +33,21 @@
     pub(super) forwards: IntCounter,
     pub(super) connect_timeout: Cell<Duration>,
     /// How long an answer's body may stand still.
-    pub(super) stall: Duration,
+    pub(super) stall_timeout: Duration,
     /// How much a connection reads at once; an answer's head has to fit.
-    pub(super) buffer: usize,
-    places: Rc<ConnectionLimiter>,
+    pub(super) read_buffer_bytes: usize,
+    limiter: Rc<ConnectionLimiter>,
     /// Attempts that were given up and go on for a while; bounded by the connections to servers.
-    lingering: Rc<RefCell<VecDeque<(Nanos, AbortHandle)>>>,
+    abandoned: Rc<RefCell<VecDeque<(Nanos, AbortHandle)>>>,
     /// Bounded by the module, which asks again only after an answer.
     list_calls: mpsc::UnboundedSender<DiscoveryCall>,
 }
 
 /// Connections that a pool may hold, and requests that wait for one.
 struct ConnectionLimiter {
-    most: usize,
-    most_waiting: usize,
-    taken: Cell<usize>,
+    max_connections: usize,
+    max_waiting: usize,
+    open: Cell<usize>,
     waiting: Cell<usize>,
     freed: Notify,
 }
@@ -65,9 +65,9 @@
 
 impl Drop for ConnectionPermit {
     fn drop(&mut self) {
-        if let Some(places) = &self.0 {
-            places.taken.set(places.taken.get() - 1);
-            places.freed.notify_one();
+        if let Some(limiter) = &self.0 {
+            limiter.open.set(limiter.open.get() - 1);
+            limiter.freed.notify_one();
         }
     }
 }
@@ -79,7 +79,7 @@
     fn drop(&mut self) {
         self.0.waiting.set(self.0.waiting.get() - 1);
         // It may have been woken, and the next one in its place must not sleep on.
-        if self.0.taken.get() < self.0.most {
+        if self.0.open.get() < self.0.max_connections {
             self.0.freed.notify_one();
         }
     }
@@ -99,90 +99,90 @@
         };
         Rc::new(Upstreams {
             name: pool.name.clone(),
-            fleet: RefCell::new(ServerTable::new(pool.idle_timeout, rests)),
+            servers: RefCell::new(ServerTable::new(pool.idle_timeout, rests)),
             dialect: pool.dialect,
             budget: shared.budget.clone(),
             clock: shared.clock,
             forwards: shared.figures.forwards.clone(),
             connect_timeout: Cell::new(Duration::from_nanos(pool.connect_timeout)),
-            stall: Duration::from_nanos(limits.stall_timeout),
-            buffer: limits.read_buffer(),
-            places: Rc::new(ConnectionLimiter {
-                most: pool.max_connections.unwrap_or(usize::MAX),
-                most_waiting: pool.max_waiting,
-                taken: Cell::new(0),
+            stall_timeout: Duration::from_nanos(limits.stall_timeout),
+            read_buffer_bytes: limits.read_buffer(),
+            limiter: Rc::new(ConnectionLimiter {
+                max_connections: pool.max_connections.unwrap_or(usize::MAX),
+                max_waiting: pool.max_waiting,
+                open: Cell::new(0),
                 waiting: Cell::new(0),
                 freed: Notify::new(),
             }),
-            lingering: Rc::default(),
+            abandoned: Rc::default(),
             list_calls,
         })
     }
 
     /// Goes by these times from here on, for connections that are there already too.
-    pub fn keep_times(&self, pool: &Pool) {
+    pub fn set_timeouts(&self, pool: &Pool) {
         self.connect_timeout.set(Duration::from_nanos(pool.connect_timeout));
-        self.fleet(|f| f.keep_idle(pool.idle_timeout));
+        self.with_servers(|servers| servers.set_server_idle_timeout(pool.idle_timeout));
     }
 
     /// Runs `f` on the fleet's connections.
-    pub(super) fn fleet<T>(&self, f: impl FnOnce(&mut ServerTable) -> T) -> T {
-        f(&mut self.fleet.borrow_mut())
+    pub(super) fn with_servers<T>(&self, f: impl FnOnce(&mut ServerTable) -> T) -> T {
+        f(&mut self.servers.borrow_mut())
     }
 
     /// Takes over a list or changes to it, and puts it into the module's words.
-    pub fn follow(&self, kind: ListKind, entries: Vec<ListedServer>) -> Vec<Server> {
-        self.fleet(|f| f.follow(self.clock.now(), kind, entries))
+    pub fn apply_list(&self, kind: ListKind, entries: Vec<ListedServer>) -> Vec<Server> {
+        self.with_servers(|servers| servers.apply_list(self.clock.now(), kind, entries))
     }
 
     /// Closes what has stood idle for too long or was closed by its server.
     pub fn close_expired_idle(&self) {
-        self.fleet(|f| f.sweep(self.clock.now()));
-        while self.budget.servers_over() && self.evict() {}
+        self.with_servers(|servers| servers.sweep(self.clock.now()));
+        while self.budget.servers_over() && self.close_oldest_idle() {}
     }
 
     /// AbortOnDrop attempts that have lingered for long enough.
     pub fn abort_overdue_attempts(&self) {
         let now = self.clock.now();
-        let mut lingering = self.lingering.borrow_mut();
-        while let Some((_, task)) = lingering.pop_front_if(|(at, _)| *at <= now) {
+        let mut abandoned = self.abandoned.borrow_mut();
+        while let Some((_, task)) = abandoned.pop_front_if(|(at, _)| *at <= now) {
             task.abort();
         }
     }
 
     /// Closes one connection whose attempt is long told of, to make room; false where there is none.
-    pub(super) fn stop_lingering(&self) -> bool {
-        let oldest = self.lingering.borrow_mut().pop_front();
+    pub(super) fn abort_oldest_abandoned(&self) -> bool {
+        let oldest = self.abandoned.borrow_mut().pop_front();
         oldest.inspect(|(_, task)| task.abort()).is_some()
     }
 
     /// Closes the connection that has stood idle for longest; false where there is none.
-    pub(super) fn evict(&self) -> bool {
-        self.fleet(ServerTable::evict)
+    pub(super) fn close_oldest_idle(&self) -> bool {
+        self.with_servers(ServerTable::close_oldest_idle)
     }
 
     /// Whether requests wait for a connection: one that gets free is worth more than one that is kept.
-    pub(super) fn crowded(&self) -> bool {
-        self.places.waiting.get() > 0
+    pub(super) fn has_waiting_requests(&self) -> bool {
+        self.limiter.waiting.get() > 0
     }
 
     /// A place for one more connection, as soon as there is one; none where too many wait already.
-    pub(super) async fn place(&self) -> Option<ConnectionPermit> {
-        let places = &self.places;
-        if places.taken.get() >= places.most && !self.evict() {
-            if places.waiting.get() >= places.most_waiting {
+    pub(super) async fn acquire_permit(&self) -> Option<ConnectionPermit> {
+        let limiter = &self.limiter;
+        if limiter.open.get() >= limiter.max_connections && !self.close_oldest_idle() {
+            if limiter.waiting.get() >= limiter.max_waiting {
                 return None;
             }
-            places.waiting.set(places.waiting.get() + 1);
-            let _waiting = WaitingGuard(places);
-            while places.taken.get() >= places.most && !self.evict() {
-                places.freed.notified().await;
+            limiter.waiting.set(limiter.waiting.get() + 1);
+            let _waiting = WaitingGuard(limiter);
+            while limiter.open.get() >= limiter.max_connections && !self.close_oldest_idle() {
+                limiter.freed.notified().await;
             }
-            places.taken.set(places.taken.get() + 1);
+            limiter.open.set(limiter.open.get() + 1);
         } else {
-            places.taken.set(places.taken.get() + 1);
+            limiter.open.set(limiter.open.get() + 1);
         }
-        Some(ConnectionPermit(Some(places.clone())))
+        Some(ConnectionPermit(Some(limiter.clone())))
     }
 }
 
@@ -198,11 +198,11 @@
         message: Rc<Message>,
     ) -> Box<dyn RunningAttempt> {
         let socket = Rc::default();
-        let task = attempt(self.0.clone(), engine.clone(), id, server, message, Rc::clone(&socket));
+        let task = run_attempt(self.0.clone(), engine.clone(), id, server, message, Rc::clone(&socket));
         Box::new(SpawnedAttempt {
             socket,
             task: tokio::task::spawn_local(task).abort_handle(),
-            lingering: self.0.lingering.clone(),
+            abandoned: self.0.abandoned.clone(),
             clock: self.0.clock,
         })
     }
@@ -212,7 +212,7 @@
     }
 
     fn server_name(&self, server: ServerId) -> Option<Arc<str>> {
-        self.0.fleet(|f| f.name(server))
+        self.0.with_servers(|servers| servers.name(server))
     }
 
     fn log(&self, server: Option<ServerId>, text: &str) {
@@ -228,7 +228,7 @@
     /// The connection that it has, once it has one.
     socket: Rc<RefCell<Option<Rc<Socket>>>>,
     task: AbortHandle,
-    lingering: Rc<RefCell<VecDeque<(Nanos, AbortHandle)>>>,
+    abandoned: Rc<RefCell<VecDeque<(Nanos, AbortHandle)>>>,
     clock: Clock,
 }
 
@@ -249,7 +249,7 @@
 
     fn abandon(self: Box<Self>) {
         if self.written() {
-            self.lingering.borrow_mut().push_back((self.clock.now() + LINGER, self.task));
+            self.abandoned.borrow_mut().push_back((self.clock.now() + ABANDONED_ATTEMPT_GRACE, self.task));
         } else {
             self.task.abort();
         }
