--- a/crates/corkhollow/src/commands/membership.rs
+++ b/crates/corkhollow/src/commands/membership.rs
@@ -3,7 +3,7 @@
 use super::run::StartError;
 use corkhollow_engine::{log, Pace};
 use corkhollow_fleet::{Additions, Config, Group, Timing};
-use corkhollow_operate::{Figures, FleetHandover};
+use corkhollow_operate::{FleetHandover, Metrics};
 use corkhollow_plan::plan::{self, Plan};
 use corkhollow_proxy::fleet::{Fleet, Place};
 use corkhollow_proxy::site::Current;
@@ -59,7 +59,7 @@
 
 impl Membership {
     /// Joins the fleet that the plan names, and counts by it from the first request on.
-    pub async fn join(&self, plan: &Plan, figures: &Figures, seed: u64) -> Result<(), StartError> {
+    pub async fn join(&self, plan: &Plan, figures: &Metrics, seed: u64) -> Result<(), StartError> {
         let Some(told) = &plan.fleet else { return Ok(()) };
         let open = |error| StartError::Listen { address: told.listen, error };
         let socket = UdpSocket::bind(told.listen).map_err(open)?;
@@ -74,7 +74,7 @@
     }
 
     /// Takes another process's place in the fleet once that one has let go of it, and counts as that one did until then.
-    pub async fn succeed(self, plan: Arc<Plan>, from: Option<FleetHandover>, figures: Figures, seed: u64) {
+    pub async fn succeed(self, plan: Arc<Plan>, from: Option<FleetHandover>, figures: Metrics, seed: u64) {
         let Some(told) = &plan.fleet else { return };
         let socket = loop {
             match UdpSocket::bind(told.listen) {
@@ -151,7 +151,7 @@
     }
 }
 
-fn start(config: Config, socket: UdpSocket, seed: u64, figures: &Figures) -> Result<Fleet, StartError> {
+fn start(config: Config, socket: UdpSocket, seed: u64, figures: &Metrics) -> Result<Fleet, StartError> {
     let local = socket.local_addr()?;
     log(format_args!("fleet {}: {} hears datagrams at {local}", config.fleet, config.name));
     // Another life of the same node draws other numbers.
--- a/crates/corkhollow/src/commands/reload.rs
+++ b/crates/corkhollow/src/commands/reload.rs
@@ -7,7 +7,7 @@
 use corkhollow_engine::log;
 use corkhollow_fleet::Config as FleetConfig;
 use corkhollow_fleet::Group;
-use corkhollow_operate::Figures;
+use corkhollow_operate::Metrics;
 use corkhollow_plan::change::Change;
 use corkhollow_plan::plan::{Plan, Source};
 use corkhollow_plan::platform::{Config, Shape};
@@ -102,7 +102,7 @@
     }
 
     /// SIGHUP has come.
-    pub fn begin(&mut self, current: &Current, figures: &Figures) {
+    pub fn begin(&mut self, current: &Current, figures: &Metrics) {
         if self.running.is_some() {
             self.again = true;
             return;
@@ -133,7 +133,7 @@
     }
 
     /// Puts in force what has been compiled, unless it is passed over; begins with what is newer.
-    pub fn finish(&mut self, ready: Ready, mut target: Target<'_>, figures: &Figures) {
+    pub fn finish(&mut self, ready: Ready, mut target: Target<'_>, figures: &Metrics) {
         match ready
             .compiled
             .map(|compiled| compiled.and_then(|c| self.put(*c, &mut target).map_err(|e| e.to_string())))
@@ -185,7 +185,7 @@
     newer: bool,
 }
 
-fn turn_down(figures: &Figures, why: &dyn std::fmt::Display) {
+fn turn_down(figures: &Metrics, why: &dyn std::fmt::Display) {
     figures.rejected.inc();
     log(format_args!("not reloaded: {why}"));
 }
--- a/crates/corkhollow/src/commands/run.rs
+++ b/crates/corkhollow/src/commands/run.rs
@@ -7,7 +7,7 @@
 use crate::succession::{self, Neighbours};
 use corkhollow_engine::{log, Clock, Pace};
 use corkhollow_fleet::Group;
-use corkhollow_operate::{Control, Figures, FiguresError, FleetHandover, Handover};
+use corkhollow_operate::{FleetHandover, Handover, Metrics, MetricsError, SharedLifecycle};
 use corkhollow_plan::limits::Budget;
 use corkhollow_plan::plan::Plan;
 use corkhollow_plan::platform::{Config, ConfigError};
@@ -72,7 +72,7 @@
     #[error("{0}")]
     System(#[from] std::io::Error),
     #[error("{0}")]
-    Figures(#[from] FiguresError),
+    Metrics(#[from] MetricsError),
 }
 
 /// Serves until SIGTERM.
@@ -264,7 +264,7 @@
     let neighbours = neighbours.map(Rc::new);
     let own = if plan.fleet.is_some() { membership::DESCRIPTORS } else { 0 };
     let budget = Budget::new(plan.limits.descriptors.saturating_sub(own), plan.limits.memory);
-    let figures = Figures::new()?;
+    let figures = Metrics::new()?;
     let shared =
         Shared { clock, budget: budget.clone(), figures: figures.clone(), engines: Engines::default() };
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
@@ -272,7 +272,7 @@
     let mut listeners = Listeners { handed, ..Listeners::default() };
     let bound = listeners.bind(&plan)?;
     let calls = plan.operator.map(listen_for_calls).transpose()?;
-    let control = Control::default();
+    let control = SharedLifecycle::default();
     let member = Membership::default();
     let succeeds = neighbours.as_ref().is_some_and(|n| n.now().older);
     if !succeeds {
@@ -391,8 +391,8 @@
 /// Keeps the figures and the node's readiness up to date, for good. It is not ready before its listeners are open.
 async fn watch(
     current: Rc<Current>,
-    control: Control,
-    figures: Figures,
+    control: SharedLifecycle,
+    figures: Metrics,
     budget: Rc<Budget>,
     open: Rc<Cell<bool>>,
 ) {
@@ -427,7 +427,12 @@
 }
 
 /// Writes down what this process has learnt while there is one that comes to its place, for good.
-async fn teach(neighbours: Rc<Neighbours>, current: Rc<Current>, control: Control, member: Membership) {
+async fn teach(
+    neighbours: Rc<Neighbours>,
+    current: Rc<Current>,
+    control: SharedLifecycle,
+    member: Membership,
+) {
     let mut failed = false;
     loop {
         let newer = neighbours.now().newer;
@@ -445,7 +450,7 @@
 }
 
 /// Tells the fleet when the operator empties the node and when no longer, for good.
-async fn tell_of_drains(place: Place, control: Control) {
+async fn tell_of_drains(place: Place, control: SharedLifecycle) {
     loop {
         if let Some(fleet) = place.get() {
             let drains = control.lock().drains();
@@ -463,7 +468,7 @@
     neighbours: &Neighbours,
     site: &Site,
     clock: Clock,
-    control: &Control,
+    control: &SharedLifecycle,
 ) -> Option<FleetHandover> {
     if !neighbours.now().older {
         return None;
@@ -495,13 +500,13 @@
 }
 
 /// Closes connections that have no request, as far as the node's life wants that; the number of those that are left.
-fn close_idle(clients: &Clients, control: &Control, clock: Clock) -> usize {
+fn close_idle(clients: &Clients, control: &SharedLifecycle, clock: Clock) -> usize {
     let before = control.lock().closes_idle_before(clock.now());
     clients.close_idle(before.unwrap_or(0))
 }
 
 /// Empties the node as long as its operator wants that, for good.
-async fn empty(clients: Rc<Clients>, control: Control, clock: Clock, changed: Arc<Notify>) {
+async fn empty(clients: Rc<Clients>, control: SharedLifecycle, clock: Clock, changed: Arc<Notify>) {
     loop {
         while control.lock().keeps() {
             changed.notified().await;
--- a/crates/corkhollow/src/succession.rs
+++ b/crates/corkhollow/src/succession.rs
@@ -3,7 +3,7 @@
 
 use corkhollow_balance::interface::Nanos;
 use corkhollow_engine::log;
-use corkhollow_operate::{Handover, Succession, LONGEST_HANDOVER};
+use corkhollow_operate::{Handover, Succession, MAX_HANDOVER_BYTES};
 use std::cell::Cell;
 use std::fs::{File, OpenOptions, TryLockError};
 use std::io::{self, Read, Write};
@@ -155,7 +155,7 @@
             return None;
         }
         let mut bytes = Vec::new();
-        file.take(LONGEST_HANDOVER as u64 + 1).read_to_end(&mut bytes).ok()?;
+        file.take(MAX_HANDOVER_BYTES as u64 + 1).read_to_end(&mut bytes).ok()?;
         let handover = Handover::decode(&bytes).ok().filter(|handover| handover.written_at().is_some())?;
         (written_at >= joined).then(|| handover.dated(written_at))
     }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -13,7 +13,7 @@
     Ending, ListKind, Nanos, Quotas, Request, RequestId, Server, ServerId, Settings, SettingsError,
 };
 use corkhollow_balance::Knowledge;
-use corkhollow_operate::{ClientId, Event, PoolFigures, Proposed, Subject};
+use corkhollow_operate::{ClientRequestId, DenialPoint, Event, PoolMetrics, Subject};
 use http::header::{HeaderMap, HeaderValue};
 use http::StatusCode;
 use std::cell::{Cell, RefCell};
@@ -77,7 +77,7 @@
 pub struct Engine {
     clock: Clock,
     carrier: Rc<dyn Carrier>,
-    figures: PoolFigures,
+    figures: PoolMetrics,
     requests: RefCell<Pool>,
     /// Clients that wait.
     replies: RefCell<HashMap<RequestId, oneshot::Sender<Answer>>>,
@@ -97,7 +97,7 @@
         seed: u64,
         clock: Clock,
         carrier: Rc<dyn Carrier>,
-        figures: PoolFigures,
+        figures: PoolMetrics,
     ) -> Result<Rc<Self>, SettingsError> {
         Ok(Rc::new(Engine {
             requests: RefCell::new(Requests::new(clock.now(), settings, seed)?),
@@ -174,7 +174,7 @@
                 self.figures.ended(ending);
                 self.record(id.request, Event::AttemptEnded { attempt: id.number, ending });
             }
-            Command::Denied { request, denial } => self.denied(request, Proposed::Send, denial),
+            Command::Denied { request, denial } => self.denied(request, DenialPoint::Send, denial),
             Command::Repeated { after: None } => self.figures.hedges.inc(),
             Command::Repeated { after: Some(ending) } => self.figures.retried(ending),
         }
@@ -189,7 +189,8 @@
         message: Message,
     ) -> Option<Ticket> {
         let (reply, answer) = oneshot::channel();
-        let client_id = name.as_ref().map_or(ClientId::new(b"-"), |id| ClientId::new(id.as_bytes()));
+        let client_id =
+            name.as_ref().map_or(ClientRequestId::new(b"-"), |id| ClientRequestId::new(id.as_bytes()));
         // It may be answered before the step is over.
         let id = self.requests.borrow().next_id();
         self.replies.borrow_mut().insert(id, reply);
@@ -248,17 +249,17 @@
     pub fn may_begin(&self, id: AttemptId) -> bool {
         let allowed = self.requests.borrow().may_begin(self.clock.now(), id);
         if let Err(denial) = allowed {
-            self.denied(id.request, Proposed::Begin, denial);
+            self.denied(id.request, DenialPoint::Begin, denial);
         }
         allowed.is_ok()
     }
 
     /// Counts what the rules have denied. A proposal of the decision module that would have broken a rule is a fault of the program:
     /// it goes into the log.
-    fn denied(&self, request: RequestId, proposed: Proposed, denial: Denial) {
+    fn denied(&self, request: RequestId, proposed: DenialPoint, denial: Denial) {
         self.figures.denied(proposed, denial.name());
         self.record(request, Event::Denied(denial.name()));
-        if proposed == Proposed::Send && !denial.is_expected() {
+        if proposed == DenialPoint::Send && !denial.is_expected() {
             log(format_args!("request {request}: proposed and denied: {}; this is a fault", denial.name()));
         }
     }
--- a/crates/operate/src/events.rs
+++ b/crates/operate/src/events.rs
@@ -13,12 +13,12 @@
 
 /// A client's own id of a request, cut to what is kept of it.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub struct ClientId {
+pub struct ClientRequestId {
     bytes: [u8; MAX_ID],
     length: u8,
 }
 
-impl ClientId {
+impl ClientRequestId {
     /// Keeps the beginning of an id; bytes that are not printable become dots.
     pub fn new(id: &[u8]) -> Self {
         let mut bytes = [0; MAX_ID];
@@ -26,20 +26,20 @@
         for (to, from) in bytes.iter_mut().zip(id) {
             *to = if from.is_ascii_graphic() { *from } else { b'.' };
         }
-        ClientId { bytes, length: kept as u8 }
+        ClientRequestId { bytes, length: kept as u8 }
     }
 }
 
-impl fmt::Display for ClientId {
+impl fmt::Display for ClientRequestId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let text = std::str::from_utf8(&self.bytes[..usize::from(self.length)]);
         f.write_str(text.unwrap_or_default())
     }
 }
 
-impl fmt::Debug for ClientId {
+impl fmt::Debug for ClientRequestId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "ClientId({self})")
+        write!(f, "ClientRequestId({self})")
     }
 }
 
@@ -61,7 +61,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// A request was taken: its client's own id.
-    Taken(ClientId),
+    Taken(ClientRequestId),
     /// An attempt was sent on its way.
     AttemptSent {
         /// Its number among the request's attempts.
@@ -122,9 +122,9 @@
 
 /// The last events. Cheap to clone; written by the serving thread, read by any.
 #[derive(Clone, Debug, Default)]
-pub struct Recorder(Arc<Mutex<VecDeque<Record>>>);
+pub struct EventLog(Arc<Mutex<VecDeque<Record>>>);
 
-impl Recorder {
+impl EventLog {
     fn lock(&self) -> MutexGuard<'_, VecDeque<Record>> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/operate/src/fleet_page.rs
+++ b/crates/operate/src/fleet_page.rs
@@ -1,6 +1,6 @@
 //! The node's view of its fleet, as operators see it.
 
-use crate::figures::FleetFigures;
+use crate::metrics::FleetMetrics;
 use corkhollow_fleet::{Group, Kind, Nanos, Refusal, Snapshot, State, Stats};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -89,7 +89,7 @@
     }
 }
 
-impl FleetFigures {
+impl FleetMetrics {
     /// Brings the figures up to date.
     pub fn set(&self, snapshot: &Snapshot, stats: &Stats) {
         for state in State::ALL {
--- a/crates/operate/src/handover.rs
+++ b/crates/operate/src/handover.rs
@@ -8,7 +8,7 @@
 const FORM: &[u8] = b"corkhollow-handover 1\n";
 const HEAD: usize = FORM.len() + 8;
 /// The longest handover, in bytes.
-pub const LONGEST: usize = 4 << 20;
+pub const MAX_HANDOVER_BYTES: usize = 4 << 20;
 
 /// What a process knows that the next one goes on with.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -50,29 +50,29 @@
 /// Why bytes are no handover.
 #[derive(Debug, thiserror::Error)]
 pub enum HandoverError {
-    /// Over [`LONGEST`].
-    #[error("of {0} bytes; allowed: up to {LONGEST}")]
+    /// Over [`MAX_HANDOVER_BYTES`].
+    #[error("of {0} bytes; allowed: up to {MAX_HANDOVER_BYTES}")]
     TooLong(usize),
     /// Another program's, or another version's.
     #[error("of another form")]
-    Form,
+    UnknownFormat,
     /// Cut, longer than it says, or damaged.
     #[error("not whole")]
     Damaged,
     /// Whole, but not what this version writes.
     #[error("{0}")]
-    Body(#[from] serde_json::Error),
+    Json(#[from] serde_json::Error),
 }
 
 impl Handover {
     /// Writes it down.
     ///
     /// # Errors
-    /// Where it would be longer than [`LONGEST`].
+    /// Where it would be longer than [`MAX_HANDOVER_BYTES`].
     pub fn encode(&self) -> Result<Vec<u8>, HandoverError> {
         let body = serde_json::to_vec(self)?;
         let all = HEAD + body.len();
-        let length = u32::try_from(body.len()).ok().filter(|_| all <= LONGEST);
+        let length = u32::try_from(body.len()).ok().filter(|_| all <= MAX_HANDOVER_BYTES);
         let length = length.ok_or(HandoverError::TooLong(all))?;
         let mut bytes = Vec::with_capacity(all);
         bytes.extend(FORM);
@@ -87,10 +87,10 @@
     /// # Errors
     /// Where the bytes are not exactly one handover of this form.
     pub fn decode(bytes: &[u8]) -> Result<Self, HandoverError> {
-        if bytes.len() > LONGEST {
+        if bytes.len() > MAX_HANDOVER_BYTES {
             return Err(HandoverError::TooLong(bytes.len()));
         }
-        let rest = bytes.strip_prefix(FORM).ok_or(HandoverError::Form)?;
+        let rest = bytes.strip_prefix(FORM).ok_or(HandoverError::UnknownFormat)?;
         let (length, rest) = rest.split_first_chunk().ok_or(HandoverError::Damaged)?;
         let (sum, body) = rest.split_first_chunk().ok_or(HandoverError::Damaged)?;
         let whole = u32::from_be_bytes(*length) as usize == body.len();
@@ -167,10 +167,10 @@
     #[test]
     fn what_is_too_long_or_no_number_is_not_handed_over() {
         assert!(matches!(handover(60_000, 1.0).encode(), Err(HandoverError::TooLong(_))));
-        assert!(matches!(Handover::decode(&vec![0; LONGEST + 1]), Err(HandoverError::TooLong(_))));
+        assert!(matches!(Handover::decode(&vec![0; MAX_HANDOVER_BYTES + 1]), Err(HandoverError::TooLong(_))));
         // JSON has no word for it, so that it can't come back as another figure.
         let bytes = handover(1, f64::NAN).encode().unwrap();
-        assert!(matches!(Handover::decode(&bytes), Err(HandoverError::Body(_))));
+        assert!(matches!(Handover::decode(&bytes), Err(HandoverError::Json(_))));
     }
 
     proptest! {
--- a/crates/operate/src/lib.rs
+++ b/crates/operate/src/lib.rs
@@ -2,19 +2,19 @@
 //! holds sockets asks them.
 
 mod events;
-mod figures;
 mod fleet_page;
 mod handover;
 mod lifecycle;
+mod metrics;
+mod request_tracker;
 mod succession;
-mod tally;
 
-pub use events::{ClientId, Event, Record, Recorder, Subject};
-pub use figures::{Figures, FleetFigures, Held, PoolFigures, Proposed};
+pub use events::{ClientRequestId, Event, EventLog, Record, Subject};
 pub use fleet_page::{FleetMember, FleetPage};
-pub use prometheus::{Error as FiguresError, IntCounter};
+pub use metrics::{DenialPoint, FleetMetrics, Metrics, PoolMetrics, UsageGauges};
+pub use prometheus::{Error as MetricsError, IntCounter};
 
-pub use handover::{FleetHandover, Handover, HandoverError, PoolHandover, LONGEST as LONGEST_HANDOVER};
-pub use lifecycle::{Control, Lifecycle, Stage};
+pub use handover::{FleetHandover, Handover, HandoverError, PoolHandover, MAX_HANDOVER_BYTES};
+pub use lifecycle::{Lifecycle, SharedLifecycle, Stage};
+pub use request_tracker::{ClassMetrics, RequestTracker, UnservedReason};
 pub use succession::Succession;
-pub use tally::{ClassFigures, Reason, Tally};
--- a/crates/operate/src/lifecycle.rs
+++ b/crates/operate/src/lifecycle.rs
@@ -125,9 +125,9 @@
 
 /// A life that the operator's side and the serving side share.
 #[derive(Clone, Debug, Default)]
-pub struct Control(Arc<Mutex<Lifecycle>>);
+pub struct SharedLifecycle(Arc<Mutex<Lifecycle>>);
 
-impl Control {
+impl SharedLifecycle {
     /// The life, for a moment.
     pub fn lock(&self) -> MutexGuard<'_, Lifecycle> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
--- a/crates/operate/src/figures.rs
+++ b/crates/operate/src/metrics.rs
@@ -1,7 +1,7 @@
 //! What the node has done and has in hand, in the words of the text format of Prometheus (version 0.0.4).
 
-use crate::events::Recorder;
-use crate::tally::{ClassFigures, Reason};
+use crate::events::EventLog;
+use crate::request_tracker::{ClassMetrics, UnservedReason};
 use corkhollow_balance::interface::{Ending, Refusal};
 use prometheus::core::Collector;
 use prometheus::{
@@ -34,18 +34,18 @@
 
 /// What the decision module proposed or a connection was about to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Proposed {
+pub enum DenialPoint {
     /// To send an attempt or to give a final answer.
     Send,
     /// To write an attempt's first byte.
     Begin,
 }
 
-impl Proposed {
+impl DenialPoint {
     fn name(self) -> &'static str {
         match self {
-            Proposed::Send => "send",
-            Proposed::Begin => "begin",
+            DenialPoint::Send => "send",
+            DenialPoint::Begin => "begin",
         }
     }
 }
@@ -57,7 +57,7 @@
 
 /// All figures. Cheap to clone; written by the serving thread, read by any.
 #[derive(Clone, Debug)]
-pub struct Figures {
+pub struct Metrics {
     registry: Registry,
     succeeded: IntCounterVec,
     declined: IntCounterVec,
@@ -69,18 +69,18 @@
     retries_after: IntCounterVec,
     refusals: IntCounterVec,
     /// The last events of requests and connections.
-    pub recorder: Recorder,
+    pub recorder: EventLog,
     hedges: IntCounterVec,
     denied: IntCounterVec,
     closes: IntCounterVec,
     violations: IntCounterVec,
     list_age: GaugeVec,
     /// Connections of clients.
-    pub clients: Held,
+    pub clients: UsageGauges,
     /// Connections to servers.
-    pub servers: Held,
+    pub servers: UsageGauges,
     /// Bytes of bodies.
-    pub bodies: Held,
+    pub bodies: UsageGauges,
     /// Attempts of which a server's connection has the last byte.
     pub forwards: IntCounter,
     /// Requests taken and not ended.
@@ -103,7 +103,7 @@
 
 /// Where the attempts of one pool are counted.
 #[derive(Clone, Debug)]
-pub struct PoolFigures {
+pub struct PoolMetrics {
     /// By the ending's place in [`ENDINGS`].
     attempts: [IntCounter; ENDINGS.len()],
     /// Attempts that follow one that has ended.
@@ -120,10 +120,10 @@
     /// The pool's name.
     pub pool: Arc<str>,
     /// Where events are kept.
-    pub recorder: Recorder,
+    pub recorder: EventLog,
 }
 
-impl PoolFigures {
+impl PoolMetrics {
     /// An attempt has ended so.
     pub fn ended(&self, ending: Ending) {
         self.attempts[place(ending)].inc();
@@ -141,14 +141,14 @@
     }
 
     /// The rules have denied what was proposed, for this reason.
-    pub fn denied(&self, proposed: Proposed, reason: &str) {
+    pub fn denied(&self, proposed: DenialPoint, reason: &str) {
         self.denied.with_label_values(&[&self.pool, proposed.name(), reason]).inc();
     }
 }
 
 /// The node's view of its fleet.
 #[derive(Clone, Debug)]
-pub struct FleetFigures {
+pub struct FleetMetrics {
     pub(crate) members: IntGaugeVec,
     pub(crate) changes: IntCounter,
     pub(crate) refuted: IntCounter,
@@ -163,12 +163,12 @@
 
 /// Something that is held against a limit.
 #[derive(Clone, Debug)]
-pub struct Held {
+pub struct UsageGauges {
     now: IntGauge,
     most: IntGauge,
 }
 
-impl Held {
+impl UsageGauges {
     /// So much is held, of so much.
     pub fn set(&self, now: usize, most: usize) {
         self.now.set(now as i64);
@@ -176,7 +176,7 @@
     }
 }
 
-impl Figures {
+impl Metrics {
     /// All at 0.
     ///
     /// # Errors
@@ -190,7 +190,7 @@
         let gauge = |name: &str, help: &str| listed(&registry, IntGauge::new(name, help)?);
         let held = |name: &str, help: &str| -> Result<_, prometheus::Error> {
             let most = gauge(&format!("{name}_most"), &format!("{help}, at most, of this process."))?;
-            Ok(Held { now: gauge(name, &format!("{help}, now."))?, most })
+            Ok(UsageGauges { now: gauge(name, &format!("{help}, now."))?, most })
         };
         let times = HistogramOpts::new(
             "answer_seconds",
@@ -204,7 +204,7 @@
         for rule in [DROPPED_REQUEST, LATE_ANSWER] {
             violations.with_label_values(&[rule]);
         }
-        Ok(Figures {
+        Ok(Metrics {
             violations,
             succeeded: counters("succeeded", "Requests served.", &[CLASS])?,
             declined: counters("declined", "Requests refused; trying again is harmless.", &[CLASS])?,
@@ -223,7 +223,7 @@
                 "Requests that the program refused, by reason.",
                 &[POOL, "reason"],
             )?,
-            recorder: Recorder::default(),
+            recorder: EventLog::default(),
             hedges: counters("hedges", "Attempts beside one that is still out.", &[POOL])?,
             denied: counters(
                 "denied",
@@ -274,20 +274,21 @@
     }
 
     /// Where requests of a class are counted; from here on the class is shown.
-    pub fn class(&self, name: &str) -> ClassFigures {
-        ClassFigures {
+    pub fn class(&self, name: &str) -> ClassMetrics {
+        ClassMetrics {
             succeeded: self.succeeded.with_label_values(&[name]),
             declined: self.declined.with_label_values(&[name]),
             aborted: self.aborted.with_label_values(&[name]),
-            unserved: Reason::ALL.map(|reason| self.unserved.with_label_values(&[name, reason.name()])),
+            unserved: UnservedReason::ALL
+                .map(|reason| self.unserved.with_label_values(&[name, reason.name()])),
             answered: self.answered.with_label_values(&[name]),
             outstanding: self.outstanding.clone(),
         }
     }
 
     /// Where attempts of a pool are counted; from here on the pool is shown.
-    pub fn pool(&self, name: &str) -> PoolFigures {
-        PoolFigures {
+    pub fn pool(&self, name: &str) -> PoolMetrics {
+        PoolMetrics {
             attempts: ENDINGS.map(|(_, ending)| self.attempts.with_label_values(&[name, ending])),
             retries: self.retries.with_label_values(&[name]),
             hedges: self.hedges.with_label_values(&[name]),
@@ -304,7 +305,7 @@
     ///
     /// # Errors
     /// Where this was asked for before.
-    pub fn fleet(&self) -> Result<FleetFigures, prometheus::Error> {
+    pub fn fleet(&self) -> Result<FleetMetrics, prometheus::Error> {
         let counters = |name: &str, help: &str, labels: &[&str]| {
             listed(&self.registry, IntCounterVec::new(Opts::new(name, help), labels)?)
         };
@@ -312,7 +313,7 @@
         let gauge = |name: &str, help: &str| listed(&self.registry, IntGauge::new(name, help)?);
         let seconds = |name: &str, help: &str| listed(&self.registry, Gauge::new(name, help)?);
         let members = Opts::new("fleet_members", "Members of the fleet, by what this node holds them for.");
-        Ok(FleetFigures {
+        Ok(FleetMetrics {
             members: listed(&self.registry, IntGaugeVec::new(members, &["state"])?)?,
             changes: counter("fleet_changes", "Changes of a member's state, as this node saw them.")?,
             refuted: counter("fleet_refuted", "Accusations of this node that it has refuted.")?,
@@ -347,14 +348,14 @@
 mod tests {
     use super::*;
 
-    fn page(figures: &Figures) -> String {
+    fn page(figures: &Metrics) -> String {
         String::from_utf8(figures.page().unwrap().0).unwrap()
     }
 
     /// A scraper must be able to tell 0 from a figure that is not there.
     #[test]
     fn all_figures_stand_there_from_the_start() {
-        let figures = Figures::new().unwrap();
+        let figures = Metrics::new().unwrap();
         figures.class("a \"b\"\\");
         let pool = figures.pool("main");
         ENDINGS.iter().for_each(|(ending, _)| pool.ended(*ending));
--- a/crates/operate/src/tally.rs
+++ b/crates/operate/src/request_tracker.rs
@@ -5,7 +5,7 @@
 
 /// Why a request was not served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reason {
+pub enum UnservedReason {
     /// No server could take it in time (declined).
     Busy,
     /// Its client's connection had no place (declined).
@@ -23,51 +23,51 @@
     /// The client left before there was an answer (aborted).
     Gone,
     /// The program turned it down as it was: unreadable, too long, too slow (aborted).
-    Turned,
+    TurnedDown,
 }
 
-impl Reason {
+impl UnservedReason {
     /// All there are, in the order of their numbers.
-    pub const ALL: [Reason; 9] = [
-        Reason::Busy,
-        Reason::NoPlace,
-        Reason::ServerBusy,
-        Reason::Late,
-        Reason::Failed,
-        Reason::ServerError,
-        Reason::Cut,
-        Reason::Gone,
-        Reason::Turned,
+    pub const ALL: [UnservedReason; 9] = [
+        UnservedReason::Busy,
+        UnservedReason::NoPlace,
+        UnservedReason::ServerBusy,
+        UnservedReason::Late,
+        UnservedReason::Failed,
+        UnservedReason::ServerError,
+        UnservedReason::Cut,
+        UnservedReason::Gone,
+        UnservedReason::TurnedDown,
     ];
 
     /// Its name on the page.
     pub fn name(self) -> &'static str {
         match self {
-            Reason::Busy => "busy",
-            Reason::NoPlace => "no-place",
-            Reason::ServerBusy => "server-busy",
-            Reason::Late => "late",
-            Reason::Failed => "failed",
-            Reason::ServerError => "server-error",
-            Reason::Cut => "cut",
-            Reason::Gone => "gone",
-            Reason::Turned => "turned-down",
+            UnservedReason::Busy => "busy",
+            UnservedReason::NoPlace => "no-place",
+            UnservedReason::ServerBusy => "server-busy",
+            UnservedReason::Late => "late",
+            UnservedReason::Failed => "failed",
+            UnservedReason::ServerError => "server-error",
+            UnservedReason::Cut => "cut",
+            UnservedReason::Gone => "gone",
+            UnservedReason::TurnedDown => "turned-down",
         }
     }
 
     fn declines(self) -> bool {
-        matches!(self, Reason::Busy | Reason::NoPlace | Reason::ServerBusy)
+        matches!(self, UnservedReason::Busy | UnservedReason::NoPlace | UnservedReason::ServerBusy)
     }
 }
 
 /// Where the requests of one class are counted.
 #[derive(Clone, Debug)]
-pub struct ClassFigures {
+pub struct ClassMetrics {
     pub(crate) succeeded: IntCounter,
     pub(crate) declined: IntCounter,
     pub(crate) aborted: IntCounter,
     /// By the reason's number.
-    pub(crate) unserved: [IntCounter; Reason::ALL.len()],
+    pub(crate) unserved: [IntCounter; UnservedReason::ALL.len()],
     pub(crate) answered: Histogram,
     pub(crate) outstanding: IntGauge,
 }
@@ -77,22 +77,22 @@
 enum Standing {
     Open,
     Served,
-    Unserved(Reason),
+    Unserved(UnservedReason),
 }
 
 /// One request under way. It is counted when this is dropped, once: as left by its client unless something else was
 /// said.
 #[derive(Debug)]
-pub struct Tally {
-    class: ClassFigures,
+pub struct RequestTracker {
+    class: ClassMetrics,
     taken_at: Option<Nanos>,
     standing: Standing,
 }
 
-impl Tally {
+impl RequestTracker {
     /// A request whose class is known.
-    pub fn new(class: ClassFigures) -> Self {
-        Tally { class, taken_at: None, standing: Standing::Open }
+    pub fn new(class: ClassMetrics) -> Self {
+        RequestTracker { class, taken_at: None, standing: Standing::Open }
     }
 
     /// Its last byte has come.
@@ -105,20 +105,20 @@
 
     /// Its client is only told to come back.
     pub fn no_place(&mut self) {
-        self.standing = Standing::Unserved(Reason::NoPlace);
+        self.standing = Standing::Unserved(UnservedReason::NoPlace);
     }
 
     /// It is answered with this status: a server's, or the program's own.
     pub fn answer(&mut self, now: Nanos, status: u16, by_server: bool) {
         // A server that says that there is no such thing has served the request; the program that says so has not.
         let standing = match (status, by_server) {
-            (429 | 503, true) => Standing::Unserved(Reason::ServerBusy),
-            (429 | 503, false) => Standing::Unserved(Reason::Busy),
+            (429 | 503, true) => Standing::Unserved(UnservedReason::ServerBusy),
+            (429 | 503, false) => Standing::Unserved(UnservedReason::Busy),
             (200..=399, _) | (400..=499, true) => Standing::Served,
-            (400..=499, false) => Standing::Unserved(Reason::Turned),
-            (_, true) => Standing::Unserved(Reason::ServerError),
-            (504, false) => Standing::Unserved(Reason::Late),
-            (_, false) => Standing::Unserved(Reason::Failed),
+            (400..=499, false) => Standing::Unserved(UnservedReason::TurnedDown),
+            (_, true) => Standing::Unserved(UnservedReason::ServerError),
+            (504, false) => Standing::Unserved(UnservedReason::Late),
+            (_, false) => Standing::Unserved(UnservedReason::Failed),
         };
         if let (Standing::Served, Some(at)) = (standing, self.taken_at) {
             self.class.answered.observe(now.saturating_sub(at) as f64 / 1e9);
@@ -130,18 +130,18 @@
 
     /// The answer has broken off.
     pub fn cut(&mut self) {
-        self.standing = Standing::Unserved(Reason::Cut);
+        self.standing = Standing::Unserved(UnservedReason::Cut);
     }
 }
 
-impl Drop for Tally {
+impl Drop for RequestTracker {
     fn drop(&mut self) {
         if self.taken_at.is_some() {
             self.class.outstanding.dec();
         }
         let reason = match self.standing {
             Standing::Served => return self.class.succeeded.inc(),
-            Standing::Open => Reason::Gone,
+            Standing::Open => UnservedReason::Gone,
             Standing::Unserved(reason) => reason,
         };
         self.class.unserved[reason as usize].inc();
@@ -155,36 +155,36 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::Figures;
+    use crate::Metrics;
     use proptest::prelude::*;
     use proptest::test_runner::RngSeed;
 
-    fn page(figures: &Figures) -> String {
+    fn page(figures: &Metrics) -> String {
         String::from_utf8(figures.page().unwrap().0).unwrap()
     }
 
     #[test]
     fn each_request_is_counted_once_by_how_it_ended() {
-        let figures = Figures::new().unwrap();
+        let figures = Metrics::new().unwrap();
         let class = figures.class("status");
-        let mut open = Tally::new(class.clone());
+        let mut open = RequestTracker::new(class.clone());
         open.take(0);
         open.take(0);
         assert!(page(&figures).contains("\ngw_outstanding 1\n"));
         for status in [200, 200, 503, 429, 502, 404] {
-            let mut tally = Tally::new(class.clone());
+            let mut tally = RequestTracker::new(class.clone());
             tally.take(1_000_000_000);
             tally.answer(1_040_000_000, status, false);
         }
-        let mut cut = Tally::new(class.clone());
+        let mut cut = RequestTracker::new(class.clone());
         cut.answer(0, 200, true);
         cut.cut();
         drop(cut);
-        let mut turned_away = Tally::new(class);
+        let mut turned_away = RequestTracker::new(class);
         turned_away.no_place();
         turned_away.answer(0, 503, false);
         drop(turned_away);
-        Tally::new(figures.class("general")).answer(0, 404, true);
+        RequestTracker::new(figures.class("general")).answer(0, 404, true);
         drop(open);
         let page = page(&figures);
         for line in [
@@ -237,13 +237,13 @@
         /// what was declined and aborted.
         #[test]
         fn all_that_begins_is_open_or_counted(steps in proptest::collection::vec(step(), 0..120)) {
-            let figures = Figures::new().unwrap();
+            let figures = Metrics::new().unwrap();
             let class = figures.class("one");
-            let (mut open, mut begun) = (Vec::<Tally>::new(), 0u64);
+            let (mut open, mut begun) = (Vec::<RequestTracker>::new(), 0u64);
             for (at, step) in steps {
                 match (step, open.get_mut(at)) {
                     (Step::Begin, _) => {
-                        open.push(Tally::new(class.clone()));
+                        open.push(RequestTracker::new(class.clone()));
                         begun += 1;
                     }
                     (_, None) => {}
--- a/crates/operate/tests/events.rs
+++ b/crates/operate/tests/events.rs
@@ -1,13 +1,13 @@
 //! What the recorder keeps of requests and connections.
 
 use corkhollow_balance::interface::Ending;
-use corkhollow_operate::{ClientId, Event, Recorder, Subject};
+use corkhollow_operate::{ClientRequestId, Event, EventLog, Subject};
 
 #[test]
 fn events_are_lines_that_tell_time_subject_and_reason() {
-    let recorder = Recorder::default();
+    let recorder = EventLog::default();
     let request = |number| Subject::Request { pool: "main".into(), number };
-    recorder.record(1_500_000_000, request(7), Event::Taken(ClientId::new(b"9b1f\x00 e")));
+    recorder.record(1_500_000_000, request(7), Event::Taken(ClientRequestId::new(b"9b1f\x00 e")));
     let sent = Event::AttemptSent { attempt: 0, server: "s-1".into(), hedge: false };
     recorder.record(1_500_000_999, request(7), sent);
     recorder.record(1_501_000_000, request(7), Event::AttemptEnded { attempt: 0, ending: Ending::Reset });
@@ -27,7 +27,7 @@
 
 #[test]
 fn the_oldest_events_go_first() {
-    let recorder = Recorder::default();
+    let recorder = EventLog::default();
     (0..10_000).for_each(|at| recorder.record(at, Subject::Connection(at), Event::ClientLeft));
     let page = recorder.page();
     assert_eq!(page.lines().count(), 2_048);
@@ -37,5 +37,5 @@
 
 #[test]
 fn long_ids_are_cut() {
-    assert_eq!(ClientId::new(&[b'a'; 100]).to_string(), "a".repeat(32));
+    assert_eq!(ClientRequestId::new(&[b'a'; 100]).to_string(), "a".repeat(32));
 }
--- a/crates/operate/tests/golden.rs
+++ b/crates/operate/tests/golden.rs
@@ -129,9 +129,9 @@
 
 #[test]
 fn events_page_keeps_its_lines() {
-    let recorder = Recorder::default();
+    let recorder = EventLog::default();
     let request = || Subject::Request { pool: "main".into(), number: 7 };
-    recorder.record(1_500_000_000, request(), Event::Taken(ClientId::new(b"9b1f")));
+    recorder.record(1_500_000_000, request(), Event::Taken(ClientRequestId::new(b"9b1f")));
     recorder.record(
         1_500_000_000,
         request(),
@@ -151,7 +151,7 @@
 /// Metric names with their types and labels; help texts and values are left out.
 #[test]
 fn metrics_keep_names_types_and_labels() {
-    let figures = Figures::new().unwrap();
+    let figures = Metrics::new().unwrap();
     figures.closed("idle-timeout", true);
     figures.answered_late();
     figures.in_force("v1", Some(([0.1, 0.2, 0.3], 4)));
@@ -162,8 +162,8 @@
         pool.retried(ending);
     }
     Refusal::ALL.into_iter().for_each(|reason| pool.refused(reason));
-    pool.denied(Proposed::Send, "may-have-run");
-    pool.denied(Proposed::Begin, "out-of-time");
+    pool.denied(DenialPoint::Send, "may-have-run");
+    pool.denied(DenialPoint::Begin, "out-of-time");
     figures.fleet().unwrap().set(&snapshot(), &Stats::default());
     let (page, content_type) = figures.page().unwrap();
     assert_eq!(content_type, "text/plain; version=0.0.4");
--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -5,7 +5,7 @@
 use corkhollow_fleet::{
     Cause, Config, Event, Nanos, Node, Outbox, Snapshot, Standing, Stats, LARGEST_DATAGRAM,
 };
-use corkhollow_operate::FleetFigures;
+use corkhollow_operate::FleetMetrics;
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::{Arc, OnceLock};
 use std::time::{Duration, Instant};
@@ -82,7 +82,7 @@
         config: Config,
         socket: UdpSocket,
         seed: u64,
-        figures: Option<FleetFigures>,
+        figures: Option<FleetMetrics>,
     ) -> std::io::Result<Self> {
         socket.set_nonblocking(true)?;
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
@@ -162,7 +162,7 @@
     start: Instant,
     shown: watch::Sender<View>,
     shown_at: Instant,
-    figures: Option<FleetFigures>,
+    figures: Option<FleetMetrics>,
     pace: Pace,
 }
 
--- a/crates/proxy/src/http1/client.rs
+++ b/crates/proxy/src/http1/client.rs
@@ -3,7 +3,7 @@
 use super::closing::{should_close, CloseLimits, CloseReason, ConnectionState, Stage};
 use crate::socket::Socket;
 use corkhollow_balance::interface::Nanos;
-use corkhollow_operate::{ClassFigures, Tally};
+use corkhollow_operate::{ClassMetrics, RequestTracker};
 use corkhollow_plan::limits::Slot;
 use hyper::body::Incoming;
 use hyper::header::HeaderValue;
@@ -70,7 +70,7 @@
     pub(super) unread: Cell<bool>,
     pub(super) close: Notify,
     /// The request under way, once its class is known.
-    pub(super) tally: RefCell<Option<Tally>>,
+    pub(super) tally: RefCell<Option<RequestTracker>>,
     /// The rest of a body that was passed on in part and is not wanted any longer.
     pub(super) rest: RefCell<Option<Incoming>>,
     pub(super) _slot: Slot,
@@ -129,8 +129,8 @@
     }
 
     /// A request of this class is being read.
-    pub(super) fn count(&self, class: &ClassFigures) {
-        let mut tally = Tally::new(class.clone());
+    pub(super) fn count(&self, class: &ClassMetrics) {
+        let mut tally = RequestTracker::new(class.clone());
         if self.surplus {
             tally.no_place();
         }
--- a/crates/proxy/src/http1/service.rs
+++ b/crates/proxy/src/http1/service.rs
@@ -4,7 +4,7 @@
 use super::closing::CloseLimits;
 use crate::site::Current;
 use corkhollow_engine::Clock;
-use corkhollow_operate::{Control, Event, Figures, Subject};
+use corkhollow_operate::{Event, Metrics, SharedLifecycle, Subject};
 use corkhollow_plan::limits::Budget;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -19,11 +19,11 @@
     /// What it may hold.
     pub budget: Rc<Budget>,
     /// Whether it is up, keeps connections and takes new ones.
-    pub control: Control,
+    pub control: SharedLifecycle,
     /// Numbers requests that bring no id.
     pub ids: Cell<u64>,
     /// What it has done.
-    pub figures: Figures,
+    pub figures: Metrics,
 }
 
 impl Service {
--- a/crates/proxy/src/operator.rs
+++ b/crates/proxy/src/operator.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use corkhollow_engine::{log, Clock};
 use corkhollow_fleet::Standing;
-use corkhollow_operate::{Control, Figures, FleetPage};
+use corkhollow_operate::{FleetPage, Metrics, SharedLifecycle};
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
 use hyper::header::{self, HeaderMap, HeaderValue};
@@ -40,9 +40,9 @@
 #[derive(Clone)]
 pub struct Operator {
     /// The node's life.
-    pub control: Control,
+    pub control: SharedLifecycle,
     /// What it has done.
-    pub figures: Figures,
+    pub figures: Metrics,
     /// The clock that its life goes by.
     pub clock: Clock,
     /// Tells the serving side that the life has changed.
--- a/crates/proxy/src/site.rs
+++ b/crates/proxy/src/site.rs
@@ -4,7 +4,7 @@
 use crate::upstream::{Pool, Shared, Terms};
 use corkhollow_balance::interface::SettingsError;
 use corkhollow_fleet::Group;
-use corkhollow_operate::{ClassFigures, Handover, PoolHandover};
+use corkhollow_operate::{ClassMetrics, Handover, PoolHandover};
 use corkhollow_plan::change::{Change, PoolChange};
 use corkhollow_plan::plan::Plan;
 use std::cell::RefCell;
@@ -24,7 +24,7 @@
     /// By pool and by class of the plan, the place that the pool's decision module has for the class.
     pub places: Vec<Rc<[u16]>>,
     /// Where requests are counted, by their class in the plan.
-    pub figures: Vec<ClassFigures>,
+    pub figures: Vec<ClassMetrics>,
 }
 
 /// A site's plan.
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -9,7 +9,7 @@
 };
 use corkhollow_engine::{log, Clock, Engine};
 use corkhollow_fleet::Group;
-use corkhollow_operate::Figures;
+use corkhollow_operate::Metrics;
 use corkhollow_plan::change::Differs;
 use corkhollow_plan::file::read_servers;
 use corkhollow_plan::limits::Budget;
@@ -42,7 +42,7 @@
     /// What it may hold.
     pub budget: Rc<Budget>,
     /// What it has done.
-    pub figures: Figures,
+    pub figures: Metrics,
     /// The engines of all pools, those with them that no plan has any longer and that have requests under way.
     pub engines: Engines,
 }
--- a/crates/proxy/tests/closing.rs
+++ b/crates/proxy/tests/closing.rs
@@ -1,7 +1,7 @@
 //! Closes of clients' connections, chosen at one moment and carried out at another, with bytes that come in between.
 
 use corkhollow_engine::Clock;
-use corkhollow_operate::{Control, Figures};
+use corkhollow_operate::{Metrics, SharedLifecycle};
 use corkhollow_plan::file::read;
 use corkhollow_plan::limits::Budget;
 use corkhollow_proxy::http1::{Clients, Service};
@@ -35,7 +35,7 @@
         let shared = Shared {
             clock: Clock::start(),
             budget: Budget::new(1_000, 64 << 20),
-            figures: Figures::new().unwrap(),
+            figures: Metrics::new().unwrap(),
             engines: Engines::default(),
         };
         let site = Site::start(plan, &shared, 7, None).unwrap();
@@ -43,7 +43,7 @@
             site: Current::new(site),
             clock: shared.clock,
             budget: shared.budget,
-            control: Control::default(),
+            control: SharedLifecycle::default(),
             ids: Cell::new(1),
             figures: shared.figures,
         });
--- a/crates/proxy/tests/follow.rs
+++ b/crates/proxy/tests/follow.rs
@@ -4,7 +4,7 @@
 use corkhollow_balance::interface::{Class, Phase, Server, Settings};
 use corkhollow_engine::Clock;
 use corkhollow_fleet::Group;
-use corkhollow_operate::Figures;
+use corkhollow_operate::Metrics;
 use corkhollow_plan::change::PoolChange;
 use corkhollow_plan::file::read;
 use corkhollow_plan::limits::Budget;
@@ -109,7 +109,7 @@
     Shared {
         clock: Clock::start(),
         budget: Budget::new(1_000, 192 << 20),
-        figures: Figures::new().unwrap(),
+        figures: Metrics::new().unwrap(),
         engines: Engines::default(),
     }
 }
