--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -200,7 +200,7 @@
                     kind: u16_at(e, 7),
                     cell: u16_at(e, 9),
                     phase: match e[11] {
-                        0 => Phase::Gone,
+                        0 => Phase::Removed,
                         1 => Phase::Ready,
                         2 => Phase::Draining,
                         v => {
@@ -332,7 +332,7 @@
                 r[0] = 30;
                 server(&mut r, 5, to);
             }
-            Action::Tell { to, bytes } => {
+            Action::SendMessage { to, bytes } => {
                 r[0] = 60;
                 put(&mut r, 5, &to.unwrap_or(u32::MAX).to_be_bytes());
                 self.refer(&mut r, 9, bytes);
--- a/crates/balance/src/balancer/list.rs
+++ b/crates/balance/src/balancer/list.rs
@@ -30,7 +30,7 @@
             let listed: BTreeSet<_> = servers.iter().map(|s| s.id).collect();
             for i in 0..self.nodes.len() {
                 if !listed.contains(&self.nodes[i].server.id) {
-                    self.leave(now, i, Phase::Gone);
+                    self.leave(now, i, Phase::Removed);
                 }
             }
         }
@@ -87,13 +87,13 @@
 
     fn over(&self, now: Nanos, i: usize) -> bool {
         let node = &self.nodes[i];
-        node.server.phase == Phase::Gone && node.out == 0 && now >= node.left_at + self.longest
+        node.server.phase == Phase::Removed && node.out == 0 && now >= node.left_at + self.longest
     }
 
     fn add(&mut self, now: Nanos, server: Server, free: &mut VecDeque<usize>) {
         let size = if server.size > 0.0 && self.settings.sizes_known { f64::from(server.size) } else { 1.0 };
         let node = Node {
-            server: Server { phase: Phase::Gone, ..server },
+            server: Server { phase: Phase::Removed, ..server },
             size,
             out: 0,
             load: 0.0,
@@ -162,6 +162,6 @@
             let at = self.ready[zone].partition_point(|&j| self.nodes[j].server.id < id);
             self.ready[zone].remove(at);
         }
-        self.nodes[i].server.phase = if phase == Phase::Ready { Phase::Gone } else { phase };
+        self.nodes[i].server.phase = if phase == Phase::Ready { Phase::Removed } else { phase };
     }
 }
--- a/crates/balance/src/balancer/mod.rs
+++ b/crates/balance/src/balancer/mod.rs
@@ -174,7 +174,7 @@
                 self.learn(now, server, report);
                 self.outcome(now, (request, attempt), finished, took, (ending, spent), sink)
             }
-            Event::Written { request, attempt } => self.written(now, request, attempt),
+            Event::BodyWritten { request, attempt } => self.written(now, request, attempt),
             Event::StreamStarted { request, .. } => {
                 self.pending.entry(request).and_modify(|p| p.streaming = true);
             }
@@ -201,13 +201,13 @@
     }
 
     /// How many servers it remembers, with those that have left.
-    pub fn remembered(&self) -> usize {
+    pub fn tracked_servers(&self) -> usize {
         self.nodes.len()
     }
 
     /// How many servers the list holds, and how many of these get nothing for now because of their failures.
-    pub fn census(&self, now: Nanos) -> (usize, usize) {
-        let listed = self.nodes.iter().filter(|n| n.server.phase != Phase::Gone);
+    pub fn server_counts(&self, now: Nanos) -> (usize, usize) {
+        let listed = self.nodes.iter().filter(|n| n.server.phase != Phase::Removed);
         listed.fold((0, 0), |(all, out), n| (all + 1, out + usize::from(n.blocked_until > now)))
     }
 
--- a/crates/balance/src/balancer/retune.rs
+++ b/crates/balance/src/balancer/retune.rs
@@ -38,7 +38,7 @@
     ///
     /// # Errors
     /// Where no node could act on the settings; the old ones stay in force.
-    pub fn retune(
+    pub fn update_settings(
         &mut self,
         now: Nanos,
         mut settings: Settings,
@@ -67,7 +67,7 @@
         self.memory = LAG_MEMORY * self.longest as f64;
         self.relief = RELIEF * named(|c| c.aim) as f64;
         self.settings = Settings { classes: table, ..settings };
-        self.forget_strangers();
+        self.forget_tenants_without_quota();
         (0..self.ready.len()).for_each(|zone| self.regroup(now, zone));
         Ok(places)
     }
--- a/crates/balance/src/interface.rs
+++ b/crates/balance/src/interface.rs
@@ -10,7 +10,7 @@
 /// The node's own number for one request; never used twice.
 pub type RequestId = u32;
 /// The most classes that settings may have.
-pub const MOST_CLASSES: usize = 256;
+pub const MAX_CLASSES: usize = 256;
 
 /// A server's identity, the same for as long as lists name it. Nodes that share a list should agree on the order of
 /// their servers' identities, for each ranks a window of that order; the value means nothing else.
@@ -31,7 +31,7 @@
     /// Finishes what it has; takes nothing new.
     Draining,
     /// Removed from the list.
-    Gone,
+    Removed,
 }
 
 /// One entry of the server list.
@@ -219,7 +219,7 @@
         if self.classes.is_empty() {
             return Err(SettingsError::Empty("classes"));
         }
-        if self.classes.len() > MOST_CLASSES {
+        if self.classes.len() > MAX_CLASSES {
             return Err(SettingsError::OutOfRange("classes"));
         }
         for class in &self.classes {
@@ -263,7 +263,7 @@
 }
 
 pub(crate) fn validate_quotas(quotas: &Quotas) -> Result<(), SettingsError> {
-    match quotas.are_sound() {
+    match quotas.are_valid() {
         true => Ok(()),
         false => Err(SettingsError::OutOfRange("tenant_quota")),
     }
@@ -299,7 +299,7 @@
 pub struct Request {
     /// The node's number for it.
     pub id: RequestId,
-    /// Its class: its index in [`Settings::classes`], or its place as [`retune`](crate::Balancer::retune) told it.
+    /// Its class: its index in [`Settings::classes`], or its place as [`update_settings`](crate::Balancer::update_settings) told it.
     pub class: u16,
     /// Its tenant, by its number in [`Settings::tenant_quota`]; any other number is nobody's.
     pub tenant: u32,
@@ -313,7 +313,7 @@
     pub is_retry: bool,
     /// It writes.
     pub is_write: bool,
-    /// Its body is still coming and goes on as it comes: [`Event::Written`] tells when a server has all of it.
+    /// Its body is still coming and goes on as it comes: [`Event::BodyWritten`] tells when a server has all of it.
     pub streamed: bool,
 }
 
@@ -410,7 +410,7 @@
         report: Option<Report>,
     },
     /// A server has the last byte of a request whose body came bit by bit.
-    Written {
+    BodyWritten {
         /// The request.
         request: RequestId,
         /// Attempt number.
@@ -521,7 +521,7 @@
         server: ServerId,
     },
     /// Send bytes to another node, or to all when `to` is `None`.
-    Tell {
+    SendMessage {
         /// The peer's number.
         to: Option<u32>,
         /// At most 256 bytes.
--- a/crates/balance/src/knowledge.rs
+++ b/crates/balance/src/knowledge.rs
@@ -21,7 +21,7 @@
 
 /// What is known of one class.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ClassKnown {
+pub struct ClassKnowledge {
     /// Its yardstick of answer times, in nanoseconds; above 0.
     pub typical: f64,
     /// How many answers that rests on; 0 or more.
@@ -33,7 +33,7 @@
 
 /// What is known of one server.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ServerKnown {
+pub struct ServerKnowledge {
     /// Which one.
     pub id: ServerId,
     /// The start of which all this is known, as the list told it.
@@ -61,9 +61,9 @@
     /// When it was written down.
     pub at: Nanos,
     /// By class, in the order asked for.
-    pub classes: Vec<ClassKnown>,
+    pub classes: Vec<ClassKnowledge>,
     /// The servers that take work.
-    pub servers: Vec<ServerKnown>,
+    pub servers: Vec<ServerKnowledge>,
 }
 
 impl Knowledge {
@@ -79,15 +79,15 @@
     }
 
     /// Whether this can be what a balancer knew shortly before `now`.
-    pub fn is_sound(&self, now: Nanos) -> bool {
+    pub fn is_valid(&self, now: Nanos) -> bool {
         let within = |value: f64, most: f64| (0.0..=most).contains(&value);
-        let class = |c: &ClassKnown| {
+        let class = |c: &ClassKnowledge| {
             c.typical > 0.0
                 && c.typical.is_finite()
                 && within(c.answers, f64::MAX)
                 && within(c.least, f64::MAX)
         };
-        let server = |s: &ServerKnown| {
+        let server = |s: &ServerKnowledge| {
             within(s.lag.abs(), MOST)
                 && within(s.score, MOST)
                 && within(s.failures, 1.0)
@@ -103,12 +103,12 @@
 }
 
 impl Balancer {
-    /// What is known now; of classes, those at these places (see [`Balancer::retune`]).
-    pub fn knowledge(&mut self, now: Nanos, places: &[u16]) -> Knowledge {
+    /// What is known now; of classes, those at these places (see [`Balancer::update_settings`]).
+    pub fn export_knowledge(&mut self, now: Nanos, places: &[u16]) -> Knowledge {
         let unit = self.increment(now);
         let class = |place: &u16| {
             let at = usize::from(*place);
-            ClassKnown {
+            ClassKnowledge {
                 typical: self.places[at].typical,
                 answers: self.places[at].answers,
                 least: self.places[at].least,
@@ -119,7 +119,7 @@
             at: now,
             classes: places.iter().filter(|p| usize::from(**p) < self.places.len()).map(class).collect(),
             servers: ready
-                .map(|n| ServerKnown {
+                .map(|n| ServerKnowledge {
                     id: n.server.id,
                     started_at: n.server.started_at,
                     lag: 1.0 + n.lag.value,
@@ -137,8 +137,13 @@
     /// Takes over what another balancer knew, before the first request. `successors` says for each class that it knew
     /// whose place has that name here. Servers that the list has not, or has with another start, stay blank.
     /// Returns how many servers it knows now; none, with nothing taken, where the knowledge is not sound.
-    pub fn recall(&mut self, now: Nanos, known: &Knowledge, successors: &[Option<u16>]) -> Option<usize> {
-        if !known.is_sound(now) {
+    pub fn import_knowledge(
+        &mut self,
+        now: Nanos,
+        known: &Knowledge,
+        successors: &[Option<u16>],
+    ) -> Option<usize> {
+        if !known.is_valid(now) {
             return None;
         }
         for (class, successor) in known.classes.iter().zip(successors) {
--- a/crates/balance/src/lib.rs
+++ b/crates/balance/src/lib.rs
@@ -26,4 +26,4 @@
 mod told;
 
 pub use balancer::Balancer;
-pub use knowledge::{ClassKnown, Knowledge, ServerKnown};
+pub use knowledge::{ClassKnowledge, Knowledge, ServerKnowledge};
--- a/crates/balance/src/quotas.rs
+++ b/crates/balance/src/quotas.rs
@@ -31,7 +31,7 @@
     }
 
     /// Whether all shares are rates.
-    pub fn are_sound(&self) -> bool {
+    pub fn are_valid(&self) -> bool {
         self.0.sound
     }
 
--- a/crates/balance/src/told.rs
+++ b/crates/balance/src/told.rs
@@ -12,7 +12,12 @@
     ///
     /// # Errors
     /// Where there is no such number in such a group; nothing is changed then.
-    pub fn count_as(&mut self, now: Nanos, ordinal: u32, group_size: u32) -> Result<(), SettingsError> {
+    pub fn set_group_position(
+        &mut self,
+        now: Nanos,
+        ordinal: u32,
+        group_size: u32,
+    ) -> Result<(), SettingsError> {
         if ordinal >= group_size {
             return Err(SettingsError::OutOfRange("ordinal"));
         }
@@ -27,21 +32,21 @@
     ///
     /// # Errors
     /// Where a share is no rate; the old ones stay in force.
-    pub fn keep_quotas(&mut self, quotas: Quotas) -> Result<(), SettingsError> {
+    pub fn set_tenant_quotas(&mut self, quotas: Quotas) -> Result<(), SettingsError> {
         crate::interface::validate_quotas(&quotas)?;
         self.settings.tenant_quota = quotas;
-        self.forget_strangers();
+        self.forget_tenants_without_quota();
         Ok(())
     }
 
     /// Nothing is known of tenants without a share.
-    pub(crate) fn forget_strangers(&mut self) {
+    pub(crate) fn forget_tenants_without_quota(&mut self) {
         let quotas = &self.settings.tenant_quota;
         self.tenants.retain(|tenant, _| quotas.get(*tenant).is_some());
     }
 
     /// Forgets tenants that have been idle for long. Nothing that is decided changes by it.
-    pub fn forget_idle(&mut self, now: Nanos) {
+    pub fn forget_idle_tenants(&mut self, now: Nanos) {
         let long = IDLE * self.memory;
         self.tenants.retain(|_, rate| (now.saturating_sub(rate.at) as f64) < long);
     }
@@ -52,12 +57,12 @@
     }
 
     /// The servers in the list.
-    pub fn listed(&self) -> Vec<Server> {
-        self.nodes.iter().map(|node| node.server).filter(|server| server.phase != Phase::Gone).collect()
+    pub fn listed_servers(&self) -> Vec<Server> {
+        self.nodes.iter().map(|node| node.server).filter(|server| server.phase != Phase::Removed).collect()
     }
 
     /// Tenants of which something is known.
-    pub fn tenants_known(&self) -> usize {
+    pub fn tracked_tenants(&self) -> usize {
         self.tenants.len()
     }
 }
--- a/crates/balance/tests/fleet.rs
+++ b/crates/balance/tests/fleet.rs
@@ -111,7 +111,7 @@
     let now = START + 5_000 * MS;
     world.play(START, now);
     let cold = cold(replaced, now);
-    let gone = servers(replaced).into_iter().map(|s| Server { phase: Phase::Gone, ..s });
+    let gone = servers(replaced).into_iter().map(|s| Server { phase: Phase::Removed, ..s });
     for test_node in &mut world.test_nodes {
         test_node.now = now;
         test_node.list(ListKind::Changes, gone.clone().chain(cold.clone()).collect());
--- a/crates/balance/tests/incidents.rs
+++ b/crates/balance/tests/incidents.rs
@@ -267,7 +267,7 @@
     for round in 0..500 {
         test_node.now += 1_000 * MS;
         let next: Vec<_> = (0..4).map(|k| Server::warm(other(round * 4 + k))).collect();
-        let left = last.iter().map(|s| Server { phase: Phase::Gone, ..*s });
+        let left = last.iter().map(|s| Server { phase: Phase::Removed, ..*s });
         test_node.list(ListKind::Changes, left.chain(next.iter().copied()).collect());
         for _ in 0..8 {
             let server = test_node.served(50 * MS).expect("sent");
@@ -275,7 +275,7 @@
         }
         last = next;
     }
-    assert!(test_node.balancer.remembered() <= 12, "{} servers", test_node.balancer.remembered());
+    assert!(test_node.balancer.tracked_servers() <= 12, "{} servers", test_node.balancer.tracked_servers());
 }
 
 /// Where little comes, a cold server's share of it is next to nothing: it has to be tried all the same, and once it
--- a/crates/balance/tests/knowledge.rs
+++ b/crates/balance/tests/knowledge.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use corkhollow_balance::interface::*;
-use corkhollow_balance::{Balancer, ClassKnown, Knowledge, ServerKnown};
+use corkhollow_balance::{Balancer, ClassKnowledge, Knowledge, ServerKnowledge};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
@@ -12,7 +12,7 @@
 fn taught() -> TestNode {
     let mut test_node = TestNode::new(settings(Effect::Safe), servers(10), 3);
     for round in 0..5_000 {
-        if test_node.balancer.census(test_node.now) == (10, 1) {
+        if test_node.balancer.server_counts(test_node.now) == (10, 1) {
             return test_node;
         }
         test_node.now += 10 * MS;
@@ -51,19 +51,19 @@
 #[test]
 fn what_is_ejected_slow_or_usual_is_known_from_the_start() {
     let mut old = taught();
-    let known = old.balancer.knowledge(old.now, &[0]);
+    let known = old.balancer.export_knowledge(old.now, &[0]);
     assert_eq!(known.servers.len(), 10);
     let blocked = |k: &Knowledge| k.servers.iter().find(|s| s.id == server(0)).unwrap().blocked_until;
     assert!(blocked(&known) > old.now, "the dead server is ejected");
     let (mut warm, mut blank) = (successor(&old, servers(10)), successor(&old, servers(10)));
-    assert_eq!(warm.balancer.recall(warm.now, &known, &[Some(0)]), Some(10));
-    assert_eq!(warm.balancer.census(warm.now), old.balancer.census(old.now));
+    assert_eq!(warm.balancer.import_knowledge(warm.now, &known, &[Some(0)]), Some(10));
+    assert_eq!(warm.balancer.server_counts(warm.now), old.balancer.server_counts(old.now));
     // Said again at once it is the same, but for rounding.
-    let again = warm.balancer.knowledge(warm.now, &[0]);
+    let again = warm.balancer.export_knowledge(warm.now, &[0]);
     assert_eq!(again.classes, known.classes);
     for (mine, theirs) in again.servers.iter().zip(&known.servers) {
         assert!((mine.score - theirs.score).abs() <= 1e-9 * theirs.score.max(1.0), "{mine:?} {theirs:?}");
-        assert_eq!(ServerKnown { score: 0.0, ..*mine }, ServerKnown { score: 0.0, ..*theirs });
+        assert_eq!(ServerKnowledge { score: 0.0, ..*mine }, ServerKnowledge { score: 0.0, ..*theirs });
     }
     let (warm, blank) = (first_hundred(&mut warm), first_hundred(&mut blank));
     assert_eq!(warm[0], 0, "{warm:?}");
@@ -91,38 +91,38 @@
                 Ending::Ok,
             );
         }
-        let known = test_node.balancer.knowledge(test_node.now, &[0, 1]);
-        assert!(known.is_sound(test_node.now), "round {round}: {known:?}");
+        let known = test_node.balancer.export_knowledge(test_node.now, &[0, 1]);
+        assert!(known.is_valid(test_node.now), "round {round}: {known:?}");
     }
 }
 
 #[test]
 fn a_server_with_another_start_or_none_in_the_list_begins_blank() {
     let mut old = taught();
-    let known = old.balancer.knowledge(old.now, &[0]);
+    let known = old.balancer.export_knowledge(old.now, &[0]);
     let mut list = servers(10);
     list[0].started_at = old.now - 60_000 * MS;
     list.remove(5);
     let mut new = successor(&old, list);
-    assert_eq!(new.balancer.recall(new.now, &known, &[Some(0)]), Some(8));
-    assert_eq!(new.balancer.census(new.now), (9, 0), "the one that was ejected has started again");
+    assert_eq!(new.balancer.import_knowledge(new.now, &known, &[Some(0)]), Some(8));
+    assert_eq!(new.balancer.server_counts(new.now), (9, 0), "the one that was ejected has started again");
 }
 
 /// Old knowledge would eject servers for what is long over.
 #[test]
 fn old_knowledge_and_that_of_the_future_is_passed_over() {
     let mut old = taught();
-    let known = old.balancer.knowledge(old.now, &[0]);
+    let known = old.balancer.export_knowledge(old.now, &[0]);
     for at in [old.now + 5_001 * MS, known.at - MS] {
         let mut new = successor(&old, servers(10));
         new.now = at;
-        assert_eq!(new.balancer.recall(at, &known, &[Some(0)]), None);
-        assert_eq!(new.balancer.census(at), (10, 0));
+        assert_eq!(new.balancer.import_knowledge(at, &known, &[Some(0)]), None);
+        assert_eq!(new.balancer.server_counts(at), (10, 0));
     }
     let mut new = successor(&old, servers(10));
     // A class that is not there any longer, or has no such place, is no fault.
     for successors in [vec![], vec![None], vec![Some(7)]] {
-        assert_eq!(new.balancer.recall(new.now, &known, &successors), Some(10));
+        assert_eq!(new.balancer.import_knowledge(new.now, &known, &successors), Some(10));
     }
 }
 
@@ -146,20 +146,20 @@
             (0..12u64, figure(), figure(), figure(), any::<u32>(), moment(), moment(), moment()), 0..12),
     ) {
         let now = 1_000_000 * MS;
-        let one = |(id, lag, score, failures, strikes, lag_at, blocked_until, failures_at)| ServerKnown {
+        let one = |(id, lag, score, failures, strikes, lag_at, blocked_until, failures_at)| ServerKnowledge {
             id: ServerId(id), started_at: 0, lag, lag_at, score, strikes: strikes % 6, blocked_until, failures, failures_at,
         };
         let known = Knowledge {
             at: now,
-            classes: vec![ClassKnown { typical, answers, least: 0.0 }],
+            classes: vec![ClassKnowledge { typical, answers, least: 0.0 }],
             servers: told.into_iter().map(one).collect(),
         };
         let mut balancer = Balancer::new(settings(Effect::Safe), 5).unwrap();
         let mut sink = Vec::new();
         balancer.handle(now, Event::List { kind: ListKind::Full, servers: servers(10) }, &mut sink);
-        let taken = balancer.recall(now, &known, &[Some(0)]);
-        prop_assert_eq!(taken.is_some(), known.is_sound(now));
-        prop_assert!(taken.is_some() || balancer.census(now) == (10, 0));
+        let taken = balancer.import_knowledge(now, &known, &[Some(0)]);
+        prop_assert_eq!(taken.is_some(), known.is_valid(now));
+        prop_assert!(taken.is_some() || balancer.server_counts(now) == (10, 0));
         // Nothing that was said keeps the fleet out for longer than an ejection lasts, and answers correct the rest.
         let mut at = now + 16 * 800 * MS;
         let mut served = 0;
@@ -183,7 +183,7 @@
 #[test]
 fn knowledge_goes_on_on_another_clock() {
     const HOUR: Nanos = 3_600_000 * MS;
-    let server = ServerKnown {
+    let server = ServerKnowledge {
         id: server(1),
         started_at: 5,
         lag: 1.5,
@@ -198,7 +198,7 @@
     let mut ahead = known.clone();
     ahead.shift(HOUR as i64);
     assert_eq!((ahead.at, ahead.servers[0].blocked_until), (3 * HOUR, 3 * HOUR + MS));
-    assert!(ahead.is_sound(3 * HOUR + MS) && !ahead.is_sound(2 * HOUR));
+    assert!(ahead.is_valid(3 * HOUR + MS) && !ahead.is_valid(2 * HOUR));
     ahead.shift(-(HOUR as i64));
     assert_eq!(ahead, known, "and back; a server's start is on no clock of ours");
 }
--- a/crates/balance/tests/mechanism.rs
+++ b/crates/balance/tests/mechanism.rs
@@ -105,7 +105,7 @@
     for _ in 0..100 {
         assert!(test_node.served(50 * MS).unwrap() < server(6));
     }
-    let gone = list[..6].iter().map(|s| Server { phase: Phase::Gone, ..*s }).collect();
+    let gone = list[..6].iter().map(|s| Server { phase: Phase::Removed, ..*s }).collect();
     test_node.list(ListKind::Changes, gone);
     assert!(test_node.served(50 * MS).unwrap() >= server(6));
 }
@@ -172,7 +172,7 @@
         let late = test_node.now + 60_000 * MS;
         test_node.feed(Event::Request(Request { streamed: true, give_up_at: late, ..request }));
         if written {
-            test_node.feed(Event::Written { request: id, attempt: 0 });
+            test_node.feed(Event::BodyWritten { request: id, attempt: 0 });
         }
         test_node.now += 5_000 * MS;
         let (_, actions) = test_node.request();
--- a/crates/balance/tests/replay.rs
+++ b/crates/balance/tests/replay.rs
@@ -36,7 +36,7 @@
             Action::FetchList => self.add(7),
             // Its wording is free.
             Action::Log { .. } => {}
-            Action::Probe { .. } | Action::Tell { .. } => self.add(8),
+            Action::Probe { .. } | Action::SendMessage { .. } => self.add(8),
         }
     }
 }
@@ -148,7 +148,8 @@
         };
         if retuned.is_some_and(|every| matches!(event, Event::Request(_)) && left.is_multiple_of(every)) {
             let predecessors = [Some(0), Some(1), Some(2)];
-            let places = balancer.retune(now, settings(seed.is_multiple_of(2)), &predecessors).unwrap();
+            let places =
+                balancer.update_settings(now, settings(seed.is_multiple_of(2)), &predecessors).unwrap();
             assert_eq!(places, [0, 1, 2]);
         }
         let mut actions = Vec::new();
--- a/crates/balance/tests/retune.rs
+++ b/crates/balance/tests/retune.rs
@@ -48,7 +48,7 @@
         let first = sent(&actions)[0];
         let few = Settings { max_attempts: 1, ..settings(new) };
         let now = test_node.now;
-        let places = test_node.balancer.retune(now, few, &[Some(0)]).unwrap();
+        let places = test_node.balancer.update_settings(now, few, &[Some(0)]).unwrap();
         assert_eq!(places, [1], "other rules are another class");
         let actions = ends(&mut test_node, id, first, 0, Ending::Reset);
         // What may have run goes again only where the request was taken as safe; the new limit of one attempt is not its.
@@ -72,10 +72,10 @@
     let bad = sent(&actions)[0];
     ends(&mut test_node, id, bad, 0, Ending::Error);
     let now = test_node.now;
-    assert_eq!(test_node.balancer.census(now), (3, 1));
-    let places = test_node.balancer.retune(now, settings(Effect::Safe), &[Some(0)]).unwrap();
+    assert_eq!(test_node.balancer.server_counts(now), (3, 1));
+    let places = test_node.balancer.update_settings(now, settings(Effect::Safe), &[Some(0)]).unwrap();
     assert_eq!(places, [0], "the same class keeps its place");
-    assert_eq!(test_node.balancer.census(now), (3, 1));
+    assert_eq!(test_node.balancer.server_counts(now), (3, 1));
     for _ in 0..20 {
         let (_, actions) = test_node.request();
         assert!(!sent(&actions).contains(&bad));
@@ -90,7 +90,7 @@
         Settings { max_attempts: 0, ..settings(Effect::Safe) },
         Settings { classes: Vec::new(), ..settings(Effect::Safe) },
     ] {
-        assert!(test_node.balancer.retune(now, broken, &[Some(0)]).is_err());
+        assert!(test_node.balancer.update_settings(now, broken, &[Some(0)]).is_err());
         let (id, actions) = test_node.request();
         let first = sent(&actions)[0];
         assert_eq!(sent(&ends(&mut test_node, id, first, 0, Ending::ConnectFailed)).len(), 1);
@@ -112,7 +112,7 @@
     for k in 1..200 {
         test_node.now += 20_000 * MS;
         let now = test_node.now;
-        let place = test_node.balancer.retune(now, class((100 + k) * MS), &[None]).unwrap()[0];
+        let place = test_node.balancer.update_settings(now, class((100 + k) * MS), &[None]).unwrap()[0];
         assert_ne!(place, 0, "the place of an open request");
         most = most.max(place);
     }
@@ -120,7 +120,7 @@
     test_node.now += 20_000 * MS;
     ends(&mut test_node, open, server, 0, Ending::Ok);
     let now = test_node.now;
-    assert_eq!(test_node.balancer.retune(now, class(7 * MS), &[None]).unwrap(), [0]);
+    assert_eq!(test_node.balancer.update_settings(now, class(7 * MS), &[None]).unwrap(), [0]);
 }
 
 fn shared(quotas: &[(u32, f64)]) -> Settings {
@@ -148,10 +148,10 @@
 fn a_tenants_rate_goes_by_its_number() {
     let whole = |test_node: &mut TestNode, quotas: &[(u32, f64)]| {
         let now = test_node.now;
-        test_node.balancer.retune(now, shared(quotas), &[Some(0)]).map(drop).unwrap();
+        test_node.balancer.update_settings(now, shared(quotas), &[Some(0)]).map(drop).unwrap();
     };
     let alone = |test_node: &mut TestNode, quotas: &[(u32, f64)]| {
-        test_node.balancer.keep_quotas(Quotas::new(quotas.iter().copied())).unwrap();
+        test_node.balancer.set_tenant_quotas(Quotas::new(quotas.iter().copied())).unwrap();
     };
     for notify in [whole as fn(&mut TestNode, &[(u32, f64)]), alone] {
         for (quotas, over) in [
@@ -172,7 +172,7 @@
         }
     }
     let mut test_node = TestNode::new(shared(&[(3, 5.0)]), servers(3), 1);
-    assert!(test_node.balancer.keep_quotas(Quotas::from(vec![f64::NAN])).is_err());
+    assert!(test_node.balancer.set_tenant_quotas(Quotas::from(vec![f64::NAN])).is_err());
 }
 
 /// Something is known of a tenant once it was seen, and no longer when it has been idle for long. Nothing that is decided
@@ -186,7 +186,7 @@
         refused(&mut test_node, stranger);
         refused(&mut keeps, stranger);
     }
-    assert_eq!(test_node.balancer.tenants_known(), 0, "of whom has no share nothing is kept");
+    assert_eq!(test_node.balancer.tracked_tenants(), 0, "of whom has no share nothing is kept");
     let mut decided = [Vec::new(), Vec::new()];
     for round in 0..40 {
         for (test_node, decided) in [&mut test_node, &mut keeps].into_iter().zip(&mut decided) {
@@ -196,15 +196,15 @@
             test_node.now += 20_000 * MS;
         }
         let now = test_node.now;
-        test_node.balancer.forget_idle(now);
-        assert!(test_node.balancer.tenants_known() < 1_000, "{}", test_node.balancer.tenants_known());
+        test_node.balancer.forget_idle_tenants(now);
+        assert!(test_node.balancer.tracked_tenants() < 1_000, "{}", test_node.balancer.tracked_tenants());
     }
-    assert!(keeps.balancer.tenants_known() > 1_500, "{}", keeps.balancer.tenants_known());
+    assert!(keeps.balancer.tracked_tenants() > 1_500, "{}", keeps.balancer.tracked_tenants());
     assert_eq!(decided[0], decided[1]);
     test_node.now += 200_000 * MS;
     let now = test_node.now;
-    test_node.balancer.forget_idle(now);
-    assert_eq!(test_node.balancer.tenants_known(), 0);
+    test_node.balancer.forget_idle_tenants(now);
+    assert_eq!(test_node.balancer.tracked_tenants(), 0);
 }
 
 /// To count as another one of a group is told by two numbers, and does what new settings with these would do.
@@ -214,8 +214,8 @@
     let mut test_nodes = [0, 1].map(|_| TestNode::new(grouped(0, 1), servers(30), 4));
     for (ordinal, group_size) in [(3, 20), (4, 21), (0, 1), (7, 440)] {
         let now = test_nodes[0].now;
-        test_nodes[0].balancer.count_as(now, ordinal, group_size).unwrap();
-        test_nodes[1].balancer.retune(now, grouped(ordinal, group_size), &[Some(0)]).unwrap();
+        test_nodes[0].balancer.set_group_position(now, ordinal, group_size).unwrap();
+        test_nodes[1].balancer.update_settings(now, grouped(ordinal, group_size), &[Some(0)]).unwrap();
         for _ in 0..200 {
             let [one, other] = &mut test_nodes;
             let (a, b) = (one.request(), other.request());
@@ -229,7 +229,7 @@
         }
     }
     let now = test_nodes[0].now;
-    assert!(test_nodes[0].balancer.count_as(now, 5, 5).is_err());
+    assert!(test_nodes[0].balancer.set_group_position(now, 5, 5).is_err());
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -323,7 +323,7 @@
                         predecessors.reverse();
                     }
                     let now = test_node.now;
-                    let told = test_node.balancer.retune(now, two(to, attempts, swapped), &predecessors).unwrap();
+                    let told = test_node.balancer.update_settings(now, two(to, attempts, swapped), &predecessors).unwrap();
                     prop_assert_ne!(told[0], told[1]);
                     places = if swapped { [told[1], told[0]] } else { [told[0], told[1]] };
                     continue;
--- a/crates/balance/tests/rules.rs
+++ b/crates/balance/tests/rules.rs
@@ -173,7 +173,7 @@
 fn drains_are_kept() {
     let mut test_node = TestNode::new(settings(Effect::Safe), servers(4), 1);
     test_node.list(ListKind::Changes, vec![Server { phase: Phase::Draining, ..Server::warm(server(0)) }]);
-    test_node.list(ListKind::Changes, vec![Server { phase: Phase::Gone, ..Server::warm(server(1)) }]);
+    test_node.list(ListKind::Changes, vec![Server { phase: Phase::Removed, ..Server::warm(server(1)) }]);
     for _ in 0..50 {
         assert!(test_node.served(20 * MS).unwrap() >= server(2));
     }
@@ -230,7 +230,7 @@
     assert!(test_node.outcome(77, server(0), 0, MS, Ending::Error).is_empty());
     assert!(test_node.feed(Event::ClientGone { request: 77 }).is_empty());
     assert!(test_node.feed(Event::Timer { token: 9 }).is_empty());
-    let gone = Server { phase: Phase::Gone, ..Server::warm(server(99)) };
+    let gone = Server { phase: Phase::Removed, ..Server::warm(server(99)) };
     assert!(test_node.list(ListKind::Changes, vec![gone]).is_empty());
     let (id, actions) = test_node.request();
     let server = sent(&actions, id).unwrap();
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -296,7 +296,7 @@
         self.requests.borrow_mut().retune(self.clock.now(), settings, predecessors)
     }
 
-    /// Counts as this node of so many from here on: see [`Balancer::count_as`](corkhollow_balance::Balancer::count_as).
+    /// Counts as this node of so many from here on: see [`Balancer::set_group_position`](corkhollow_balance::Balancer::set_group_position).
     ///
     /// # Errors
     /// Where there is no such number in such a group; nothing is changed then.
@@ -304,7 +304,7 @@
         self.requests.borrow_mut().count_as(self.clock.now(), ordinal, group_size)
     }
 
-    /// Goes by other shares of tenants: see [`Balancer::keep_quotas`](corkhollow_balance::Balancer::keep_quotas).
+    /// Goes by other shares of tenants: see [`Balancer::set_tenant_quotas`](corkhollow_balance::Balancer::set_tenant_quotas).
     ///
     /// # Errors
     /// Where a share is no rate; the old ones stay in force.
--- a/crates/engine/src/requests.rs
+++ b/crates/engine/src/requests.rs
@@ -245,7 +245,7 @@
 
     /// A server has the last byte of a request that went on as it came.
     pub fn written(&mut self, now: Nanos, id: AttemptId, sink: &mut Vec<Command<L, A>>) {
-        self.handle(now, Event::Written { request: id.request, attempt: id.number }, sink);
+        self.handle(now, Event::BodyWritten { request: id.request, attempt: id.number }, sink);
     }
 
     /// The head of an answer has come, so long after the request's last byte went. That tells how busy the server is;
@@ -369,7 +369,7 @@
     }
 
     /// Other settings take over; requests that are open keep the rules under which they were taken. `predecessors` and what
-    /// this returns: see [`Balancer::retune`].
+    /// this returns: see [`Balancer::update_settings`].
     ///
     /// # Errors
     /// Where no node could act on the settings; the old ones stay in force.
@@ -379,48 +379,48 @@
         settings: Settings,
         predecessors: &[Option<u16>],
     ) -> Result<Vec<u16>, SettingsError> {
-        self.balancer.retune(now, settings, predecessors)
+        self.balancer.update_settings(now, settings, predecessors)
     }
 
-    /// Counts as this node of so many from here on: see [`Balancer::count_as`].
+    /// Counts as this node of so many from here on: see [`Balancer::set_group_position`].
     ///
     /// # Errors
     /// Where there is no such number in such a group; nothing is changed then.
     pub fn count_as(&mut self, now: Nanos, ordinal: u32, group_size: u32) -> Result<(), SettingsError> {
-        self.balancer.count_as(now, ordinal, group_size)
+        self.balancer.set_group_position(now, ordinal, group_size)
     }
 
-    /// Goes by other shares of tenants: see [`Balancer::keep_quotas`].
+    /// Goes by other shares of tenants: see [`Balancer::set_tenant_quotas`].
     ///
     /// # Errors
     /// Where a share is no rate; the old ones stay in force.
     pub fn keep_quotas(&mut self, quotas: Quotas) -> Result<(), SettingsError> {
-        self.balancer.keep_quotas(quotas)
+        self.balancer.set_tenant_quotas(quotas)
     }
 
     /// What the module goes by now, and the servers in its list.
     pub fn told(&self) -> (&Settings, Vec<Server>) {
-        (self.balancer.settings(), self.balancer.listed())
+        (self.balancer.settings(), self.balancer.listed_servers())
     }
 
-    /// Forgets tenants that have been idle for long: see [`Balancer::forget_idle`].
+    /// Forgets tenants that have been idle for long: see [`Balancer::forget_idle_tenants`].
     pub fn forget_idle(&mut self, now: Nanos) {
-        self.balancer.forget_idle(now);
+        self.balancer.forget_idle_tenants(now);
     }
 
     /// What the module has learnt; of classes, those at these places.
     pub fn knowledge(&mut self, now: Nanos, places: &[u16]) -> Knowledge {
-        self.balancer.knowledge(now, places)
+        self.balancer.export_knowledge(now, places)
     }
 
-    /// Takes over what another process's module has learnt: see [`Balancer::recall`].
+    /// Takes over what another process's module has learnt: see [`Balancer::import_knowledge`].
     pub fn recall(&mut self, now: Nanos, known: &Knowledge, successors: &[Option<u16>]) -> Option<usize> {
-        self.balancer.recall(now, known, successors)
+        self.balancer.import_knowledge(now, known, successors)
     }
 
     /// Servers in the list, how many of them the module has ejected for now, and how old the list is.
     pub fn census(&self, now: Nanos) -> (usize, usize, Nanos) {
-        let (listed, ejected) = self.balancer.census(now);
+        let (listed, ejected) = self.balancer.server_counts(now);
         (listed, ejected, now.saturating_sub(self.listed_at))
     }
 
@@ -534,7 +534,7 @@
             Action::FetchList => sink.push(Command::Ask(ListCall::Fetch)),
             Action::Log { server, text } => sink.push(Command::Log { server, text }),
             // The site allows neither, and the module asks for neither.
-            Action::Probe { .. } | Action::Tell { .. } => {}
+            Action::Probe { .. } | Action::SendMessage { .. } => {}
         }
     }
 
--- a/crates/engine/tests/rules.rs
+++ b/crates/engine/tests/rules.rs
@@ -36,7 +36,7 @@
 #[test]
 fn servers_that_drain_or_are_unknown_get_nothing() {
     let facts = facts(terms(Effect::Safe, Group::All));
-    for phase in [Phase::Draining, Phase::Gone] {
+    for phase in [Phase::Draining, Phase::Removed] {
         let server = Server { phase, ..server(1, 0) };
         assert_eq!(may_send(NOW, facts, [].iter(), Some(&server)), Err(Denial::ServerNotReady));
     }
--- a/crates/laboratory/src/fleet.rs
+++ b/crates/laboratory/src/fleet.rs
@@ -338,7 +338,7 @@
         }
         let id = ServerId(self.machines.keys().next_back().map_or(0, |id| id.0 + 1));
         self.machines.insert(id, Machine { cores: self.cores, born: Some(self.now), ..Machine::default() });
-        let gone = Server { phase: Phase::Gone, ..Server::warm(old) };
+        let gone = Server { phase: Phase::Removed, ..Server::warm(old) };
         self.changes.push(vec![gone, Server { started_at: self.now, ..Server::warm(id) }]);
         for node in 0..self.nodes.len() {
             let after = (self.chance() * self.heard_within as f64) as Nanos;
--- a/crates/laboratory/src/histories.rs
+++ b/crates/laboratory/src/histories.rs
@@ -445,7 +445,7 @@
             Step::Drain(server) => self.tell(server, Phase::Draining),
             Step::Die(server) => {
                 self.dead.insert(ServerId(server));
-                self.tell(server, Phase::Gone);
+                self.tell(server, Phase::Removed);
             }
             Step::Back(server) => {
                 self.dead.remove(&ServerId(server));
--- a/crates/laboratory/tests/admission.rs
+++ b/crates/laboratory/tests/admission.rs
@@ -120,7 +120,7 @@
     let swapped = classes(&[1.0, 9.0], AIM / 2, AIM);
     let predecessors = [Some(0), Some(1)];
     let now = model.now;
-    let places = model.nodes[0].retune(now, swapped, &predecessors).unwrap();
+    let places = model.nodes[0].update_settings(now, swapped, &predecessors).unwrap();
     for (stream, place) in model.streams.iter_mut().zip(&places) {
         stream.0 = *place;
     }
--- a/crates/operate/src/handover.rs
+++ b/crates/operate/src/handover.rs
@@ -118,12 +118,12 @@
 mod tests {
     use super::*;
     use corkhollow_balance::interface::ServerId;
-    use corkhollow_balance::{ClassKnown, ServerKnown};
+    use corkhollow_balance::{ClassKnowledge, ServerKnowledge};
     use proptest::prelude::*;
     use proptest::test_runner::RngSeed;
 
     fn handover(servers: u64, lag: f64) -> Handover {
-        let server = |k| ServerKnown {
+        let server = |k| ServerKnowledge {
             id: ServerId(u64::MAX - k),
             started_at: k,
             lag,
@@ -134,7 +134,7 @@
             failures: 0.25,
             failures_at: 9,
         };
-        let classes = vec![ClassKnown { typical: 1.5e6, answers: 12.0, least: 0.5e6 }];
+        let classes = vec![ClassKnowledge { typical: 1.5e6, answers: 12.0, least: 0.5e6 }];
         let knowledge = Knowledge { at: 5, classes, servers: (0..servers).map(server).collect() };
         Handover {
             fleet: None,
--- a/crates/operate/tests/golden.rs
+++ b/crates/operate/tests/golden.rs
@@ -1,7 +1,7 @@
 //! Golden files of what other versions and operators' tools read: the hand-over, the fleet page, events and metric names.
 
 use corkhollow_balance::interface::{Ending, Refusal, ServerId};
-use corkhollow_balance::{ClassKnown, Knowledge, ServerKnown};
+use corkhollow_balance::{ClassKnowledge, Knowledge, ServerKnowledge};
 use corkhollow_fleet::{Group, MemberView, Snapshot, State, Stats};
 use corkhollow_operate::*;
 use std::collections::BTreeSet;
@@ -20,7 +20,7 @@
 
 /// A pool with two classes and two servers, every field away from its default.
 fn pool(name: &str, at: u64) -> PoolHandover {
-    let server = |k: u64| ServerKnown {
+    let server = |k: u64| ServerKnowledge {
         id: ServerId(0x0a00_0001_1f90 + k),
         started_at: 1_700_000_000_000_000_000 + k,
         lag: 1.25,
@@ -31,7 +31,7 @@
         failures: 0.125,
         failures_at: at - 2,
     };
-    let class = |typical: f64| ClassKnown { typical, answers: 42.5, least: 250_000.0 };
+    let class = |typical: f64| ClassKnowledge { typical, answers: 42.5, least: 250_000.0 };
     PoolHandover {
         name: name.to_owned(),
         classes: vec!["read".to_owned(), "write".to_owned()],
@@ -76,7 +76,7 @@
         old,
     ]
     .concat();
-    let classes = vec![ClassKnown { typical: 2.0, answers: 3.0, least: 0.0 }];
+    let classes = vec![ClassKnowledge { typical: 2.0, answers: 3.0, least: 0.0 }];
     let knowledge = Knowledge { at: 7, classes, servers: Vec::new() };
     let pool = PoolHandover { name: "main".to_owned(), classes: vec!["read".to_owned()], knowledge };
     assert_eq!(
--- a/crates/proxy/src/upstream/discovery.rs
+++ b/crates/proxy/src/upstream/discovery.rs
@@ -284,7 +284,7 @@
                 phase: match h.health {
                     Health::Active => Phase::Ready,
                     Health::Leaving => Phase::Draining,
-                    Health::Left => Phase::Gone,
+                    Health::Left => Phase::Removed,
                 },
                 size: h.share.filter(|s| s.is_finite()).unwrap_or(0.0),
                 started_at: h.born_ms.unwrap_or(0).saturating_mul(1_000_000),
