--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -57,7 +57,16 @@
             }
             Record::Outcome { request, server, attempt, finished, took, ending, report } => {
                 let report = self.instances.get(&id).and_then(|i| report.named(&i.fields));
-                Event::Outcome { request, server, attempt, finished, took, ending, spent: false, report }
+                Event::Outcome {
+                    request,
+                    server,
+                    attempt,
+                    finished,
+                    took,
+                    ending,
+                    body_consumed: false,
+                    report,
+                }
             }
             Record::StreamStarted { request, attempt, server, took } => {
                 Event::StreamStarted { request, attempt, server, took }
--- a/crates/balance/src/balancer/admission.rs
+++ b/crates/balance/src/balancer/admission.rs
@@ -25,7 +25,7 @@
     pub(super) fn admit(&mut self, now: Nanos, request: Request, sink: Sink) {
         let most = 1.0 + RETRY_SHARE * self.sent.read(now, self.settings.ramp as f64);
         // Copies into a jam make it worse: the budget dries up as answers take longer than usual.
-        let mean = self.places.get(usize::from(request.class)).map_or(1.0, |place| place.typical);
+        let mean = self.places.get(usize::from(request.class)).map_or(1.0, |place| place.typical_nanos);
         let calm = self.pressure(now, mean).max(1.0).powi(-CALM_STEEP);
         self.budget = (self.budget + RETRY_SHARE * calm).min(most);
         let pending = Pending {
@@ -77,14 +77,14 @@
 
     /// What a request is worth to others: by its class, for the work that it takes.
     fn value(&self, class: usize) -> f64 {
-        let cost = if self.settings.worth_by_work { 1.0 } else { self.places[class].typical };
+        let cost = if self.settings.worth_by_work { 1.0 } else { self.places[class].typical_nanos };
         self.settings.classes[class].worth / cost
     }
 
     /// How far the answers of a class are delayed: from 0, not at all, to 1, so that others have to yield.
     fn delayed(&self, now: Nanos, class: usize) -> f64 {
         let place = &self.places[class];
-        let bears = ADMIT_AIMS * self.settings.classes[class].aim as f64 - place.least;
+        let bears = ADMIT_AIMS * self.settings.classes[class].aim as f64 - place.min_nanos;
         let wait = place.waits.read(now, self.relief);
         (wait / bears.max(1.0) / DELAY_BORNE).clamp(0.0, 1.0)
     }
--- a/crates/balance/src/balancer/attempts.rs
+++ b/crates/balance/src/balancer/attempts.rs
@@ -10,7 +10,7 @@
         self.sent.add(now, self.settings.ramp as f64, 1.0);
         self.begun = self.begun.min(now);
         let weight = self.pending.get(&id).map_or(1.0, |p| self.weight(&p.request));
-        let from = self.due(now, i).max(now as f64 - EARLY * self.settings.fall as f64);
+        let from = self.due(now, i).max(now as f64 - EARLY * self.settings.overload_window as f64);
         (self.nodes[i].paced_from, self.nodes[i].jitter) = (from, 1.0);
         self.credit(i, credit);
         let alone = self.nodes[i].out == 0;
@@ -51,7 +51,7 @@
         (id, attempt): (RequestId, u8),
         finished: bool,
         took: Nanos,
-        (ending, spent): (Ending, bool),
+        (ending, body_consumed): (Ending, bool),
         sink: Sink,
     ) {
         let Some(p) = self.pending.get_mut(&id) else { return };
@@ -69,12 +69,18 @@
         match self.pending.get(&id) {
             Some(p) if finished || p.answered => self.close(id, sink),
             Some(p) if p.open() > 0 && now < p.request.give_up_at => {}
-            _ => self.again(now, id, (ending, spent), sink),
+            _ => self.again(now, id, (ending, body_consumed), sink),
         }
     }
 
     /// Sends a request again whose attempts have all ended without an answer, or ends it.
-    pub(super) fn again(&mut self, now: Nanos, id: RequestId, (ending, spent): (Ending, bool), sink: Sink) {
+    pub(super) fn again(
+        &mut self,
+        now: Nanos,
+        id: RequestId,
+        (ending, body_consumed): (Ending, bool),
+        sink: Sink,
+    ) {
         let Some(mut p) = self.pending.remove(&id) else { return };
         let class = usize::from(p.request.class);
         let effect = self.settings.classes[class].effect;
@@ -84,18 +90,18 @@
         let rejected = ending == Ending::Rejected;
         let allowed = !p.streaming
             && !rejected
-            && !spent
+            && !body_consumed
             && p.attempts.len() < p.most as usize
             && (!may_have_run || effect != Effect::Unsafe)
             && (free || self.budget >= 1.0)
-            && now + (self.places[class].typical / 2.0) as Nanos <= p.request.give_up_at;
+            && now + (self.places[class].typical_nanos / 2.0) as Nanos <= p.request.give_up_at;
         let next = if allowed { self.choose(now, &p) } else { None };
         let all = self.settings.classes[class].group == Group::All;
         let harmless = !may_have_run || effect == Effect::Safe || (effect == Effect::Keyed && all);
         if next.is_none() {
             p.answered = true;
             if harmless && !rejected && now < p.request.give_up_at {
-                self.refuse(id, self.places[class].typical, Refusal::AttemptsFailed, sink);
+                self.refuse(id, self.places[class].typical_nanos, Refusal::AttemptsFailed, sink);
             } else {
                 sink.push(Action::Fail { request: id });
             }
--- a/crates/balance/src/balancer/choice.rs
+++ b/crates/balance/src/balancer/choice.rs
@@ -21,8 +21,8 @@
 impl Balancer {
     pub(super) fn usable(&self, now: Nanos, i: usize, pending: &Pending) -> bool {
         let node = &self.nodes[i];
-        node.blocked_until <= now
-            && (node.strikes == 0 || node.out == 0)
+        node.ejected_until <= now
+            && (node.consecutive_failures == 0 || node.out == 0)
             && (self.cold_share(now, i) >= 1.0 || (self.ranked(i) && self.due(now, i) <= now as f64))
             && !pending.attempts.iter().any(|a| a.node == i)
             && self.inside(now, i, pending)
@@ -47,7 +47,7 @@
         if count == 0 {
             return None;
         }
-        let mean = self.places[usize::from(pending.request.class)].typical;
+        let mean = self.places[usize::from(pending.request.class)].typical_nanos;
         let top = ((TOP_SHARE * count as f64).ceil() as usize).clamp(1, count.max(2) - 1).min(count);
         let weight = self.weight(&pending.request);
         let mut drawn = [(usize::MAX, usize::MAX); DRAWN + 1];
--- a/crates/balance/src/balancer/cold.rs
+++ b/crates/balance/src/balancer/cold.rs
@@ -20,7 +20,7 @@
     /// This node's sends a second, over a ramp, or what is known of one.
     pub(super) fn pace_now(&self, now: Nanos) -> f64 {
         let memory = self.settings.ramp as f64;
-        let since = now.saturating_sub(self.begun).max(self.settings.fall) as f64;
+        let since = now.saturating_sub(self.begun).max(self.settings.overload_window) as f64;
         self.sent.read(now, memory) / (memory / 1e9) / (1.0 - (-since / memory).exp())
     }
 
@@ -30,7 +30,7 @@
         let node = &self.nodes[i];
         let rate = TIP_PART * self.settings.tip_multiple * self.pace / node.reach;
         // Where little comes, one request in the time of a fall from each node pushes nobody over.
-        let most = self.settings.fall as f64 * f64::from(self.settings.group_size);
+        let most = self.settings.overload_window as f64 * f64::from(self.settings.group_size);
         let interval = 1e9 / (self.cold_share(now, i) * rate * node.size).max(1e-6);
         node.paced_from + node.jitter * interval.min(most)
     }
--- a/crates/balance/src/balancer/health.rs
+++ b/crates/balance/src/balancer/health.rs
@@ -34,17 +34,17 @@
     /// What an ending says of its server.
     pub(super) fn judge(&mut self, now: Nanos, a: Attempt, request: &Request, ending: Ending, sink: Sink) {
         let class = usize::from(request.class);
-        let fleet = self.pressure(now, self.places[class].typical);
+        let fleet = self.pressure(now, self.places[class].typical_nanos);
         let place = &mut self.places[class];
         let (i, weight, took, node) = (a.node, a.weight, a.took as f64, &mut self.nodes[a.node]);
         if matches!(ending, Ending::Ok | Ending::Error | Ending::Rejected | Ending::Full | Ending::Reset) {
             node.silent_since = now;
         }
         if matches!(ending, Ending::Ok | Ending::TimedOut) {
-            let usual = place.typical * weight;
+            let usual = place.typical_nanos * weight;
             if let Some(hint) = request.work_hint {
                 let [mean, spread, both] = &mut place.hints;
-                let (far, late) = (hint as f64 - *mean, took - place.typical);
+                let (far, late) = (hint as f64 - *mean, took - place.typical_nanos);
                 *mean += far * HINT_WEIGHT;
                 *spread += (far * far - *spread) * HINT_WEIGHT;
                 *both += (far * late - *both) * HINT_WEIGHT;
@@ -52,22 +52,22 @@
             // The yardstick follows slowly, upwards slowest: it has to outlive a jam. The guess that it
             // begins with counts for one answer.
             let slow = if took > usual { TYPICAL_UP } else { TYPICAL_DOWN };
-            place.answers += f64::from(u8::from(ending == Ending::Ok));
-            let over = if ending == Ending::Ok { slow.min(place.answers + 1.0) } else { slow };
-            place.typical += (took - place.typical) / over;
+            place.answer_count += f64::from(u8::from(ending == Ending::Ok));
+            let over = if ending == Ending::Ok { slow.min(place.answer_count + 1.0) } else { slow };
+            place.typical_nanos += (took - place.typical_nanos) / over;
             let (own, up) = (took / weight, if a.alone { LEAST_UP } else { 0.0 });
-            place.least = if place.least == 0.0 { own } else { place.least };
-            place.least += (own - place.least) * if own < place.least { LEAST_DOWN } else { up };
-            place.waits.learn(now, self.relief, own - place.least, WAITS_WEIGHT);
+            place.min_nanos = if place.min_nanos == 0.0 { own } else { place.min_nanos };
+            place.min_nanos += (own - place.min_nanos) * if own < place.min_nanos { LEAST_DOWN } else { up };
+            place.waits.learn(now, self.relief, own - place.min_nanos, WAITS_WEIGHT);
             self.waits.learn(now, self.relief, took - usual, WAITS_WEIGHT);
             let gap = 1.0 - (-(now.saturating_sub(node.lag.at) as f64) / self.memory).exp();
             node.lag.learn(now, self.memory, took / usual - fleet, LAG_WEIGHT.max(gap));
         }
         match ending {
             Ending::Ok => {
-                self.nodes[i].failures.learn(now, self.memory, 0.0, FAILURE_WEIGHT);
-                if self.nodes[i].blocked_until <= now {
-                    self.nodes[i].strikes = 0;
+                self.nodes[i].failure_rate.learn(now, self.memory, 0.0, FAILURE_WEIGHT);
+                if self.nodes[i].ejected_until <= now {
+                    self.nodes[i].consecutive_failures = 0;
                 }
             }
             Ending::Cancelled | Ending::NotSent => {}
@@ -75,7 +75,7 @@
             _ => {
                 self.credit(i, -a.credit);
                 if !matches!(ending, Ending::TimedOut | Ending::Rejected) {
-                    self.nodes[i].failures.learn(now, self.memory, 1.0, FAILURE_WEIGHT);
+                    self.nodes[i].failure_rate.learn(now, self.memory, 1.0, FAILURE_WEIGHT);
                 }
                 if ending != Ending::TimedOut {
                     self.strike(now, i, ending, sink);
@@ -87,27 +87,29 @@
     /// How many times a request goes to the server until it is answered. One that fails fast has the shortest
     /// queue of all, and would keep winning wherever it can't be ejected.
     pub(super) fn tries(&self, now: Nanos, i: usize) -> f64 {
-        1.0 / (1.0 - self.nodes[i].failures.read(now, self.memory)).max(LEAST_ANSWERED)
+        1.0 / (1.0 - self.nodes[i].failure_rate.read(now, self.memory)).max(LEAST_ANSWERED)
     }
 
     pub(super) fn strike(&mut self, now: Nanos, i: usize, ending: Ending, sink: Sink) {
         let zone = usize::from(self.nodes[i].server.zone);
-        if self.nodes[i].blocked_until > now || self.nodes[i].server.phase != Phase::Ready {
+        if self.nodes[i].ejected_until > now || self.nodes[i].server.phase != Phase::Ready {
             return;
         }
-        let out = self.ranks[zone].iter().filter(|&j| self.nodes[j].blocked_until > now).count();
+        let out = self.ranks[zone].iter().filter(|&j| self.nodes[j].ejected_until > now).count();
         if ending != Ending::ConnectFailed && out as f64 >= EJECT_CAP * self.ranks[zone].len() as f64 {
             return;
         }
         let jitter = 0.75 + 0.5 * self.chance();
         let node = &mut self.nodes[i];
-        node.strikes = (node.strikes + 1).min(4);
-        if matches!(ending, Ending::Reset | Ending::Rejected) && node.strikes == 1 {
+        node.consecutive_failures = (node.consecutive_failures + 1).min(4);
+        if matches!(ending, Ending::Reset | Ending::Rejected) && node.consecutive_failures == 1 {
             return;
         }
-        let pause = self.longest.min(LONGEST_COUNTED) as f64 / 2.0 * f64::from(1 << node.strikes) * jitter;
-        node.blocked_until = now + pause as Nanos;
-        if node.strikes == 2 {
+        let pause = self.longest.min(LONGEST_COUNTED) as f64 / 2.0
+            * f64::from(1 << node.consecutive_failures)
+            * jitter;
+        node.ejected_until = now + pause as Nanos;
+        if node.consecutive_failures == 2 {
             let text = format!("ejected after {ending:?}");
             sink.push(Action::Log { server: Some(node.server.id), text });
         }
--- a/crates/balance/src/balancer/list.rs
+++ b/crates/balance/src/balancer/list.rs
@@ -103,9 +103,9 @@
             report_at: 0,
             sent_since: 0.0,
             score: 0.0,
-            blocked_until: 0,
-            strikes: 0,
-            failures: Faded::default(),
+            ejected_until: 0,
+            consecutive_failures: 0,
+            failure_rate: Faded::default(),
             paced_from: now as f64,
             jitter: 1.0,
             reach: size,
@@ -138,8 +138,8 @@
         }
         if server.phase == Phase::Ready && (fresh || restarted) {
             let node = &mut self.nodes[i];
-            (node.lag, node.failures) = (Faded { value: 0.0, at: now }, Faded::default());
-            (node.strikes, node.blocked_until) = (0, 0);
+            (node.lag, node.failure_rate) = (Faded { value: 0.0, at: now }, Faded::default());
+            (node.consecutive_failures, node.ejected_until) = (0, 0);
             let zone = usize::from(server.zone);
             if self.ranks.len() <= zone {
                 self.ranks.resize(zone + 1, Order::default());
--- a/crates/balance/src/balancer/mod.rs
+++ b/crates/balance/src/balancer/mod.rs
@@ -41,9 +41,9 @@
     report_at: Nanos,
     sent_since: f64,
     pub(crate) score: f64,
-    pub(crate) blocked_until: Nanos,
-    pub(crate) strikes: u32,
-    pub(crate) failures: Faded,
+    pub(crate) ejected_until: Nanos,
+    pub(crate) consecutive_failures: u32,
+    pub(crate) failure_rate: Faded,
     paced_from: f64,
     jitter: f64,
     reach: f64,
@@ -170,9 +170,9 @@
         match event {
             Event::List { kind, servers } => self.follow_list(now, kind, &servers, sink),
             Event::Request(request) => self.admit(now, request, sink),
-            Event::Outcome { request, server, attempt, finished, took, ending, spent, report } => {
+            Event::Outcome { request, server, attempt, finished, took, ending, body_consumed, report } => {
                 self.learn(now, server, report);
-                self.outcome(now, (request, attempt), finished, took, (ending, spent), sink)
+                self.outcome(now, (request, attempt), finished, took, (ending, body_consumed), sink)
             }
             Event::BodyWritten { request, attempt } => self.written(now, request, attempt),
             Event::StreamStarted { request, .. } => {
@@ -208,7 +208,7 @@
     /// How many servers the list holds, and how many of these get nothing for now because of their failures.
     pub fn server_counts(&self, now: Nanos) -> (usize, usize) {
         let listed = self.nodes.iter().filter(|n| n.server.phase != Phase::Removed);
-        listed.fold((0, 0), |(all, out), n| (all + 1, out + usize::from(n.blocked_until > now)))
+        listed.fold((0, 0), |(all, out), n| (all + 1, out + usize::from(n.ejected_until > now)))
     }
 
     fn draw(&mut self, below: usize) -> usize {
--- a/crates/balance/src/balancer/queue.rs
+++ b/crates/balance/src/balancer/queue.rs
@@ -26,7 +26,7 @@
         let [mean, spread, both] = self.places[class].hints;
         match request.work_hint {
             Some(hint) if spread > 0.0 => {
-                let more = (both / spread).max(0.0) * (hint as f64 - mean) / self.places[class].typical;
+                let more = (both / spread).max(0.0) * (hint as f64 - mean) / self.places[class].typical_nanos;
                 (1.0 + more).max(LIGHTEST)
             }
             _ => 1.0,
@@ -54,7 +54,7 @@
 
     /// When an answer is expected that has such a queue before it.
     pub(super) fn expected(&self, class: usize, queue: f64) -> f64 {
-        queue * self.places[class].typical / self.settings.slots
+        queue * self.places[class].typical_nanos / self.settings.slots
     }
 
     /// What answers take of late as a multiple of what they usually do. All wait alike at a server: what is
--- a/crates/balance/src/balancer/retune.rs
+++ b/crates/balance/src/balancer/retune.rs
@@ -13,11 +13,11 @@
     /// Since when no settings name it; none while they do.
     pub(super) retired: Option<Nanos>,
     /// The yardstick of its answer times, how many answers that rests on, and what hints tell of them.
-    pub(crate) typical: f64,
-    pub(crate) answers: f64,
+    pub(crate) typical_nanos: f64,
+    pub(crate) answer_count: f64,
     pub(super) hints: [f64; 3],
     /// About the least that its answers take, and how much longer they take of late.
-    pub(crate) least: f64,
+    pub(crate) min_nanos: f64,
     pub(super) waits: Faded,
     /// When one was last sent, and how many were refused since.
     pub(super) tried_at: Nanos,
@@ -26,7 +26,7 @@
 
 impl Place {
     pub(super) fn new(class: &Class) -> Self {
-        Place { typical: class.aim as f64 / 3.0, ..Place::default() }
+        Place { typical_nanos: class.aim as f64 / 3.0, ..Place::default() }
     }
 }
 
--- a/crates/balance/src/interface.rs
+++ b/crates/balance/src/interface.rs
@@ -157,10 +157,10 @@
     pub cold_from: f64,
     /// A started server is warm after this.
     pub ramp: Nanos,
-    /// More than this multiple of its present capacity, for `fall`, pushes a cold server over.
+    /// More than this multiple of its present capacity, for `overload_window`, pushes a cold server over.
     pub tip_multiple: f64,
     /// See `tip_multiple`.
-    pub fall: Nanos,
+    pub overload_window: Nanos,
     /// Listed sizes can be compared between servers.
     pub sizes_known: bool,
     /// Servers that met a key lately do less work for it.
@@ -205,7 +205,7 @@
             cold_from: 0.3,
             ramp: 10 * give_up,
             tip_multiple: 3.0,
-            fall: give_up,
+            overload_window: give_up,
             sizes_known: true,
             warm_keys: false,
             cross_price: 0.0,
@@ -237,7 +237,7 @@
             ("group_size", u64::from(self.group_size)),
             ("max_attempts", u64::from(self.max_attempts)),
             ("ramp", self.ramp),
-            ("fall", self.fall),
+            ("fall", self.overload_window),
         ] {
             if value == 0 {
                 return Err(SettingsError::Zero(name));
@@ -405,7 +405,7 @@
         /// How it ended.
         ending: Ending,
         /// The request's body has gone with it: there is nothing to send again.
-        spent: bool,
+        body_consumed: bool,
         /// The server's load, where told.
         report: Option<Report>,
     },
--- a/crates/balance/src/knowledge.rs
+++ b/crates/balance/src/knowledge.rs
@@ -23,12 +23,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ClassKnowledge {
     /// Its yardstick of answer times, in nanoseconds; above 0.
-    pub typical: f64,
+    #[serde(rename = "typical")]
+    pub typical_nanos: f64,
     /// How many answers that rests on; 0 or more.
-    pub answers: f64,
+    #[serde(rename = "answers")]
+    pub answer_count: f64,
     /// About the least that its answers take, in nanoseconds; 0 where that is not known.
-    #[serde(default)]
-    pub least: f64,
+    #[serde(rename = "least", default)]
+    pub min_nanos: f64,
 }
 
 /// What is known of one server.
@@ -46,13 +48,17 @@
     /// Accomplishment, in units of one request sent now; 0 or more.
     pub score: f64,
     /// Failures in a row that count towards ejection.
-    pub strikes: u32,
+    #[serde(rename = "strikes")]
+    pub consecutive_failures: u32,
     /// Ejected until then.
-    pub blocked_until: Nanos,
-    /// Its share of failures as of `failures_at`, from 0 to 1.
-    pub failures: f64,
+    #[serde(rename = "blocked_until")]
+    pub ejected_until: Nanos,
+    /// Its share of failures as of `failure_rate_at`, from 0 to 1.
+    #[serde(rename = "failures")]
+    pub failure_rate: f64,
     /// When that was last told.
-    pub failures_at: Nanos,
+    #[serde(rename = "failures_at")]
+    pub failure_rate_at: Nanos,
 }
 
 /// All that goes from one balancer to its successor. Times are those of a clock that both share.
@@ -73,8 +79,8 @@
         shift(&mut self.at);
         for server in &mut self.servers {
             shift(&mut server.lag_at);
-            shift(&mut server.failures_at);
-            shift(&mut server.blocked_until);
+            shift(&mut server.failure_rate_at);
+            shift(&mut server.ejected_until);
         }
     }
 
@@ -82,18 +88,18 @@
     pub fn is_valid(&self, now: Nanos) -> bool {
         let within = |value: f64, most: f64| (0.0..=most).contains(&value);
         let class = |c: &ClassKnowledge| {
-            c.typical > 0.0
-                && c.typical.is_finite()
-                && within(c.answers, f64::MAX)
-                && within(c.least, f64::MAX)
+            c.typical_nanos > 0.0
+                && c.typical_nanos.is_finite()
+                && within(c.answer_count, f64::MAX)
+                && within(c.min_nanos, f64::MAX)
         };
         let server = |s: &ServerKnowledge| {
             within(s.lag.abs(), MOST)
                 && within(s.score, MOST)
-                && within(s.failures, 1.0)
-                && s.strikes <= MOST_STRIKES
+                && within(s.failure_rate, 1.0)
+                && s.consecutive_failures <= MOST_STRIKES
                 && s.lag_at <= now
-                && s.failures_at <= now
+                && s.failure_rate_at <= now
         };
         self.at <= now
             && now - self.at <= FRESH
@@ -109,9 +115,9 @@
         let class = |place: &u16| {
             let at = usize::from(*place);
             ClassKnowledge {
-                typical: self.places[at].typical,
-                answers: self.places[at].answers,
-                least: self.places[at].least,
+                typical_nanos: self.places[at].typical_nanos,
+                answer_count: self.places[at].answer_count,
+                min_nanos: self.places[at].min_nanos,
             }
         };
         let ready = self.nodes.iter().filter(|n| n.server.phase == Phase::Ready);
@@ -125,10 +131,10 @@
                     lag: 1.0 + n.lag.value,
                     lag_at: n.lag.at,
                     score: (n.score / unit).max(0.0),
-                    strikes: n.strikes,
-                    blocked_until: n.blocked_until,
-                    failures: n.failures.value,
-                    failures_at: n.failures.at,
+                    consecutive_failures: n.consecutive_failures,
+                    ejected_until: n.ejected_until,
+                    failure_rate: n.failure_rate.value,
+                    failure_rate_at: n.failure_rate.at,
                 })
                 .collect(),
         }
@@ -150,9 +156,10 @@
             let Some(at) = successor.map(usize::from).filter(|at| *at < self.places.len()) else { continue };
             let (aim, give_up) =
                 (self.settings.classes[at].aim as f64, self.settings.classes[at].give_up as f64);
-            self.places[at].typical = class.typical.clamp((aim * LEAST_TYPICAL).min(give_up), give_up);
-            self.places[at].answers = class.answers;
-            self.places[at].least = class.least.min(self.places[at].typical);
+            self.places[at].typical_nanos =
+                class.typical_nanos.clamp((aim * LEAST_TYPICAL).min(give_up), give_up);
+            self.places[at].answer_count = class.answer_count;
+            self.places[at].min_nanos = class.min_nanos.min(self.places[at].typical_nanos);
         }
         let unit = self.increment(now);
         let mut taken = 0;
@@ -163,9 +170,9 @@
                 continue;
             }
             node.lag = Faded { value: server.lag - 1.0, at: server.lag_at };
-            node.failures = Faded { value: server.failures, at: server.failures_at };
-            node.strikes = server.strikes;
-            node.blocked_until = server.blocked_until.min(now + LONGEST_EJECTION * self.longest);
+            node.failure_rate = Faded { value: server.failure_rate, at: server.failure_rate_at };
+            node.consecutive_failures = server.consecutive_failures;
+            node.ejected_until = server.ejected_until.min(now + LONGEST_EJECTION * self.longest);
             let more = server.score * unit - node.score;
             self.credit(i, more);
             taken += 1;
--- a/crates/balance/src/settings.rs
+++ b/crates/balance/src/settings.rs
@@ -144,7 +144,7 @@
         cold_from: pairs.get("guarantees.coldFrom")?,
         ramp: pairs.get("guarantees.rampTimeNs")?,
         tip_multiple: pairs.get("guarantees.tipMultiple")?,
-        fall: pairs.get("guarantees.fallNs")?,
+        overload_window: pairs.get("guarantees.fallNs")?,
         sizes_known: pairs.or("weightSource", String::from("none"))? != "none",
         warm_keys: pairs.or("familyInfo.warmKeys", false)?,
         cross_price: pairs.or("prices.crossZone", 0.0)?,
--- a/crates/balance/tests/admission.rs
+++ b/crates/balance/tests/admission.rs
@@ -12,7 +12,7 @@
     let mut settings = Settings::single_class(aim, give_up);
     let class = settings.classes[0].clone();
     settings.classes = worths.iter().map(|worth| Class { worth: *worth, ..class.clone() }).collect();
-    (settings.ramp, settings.fall) = (20_000 * MS, 2_000 * MS);
+    (settings.ramp, settings.overload_window) = (20_000 * MS, 2_000 * MS);
     settings
 }
 
--- a/crates/balance/tests/common/mod.rs
+++ b/crates/balance/tests/common/mod.rs
@@ -79,7 +79,7 @@
             finished,
             took,
             ending,
-            spent: false,
+            body_consumed: false,
             report: None,
         })
     }
--- a/crates/balance/tests/fleet.rs
+++ b/crates/balance/tests/fleet.rs
@@ -62,7 +62,7 @@
     let test_node = |ordinal| {
         let mut s = settings(Effect::Safe);
         (s.ordinal, s.group_size) = (ordinal, NODES);
-        (s.ramp, s.cold_from, s.fall, s.tip_multiple) = (RAMP, COLD_FROM, FALL, 3.0);
+        (s.ramp, s.cold_from, s.overload_window, s.tip_multiple) = (RAMP, COLD_FROM, FALL, 3.0);
         TestNode::new(s, list.to_vec(), u64::from(ordinal))
     };
     World {
--- a/crates/balance/tests/incidents.rs
+++ b/crates/balance/tests/incidents.rs
@@ -283,7 +283,7 @@
 #[test]
 fn a_cold_server_of_a_quiet_site_is_used() {
     let mut settings = settings(Effect::Safe);
-    (settings.fall, settings.ramp) = (2_000 * MS, 20_000 * MS);
+    (settings.overload_window, settings.ramp) = (2_000 * MS, 20_000 * MS);
     for (ramp, wait) in [(20_000, 2_001), (1, 2)] {
         settings.ramp = ramp * MS;
         let mut test_node = TestNode::new(settings.clone(), Vec::new(), 3);
--- a/crates/balance/tests/knowledge.rs
+++ b/crates/balance/tests/knowledge.rs
@@ -53,8 +53,8 @@
     let mut old = taught();
     let known = old.balancer.export_knowledge(old.now, &[0]);
     assert_eq!(known.servers.len(), 10);
-    let blocked = |k: &Knowledge| k.servers.iter().find(|s| s.id == server(0)).unwrap().blocked_until;
-    assert!(blocked(&known) > old.now, "the dead server is ejected");
+    let ejected_until = |k: &Knowledge| k.servers.iter().find(|s| s.id == server(0)).unwrap().ejected_until;
+    assert!(ejected_until(&known) > old.now, "the dead server is ejected");
     let (mut warm, mut blank) = (successor(&old, servers(10)), successor(&old, servers(10)));
     assert_eq!(warm.balancer.import_knowledge(warm.now, &known, &[Some(0)]), Some(10));
     assert_eq!(warm.balancer.server_counts(warm.now), old.balancer.server_counts(old.now));
@@ -141,17 +141,18 @@
     /// Whatever another process says: it is taken whole or not at all, and the balancer goes on serving.
     #[test]
     fn no_knowledge_makes_a_balancer_stop(
-        typical in figure(), answers in figure(),
+        typical_nanos in figure(), answer_count in figure(),
         told in proptest::collection::vec(
             (0..12u64, figure(), figure(), figure(), any::<u32>(), moment(), moment(), moment()), 0..12),
     ) {
         let now = 1_000_000 * MS;
-        let one = |(id, lag, score, failures, strikes, lag_at, blocked_until, failures_at)| ServerKnowledge {
-            id: ServerId(id), started_at: 0, lag, lag_at, score, strikes: strikes % 6, blocked_until, failures, failures_at,
+        let one = |(id, lag, score, failure_rate, failures, lag_at, ejected_until, failure_rate_at)| ServerKnowledge {
+            id: ServerId(id), started_at: 0, lag, lag_at, score, consecutive_failures: failures % 6, ejected_until,
+            failure_rate, failure_rate_at,
         };
         let known = Knowledge {
             at: now,
-            classes: vec![ClassKnowledge { typical, answers, least: 0.0 }],
+            classes: vec![ClassKnowledge { typical_nanos, answer_count, min_nanos: 0.0 }],
             servers: told.into_iter().map(one).collect(),
         };
         let mut balancer = Balancer::new(settings(Effect::Safe), 5).unwrap();
@@ -170,7 +171,7 @@
             if let Some(server) = sent(&sink, id) {
                 served += u32::from(id > 500);
                 let outcome = Event::Outcome {
-                    request: id, server, attempt: 0, finished: true, took: 30 * MS, ending: Ending::Ok, spent: false, report: None,
+                    request: id, server, attempt: 0, finished: true, took: 30 * MS, ending: Ending::Ok, body_consumed: false, report: None,
                 };
                 balancer.handle(at, outcome, &mut sink);
             }
@@ -189,15 +190,15 @@
         lag: 1.5,
         lag_at: 2 * HOUR,
         score: 1.0,
-        strikes: 2,
-        blocked_until: 2 * HOUR + MS,
-        failures: 0.5,
-        failures_at: 2 * HOUR - MS,
+        consecutive_failures: 2,
+        ejected_until: 2 * HOUR + MS,
+        failure_rate: 0.5,
+        failure_rate_at: 2 * HOUR - MS,
     };
     let known = Knowledge { at: 2 * HOUR, classes: Vec::new(), servers: vec![server] };
     let mut ahead = known.clone();
     ahead.shift(HOUR as i64);
-    assert_eq!((ahead.at, ahead.servers[0].blocked_until), (3 * HOUR, 3 * HOUR + MS));
+    assert_eq!((ahead.at, ahead.servers[0].ejected_until), (3 * HOUR, 3 * HOUR + MS));
     assert!(ahead.is_valid(3 * HOUR + MS) && !ahead.is_valid(2 * HOUR));
     ahead.shift(-(HOUR as i64));
     assert_eq!(ahead, known, "and back; a server's start is on no clock of ours");
--- a/crates/balance/tests/replay.rs
+++ b/crates/balance/tests/replay.rs
@@ -74,7 +74,7 @@
         ordinal: 1,
         cold_from: 0.14,
         ramp: 23_000 * MS,
-        fall: 2_000 * MS,
+        overload_window: 2_000 * MS,
         warm_keys: !zones_known,
         ..Settings::single_class(MS, MS)
     }
@@ -182,7 +182,7 @@
                         finished,
                         took,
                         ending,
-                        spent: false,
+                        body_consumed: false,
                         report: None,
                     };
                     due.insert((now + took, serial), outcome);
--- a/crates/balance/tests/retune.rs
+++ b/crates/balance/tests/retune.rs
@@ -30,7 +30,7 @@
         finished: ending == Ending::Ok,
         took: 10 * MS,
         ending,
-        spent: false,
+        body_consumed: false,
         report: None,
     })
 }
--- a/crates/balance/tests/rules.rs
+++ b/crates/balance/tests/rules.rs
@@ -120,7 +120,7 @@
                     finished,
                     took,
                     ending,
-                    spent: false,
+                    body_consumed: false,
                     report: None,
                 })
             } else if rng.next_u32() % 10 == 0 {
--- a/crates/bench/benches/cold.rs
+++ b/crates/bench/benches/cold.rs
@@ -43,7 +43,7 @@
                 finished: true,
                 took: WORK,
                 ending: Ending::Ok,
-                spent: false,
+                body_consumed: false,
                 report: None,
             };
             balancer.handle(now, outcome, &mut actions);
--- a/crates/engine/src/requests.rs
+++ b/crates/engine/src/requests.rs
@@ -485,7 +485,7 @@
             finished: !live.owed,
             took: attempt.took.unwrap_or(now.saturating_sub(attempt.record.sent_at)),
             ending,
-            spent: live.load.spent(),
+            body_consumed: live.load.spent(),
             report: None,
         };
         if attempt.sent && matches!(ending, Ending::TimedOut | Ending::Cancelled) {
--- a/crates/laboratory/src/fleet.rs
+++ b/crates/laboratory/src/fleet.rs
@@ -293,7 +293,7 @@
 
     /// Counts what is sent to a cold server against what would push it over.
     fn weigh(&mut self, server: ServerId, work: Nanos, mean: Nanos) {
-        let (now, fall) = (self.now, self.settings.fall);
+        let (now, fall) = (self.now, self.settings.overload_window);
         let machine = &self.machines[&server];
         let (born, cores) = (machine.born, machine.cores as f64);
         if self.share(born, now) >= 1.0 {
@@ -383,7 +383,7 @@
             finished: true,
             took,
             ending,
-            spent: false,
+            body_consumed: false,
             report: None,
         };
         self.handle(node, event);
@@ -405,7 +405,7 @@
                 finished: false,
                 took,
                 ending: Ending::TimedOut,
-                spent: false,
+                body_consumed: false,
                 report: None,
             };
             self.handle(node, event);
@@ -421,6 +421,6 @@
     let mut settings = Settings::single_class(aim, give_up);
     let class = settings.classes[0].clone();
     settings.classes = worths.iter().map(|worth| Class { worth: *worth, ..class.clone() }).collect();
-    (settings.ramp, settings.fall) = (20_000_000_000, 2_000_000_000);
+    (settings.ramp, settings.overload_window) = (20_000_000_000, 2_000_000_000);
     settings
 }
--- a/crates/operate/src/handover.rs
+++ b/crates/operate/src/handover.rs
@@ -129,12 +129,12 @@
             lag,
             lag_at: 7,
             score: 0.1 * k as f64,
-            strikes: 2,
-            blocked_until: u64::MAX,
-            failures: 0.25,
-            failures_at: 9,
+            consecutive_failures: 2,
+            ejected_until: u64::MAX,
+            failure_rate: 0.25,
+            failure_rate_at: 9,
         };
-        let classes = vec![ClassKnowledge { typical: 1.5e6, answers: 12.0, least: 0.5e6 }];
+        let classes = vec![ClassKnowledge { typical_nanos: 1.5e6, answer_count: 12.0, min_nanos: 0.5e6 }];
         let knowledge = Knowledge { at: 5, classes, servers: (0..servers).map(server).collect() };
         Handover {
             fleet: None,
--- a/crates/operate/tests/golden.rs
+++ b/crates/operate/tests/golden.rs
@@ -26,12 +26,13 @@
         lag: 1.25,
         lag_at: at - 1,
         score: 17.5 + k as f64,
-        strikes: 3,
-        blocked_until: at + 2_000_000_000,
-        failures: 0.125,
-        failures_at: at - 2,
+        consecutive_failures: 3,
+        ejected_until: at + 2_000_000_000,
+        failure_rate: 0.125,
+        failure_rate_at: at - 2,
     };
-    let class = |typical: f64| ClassKnowledge { typical, answers: 42.5, least: 250_000.0 };
+    let class =
+        |typical_nanos: f64| ClassKnowledge { typical_nanos, answer_count: 42.5, min_nanos: 250_000.0 };
     PoolHandover {
         name: name.to_owned(),
         classes: vec!["read".to_owned(), "write".to_owned()],
@@ -76,7 +77,7 @@
         old,
     ]
     .concat();
-    let classes = vec![ClassKnowledge { typical: 2.0, answers: 3.0, least: 0.0 }];
+    let classes = vec![ClassKnowledge { typical_nanos: 2.0, answer_count: 3.0, min_nanos: 0.0 }];
     let knowledge = Knowledge { at: 7, classes, servers: Vec::new() };
     let pool = PoolHandover { name: "main".to_owned(), classes: vec!["read".to_owned()], knowledge };
     assert_eq!(
--- a/crates/plan/src/file/compile.rs
+++ b/crates/plan/src/file/compile.rs
@@ -87,7 +87,7 @@
         cold_from: pool.cold_from,
         ramp: pool.cold_ramp.map_or(MEMORY, |r| r.0),
         tip_multiple: TIP.0,
-        fall: TIP.1,
+        overload_window: TIP.1,
         // Behind all zones comes one of their backups each.
         backup_zone: if pool.discovery.is_some() { u8::MAX } else { zones.min(127) as u8 },
         ..Settings::single_class(1, longest)
--- a/crates/plan/tests/golden.rs
+++ b/crates/plan/tests/golden.rs
@@ -171,7 +171,7 @@
     );
     assert_eq!(settings.max_retry_after, 2_000_000_000);
     assert_eq!((settings.cold_from, settings.ramp), (0.14, 23_000_000_000));
-    assert_eq!((settings.tip_multiple, settings.fall), (3.0, 2_000_000_000));
+    assert_eq!((settings.tip_multiple, settings.overload_window), (3.0, 2_000_000_000));
     assert_eq!((settings.sizes_known, settings.warm_keys, settings.cross_price), (true, true, 0.02));
 }
 
