--- a/crates/balance/src/balancer/retune.rs
+++ b/crates/balance/src/balancer/retune.rs
@@ -13,11 +13,11 @@
     /// Since when no settings name it; none while they do.
     pub(super) retired: Option<Nanos>,
     /// The yardstick of its answer times, how many answers that rests on, and what hints tell of them.
-    pub(crate) typical: f64,
-    pub(crate) answers: f64,
+    pub(crate) typical_nanos: f64,
+    pub(crate) answer_count: f64,
     pub(super) hints: [f64; 3],
     /// About the least that its answers take, and how much longer they take of late.
-    pub(crate) least: f64,
+    pub(crate) min_nanos: f64,
     pub(super) waits: Faded,
     /// When one was last sent, and how many were refused since.
     pub(super) tried_at: Nanos,
@@ -26,7 +26,7 @@
 
 impl Place {
     pub(super) fn new(class: &Class) -> Self {
-        Place { typical: class.aim as f64 / 3.0, ..Place::default() }
+        Place { typical_nanos: class.aim as f64 / 3.0, ..Place::default() }
     }
 }
 
@@ -38,7 +38,7 @@
     ///
     /// # Errors
     /// Where no node could act on the settings; the old ones stay in force.
-    pub fn retune(
+    pub fn update_settings(
         &mut self,
         now: Nanos,
         mut settings: Settings,
@@ -67,7 +67,7 @@
         self.memory = LAG_MEMORY * self.longest as f64;
         self.relief = RELIEF * named(|c| c.aim) as f64;
         self.settings = Settings { classes: table, ..settings };
-        self.forget_strangers();
+        self.forget_tenants_without_quota();
         (0..self.ready.len()).for_each(|zone| self.regroup(now, zone));
         Ok(places)
     }
--- a/crates/balance/tests/replay.rs
+++ b/crates/balance/tests/replay.rs
@@ -36,7 +36,7 @@
             Action::FetchList => self.add(7),
             // Its wording is free.
             Action::Log { .. } => {}
-            Action::Probe { .. } | Action::Tell { .. } => self.add(8),
+            Action::Probe { .. } | Action::SendMessage { .. } => self.add(8),
         }
     }
 }
@@ -74,7 +74,7 @@
         ordinal: 1,
         cold_from: 0.14,
         ramp: 23_000 * MS,
-        fall: 2_000 * MS,
+        overload_window: 2_000 * MS,
         warm_keys: !zones_known,
         ..Settings::single_class(MS, MS)
     }
@@ -148,7 +148,8 @@
         };
         if retuned.is_some_and(|every| matches!(event, Event::Request(_)) && left.is_multiple_of(every)) {
             let predecessors = [Some(0), Some(1), Some(2)];
-            let places = balancer.retune(now, settings(seed.is_multiple_of(2)), &predecessors).unwrap();
+            let places =
+                balancer.update_settings(now, settings(seed.is_multiple_of(2)), &predecessors).unwrap();
             assert_eq!(places, [0, 1, 2]);
         }
         let mut actions = Vec::new();
@@ -181,7 +182,7 @@
                         finished,
                         took,
                         ending,
-                        spent: false,
+                        body_consumed: false,
                         report: None,
                     };
                     due.insert((now + took, serial), outcome);
--- a/crates/laboratory/src/fleet.rs
+++ b/crates/laboratory/src/fleet.rs
@@ -293,7 +293,7 @@
 
     /// Counts what is sent to a cold server against what would push it over.
     fn weigh(&mut self, server: ServerId, work: Nanos, mean: Nanos) {
-        let (now, fall) = (self.now, self.settings.fall);
+        let (now, fall) = (self.now, self.settings.overload_window);
         let machine = &self.machines[&server];
         let (born, cores) = (machine.born, machine.cores as f64);
         if self.share(born, now) >= 1.0 {
@@ -338,7 +338,7 @@
         }
         let id = ServerId(self.machines.keys().next_back().map_or(0, |id| id.0 + 1));
         self.machines.insert(id, Machine { cores: self.cores, born: Some(self.now), ..Machine::default() });
-        let gone = Server { phase: Phase::Gone, ..Server::warm(old) };
+        let gone = Server { phase: Phase::Removed, ..Server::warm(old) };
         self.changes.push(vec![gone, Server { started_at: self.now, ..Server::warm(id) }]);
         for node in 0..self.nodes.len() {
             let after = (self.chance() * self.heard_within as f64) as Nanos;
@@ -383,7 +383,7 @@
             finished: true,
             took,
             ending,
-            spent: false,
+            body_consumed: false,
             report: None,
         };
         self.handle(node, event);
@@ -405,7 +405,7 @@
                 finished: false,
                 took,
                 ending: Ending::TimedOut,
-                spent: false,
+                body_consumed: false,
                 report: None,
             };
             self.handle(node, event);
@@ -421,6 +421,6 @@
     let mut settings = Settings::single_class(aim, give_up);
     let class = settings.classes[0].clone();
     settings.classes = worths.iter().map(|worth| Class { worth: *worth, ..class.clone() }).collect();
-    (settings.ramp, settings.fall) = (20_000_000_000, 2_000_000_000);
+    (settings.ramp, settings.overload_window) = (20_000_000_000, 2_000_000_000);
     settings
 }
