--- a/crates/corkhollow/src/commands/check.rs
+++ b/crates/corkhollow/src/commands/check.rs
@@ -2,7 +2,7 @@
 
 use super::{load, Failure};
 use crate::cli::CheckArgs;
-use corkhollow_plan::file::read_servers;
+use corkhollow_plan::config::parse_server_list;
 use corkhollow_plan::plan::{Fleet, Source};
 use std::io::Write;
 
@@ -13,7 +13,7 @@
         let Source::Watch(path) = &pool.source else { continue };
         let text = std::fs::read_to_string(path)
             .map_err(|error| Failure::Unreadable { path: path.clone(), error })?;
-        if let Err(faults) = read_servers(&text, plan.zone, &plan.zones) {
+        if let Err(faults) = parse_server_list(&text, plan.zone, &plan.zones) {
             super::print(path, &faults);
             return Err(Failure::Faulty { path: path.clone(), count: faults.len() });
         }
--- a/crates/corkhollow/src/commands/mod.rs
+++ b/crates/corkhollow/src/commands/mod.rs
@@ -8,7 +8,7 @@
 mod reload;
 pub mod run;
 
-use corkhollow_plan::file::{self, Checked, Fault};
+use corkhollow_plan::config::{self, CheckedConfig, Diagnostic};
 use corkhollow_plan::settled;
 use std::io::Write;
 use std::path::{Path, PathBuf};
@@ -29,26 +29,26 @@
 }
 
 /// Reads an operator's file. What is wrong with it is printed, one line a fault.
-pub fn load(path: &Path) -> Result<Checked, Failure> {
+pub fn load(path: &Path) -> Result<CheckedConfig, Failure> {
     let unreadable = |error| Failure::Unreadable { path: path.to_owned(), error };
     let bytes = settled::read(path).map_err(unreadable)?;
     let text = String::from_utf8(bytes)
         .map_err(|error| unreadable(std::io::Error::new(std::io::ErrorKind::InvalidData, error)))?;
     let folder = path.parent().unwrap_or(Path::new(""));
-    match file::read(&text, folder) {
+    match config::parse_config(&text, folder) {
         Ok(checked) => {
             print(path, &checked.warnings);
             Ok(checked)
         }
         Err(faults) => {
             print(path, &faults);
-            let count = faults.iter().filter(|f| f.severity == file::Severity::Error).count();
+            let count = faults.iter().filter(|f| f.severity == config::Severity::Error).count();
             Err(Failure::Faulty { path: path.to_owned(), count })
         }
     }
 }
 
-fn print(path: &Path, faults: &[Fault]) {
+fn print(path: &Path, faults: &[Diagnostic]) {
     let mut out = std::io::stderr().lock();
     for fault in faults {
         // Without standard error there is nobody to tell.
@@ -58,6 +58,6 @@
 
 /// `corkhollow reference`.
 pub fn reference() -> Result<(), Failure> {
-    std::io::stdout().write_all(file::guide::reference().as_bytes())?;
+    std::io::stdout().write_all(config::reference::render_markdown().as_bytes())?;
     Ok(())
 }
--- a/crates/laboratory/tests/changes.rs
+++ b/crates/laboratory/tests/changes.rs
@@ -2,7 +2,7 @@
 //! that grows with the size.
 
 use corkhollow_laboratory::scale::{Change, Frame, Generated, Size};
-use corkhollow_plan::file::read;
+use corkhollow_plan::config::parse_config;
 use corkhollow_plan::plan::Plan;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -19,7 +19,7 @@
 }
 
 fn plan(site: &Generated) -> Plan {
-    read(&text(site), Path::new("")).expect("a sound file").plan
+    parse_config(&text(site), Path::new("")).expect("a sound file").plan
 }
 
 /// Things that a file names.
--- a/crates/laboratory/tests/scale.rs
+++ b/crates/laboratory/tests/scale.rs
@@ -1,7 +1,7 @@
 //! Configurations of the size that is coming, and of parts of it.
 
 use corkhollow_laboratory::scale::{Change, Count, Fit, Frame, Generated, Size};
-use corkhollow_plan::file::{read, Checked};
+use corkhollow_plan::config::{parse_config, CheckedConfig};
 use std::net::SocketAddr;
 use std::path::Path;
 
@@ -15,8 +15,8 @@
     site.text(&Frame { head, pool: "", address: &address })
 }
 
-fn checked(site: &Generated) -> Checked {
-    read(&text(site), Path::new("")).expect("a sound file")
+fn checked(site: &Generated) -> CheckedConfig {
+    parse_config(&text(site), Path::new("")).expect("a sound file")
 }
 
 #[test]
@@ -42,7 +42,7 @@
         assert_eq!(site.counts(), counts, "{part}");
         assert_eq!(text(&site), text(&Generated::new(counts, 3)));
         assert_ne!(text(&site), text(&Generated::new(counts, 4)));
-        let Checked { plan, warnings, .. } = checked(&site);
+        let CheckedConfig { plan, warnings, .. } = checked(&site);
         assert!(warnings.is_empty(), "{part}: {:?}", warnings.first());
         let servers: usize = plan.pools.iter().map(|pool| pool_size(&pool.source)).sum();
         assert_eq!((plan.pools.len(), servers), (counts.services as usize, counts.servers as usize));
--- a/crates/plan/src/file/compile.rs
+++ b/crates/plan/src/config/compile.rs
@@ -1,8 +1,8 @@
 //! From the file to the plan: names are resolved, and what only shows when the whole is seen is checked.
 
-use super::model::{self, File};
-use super::reader::{Reader, Severity};
+use super::model::{self, ConfigFile};
 use super::routes;
+use super::validator::{Severity, Validator};
 use crate::plan::{
     Check, Dialect, Discovery, Fleet, Limits, Listener, Plan, Pool, RequestClass, Server, Source,
 };
@@ -15,34 +15,39 @@
 use std::path::Path;
 use std::sync::Arc;
 
-/// Builds the plan; none where something in it could not be resolved. Faults go to the reader.
-pub(super) fn compile(file: &File, folder: &Path, version: Version, reader: &mut Reader<'_>) -> Option<Plan> {
+/// Builds the plan; none where something in it could not be resolved. Faults go to the validator.
+pub(super) fn compile(
+    file: &ConfigFile,
+    folder: &Path,
+    version: Version,
+    validator: &mut Validator<'_>,
+) -> Option<Plan> {
     let zones = zones(file);
     if zones.len() > 127 {
-        reader.error("pool", "more than 126 zones");
+        validator.error("pool", "more than 126 zones");
     }
     let zone = zones.iter().position(|z| Some(z) == file.node.zone.as_ref()).unwrap_or(0) as u8;
-    let fleet = fleet(file, folder, reader);
-    let listeners = listeners(file, reader);
-    let classes = classes(file, reader);
-    let tenants = tenants(file, reader)?;
-    let limits = limits(file, reader);
+    let fleet = fleet(file, folder, validator);
+    let listeners = listeners(file, validator);
+    let classes = classes(file, validator);
+    let tenants = tenants(file, validator)?;
+    let limits = limits(file, validator);
     let told = |p: &model::Pool| settings(p, &classes, tenants.over_share_worth, zone, zones.len());
     let pools: Vec<_> = file
         .pool
         .iter()
         .enumerate()
-        .map(|(k, p)| Arc::new(pool(p, k, told(p), &zones, folder, reader)))
+        .map(|(k, p)| Arc::new(pool(p, k, told(p), &zones, folder, validator)))
         .collect();
-    unique(file.pool.iter().map(|p| &p.name), "pool", reader);
-    let compiled = routes::routes(file, &listeners, reader);
+    unique(file.pool.iter().map(|p| &p.name), "pool", validator);
+    let compiled = routes::routes(file, &listeners, validator);
     let (drain_timeout, operator) = (file.node.drain_timeout.0, file.operator.listen);
-    if reader.failed() {
+    if validator.has_errors() {
         return None;
     }
-    routes::warn_of_unused(file, reader);
+    routes::warn_of_unused(file, validator);
     let routes = RouteTable::new(compiled.into_iter().flatten().collect(), listeners.len());
-    routes::warn_of_covered(&routes, reader);
+    routes::warn_of_covered(&routes, validator);
     Some(Plan {
         version,
         zone,
@@ -97,33 +102,33 @@
 /// Names go along in every datagram.
 const LONGEST_FLEET_NAME: usize = 32;
 
-fn fleet(file: &File, folder: &Path, reader: &mut Reader<'_>) -> Option<Fleet> {
+fn fleet(file: &ConfigFile, folder: &Path, validator: &mut Validator<'_>) -> Option<Fleet> {
     let told = file.fleet.as_ref()?;
     let [every, timeout, suspect] = [told.probe_every.0, told.probe_timeout.0, told.suspect_for.0];
     if told.node.len() > LONGEST_FLEET_NAME {
-        reader.error("fleet.node", "a node's name in a fleet has at most 32 characters");
+        validator.error("fleet.node", "a node's name in a fleet has at most 32 characters");
     }
     if file.node.zone.as_ref().is_some_and(|zone| zone.len() > LONGEST_FLEET_NAME) {
-        reader.error("node.zone", "in a fleet the name of a node's zone has at most 32 characters");
+        validator.error("node.zone", "in a fleet the name of a node's zone has at most 32 characters");
     }
     if told.advertise.is_none() && told.listen.ip().is_unspecified() {
-        reader.error("fleet.listen", "others cannot reach this address; `advertise` says where they do");
+        validator.error("fleet.listen", "others cannot reach this address; `advertise` says where they do");
     }
     let reachable = |address: &std::net::SocketAddr| address.port() != 0 && !address.ip().is_unspecified();
     if told.advertise.is_some_and(|address| !reachable(&address)) {
-        reader.error("fleet.advertise", "others cannot reach this address");
+        validator.error("fleet.advertise", "others cannot reach this address");
     }
     for (k, _) in told.seeds.iter().enumerate().filter(|(_, seed)| !reachable(seed)) {
-        reader.error(&format!("fleet.seeds[{k}]"), "nobody can be reached at this address");
+        validator.error(&format!("fleet.seeds[{k}]"), "nobody can be reached at this address");
     }
     if !(50_000_000..=60_000_000_000).contains(&every) {
-        reader.error("fleet.probe_every", "out of range: 50ms to 1m");
+        validator.error("fleet.probe_every", "out of range: 50ms to 1m");
     }
     if timeout >= every {
-        reader.error("fleet.probe_timeout", "must be shorter than `probe_every`");
+        validator.error("fleet.probe_timeout", "must be shorter than `probe_every`");
     }
     if suspect < 2 * every {
-        reader.error("fleet.suspect_for", "must be at least twice `probe_every`");
+        validator.error("fleet.suspect_for", "must be at least twice `probe_every`");
     }
     Some(Fleet {
         name: told.name.clone(),
@@ -140,7 +145,7 @@
 }
 
 /// All zones that are named; the first is the program's own.
-fn zones(file: &File) -> Vec<String> {
+fn zones(file: &ConfigFile) -> Vec<String> {
     let mut zones = vec![file.node.zone.clone().unwrap_or_default()];
     let named = file.pool.iter().flat_map(|p| p.servers.iter().flatten()).filter_map(|s| s.zone.clone());
     for zone in file.node.zones.iter().cloned().chain(named) {
@@ -151,27 +156,27 @@
     zones
 }
 
-pub(super) fn unique<'n>(names: impl Iterator<Item = &'n String>, list: &str, reader: &mut Reader<'_>) {
+pub(super) fn unique<'n>(names: impl Iterator<Item = &'n String>, list: &str, validator: &mut Validator<'_>) {
     let mut first = BTreeMap::new();
     for (k, name) in names.enumerate() {
         if let Some(earlier) = first.insert(name, k) {
             first.insert(name, earlier);
-            reader
+            validator
                 .error(&format!("{list}[{k}].name"), format!("{list}[{earlier}] has the name `{name}` too"));
         }
     }
 }
 
-fn listeners(file: &File, reader: &mut Reader<'_>) -> Vec<Listener> {
+fn listeners(file: &ConfigFile, validator: &mut Validator<'_>) -> Vec<Listener> {
     if file.listener.is_empty() {
-        reader.error("listener", "there must be at least one listener");
+        validator.error("listener", "there must be at least one listener");
     }
-    unique(file.listener.iter().map(|l| &l.name), "listener", reader);
+    unique(file.listener.iter().map(|l| &l.name), "listener", validator);
     let mut taken = BTreeMap::new();
     for (k, l) in file.listener.iter().enumerate().filter(|(_, l)| l.address.port() != 0) {
         if let Some(earlier) = taken.insert(l.address, k) {
             let what = format!("listener[{earlier}] has the address {} too", l.address);
-            reader.error(&format!("listener[{k}].address"), what);
+            validator.error(&format!("listener[{k}].address"), what);
         }
     }
     let build = |l: &model::Listener| Listener {
@@ -188,7 +193,7 @@
     file.listener.iter().map(build).collect()
 }
 
-fn limits(file: &File, reader: &mut Reader<'_>) -> Limits {
+fn limits(file: &ConfigFile, validator: &mut Validator<'_>) -> Limits {
     let l = &file.limits;
     for (name, value, least, most) in [
         ("memory", l.memory.0, 16_000_000, u64::MAX),
@@ -202,7 +207,7 @@
                 _ => "at most an eighth of `limits.memory`",
             };
             let what = "the size is out of range".to_owned();
-            reader.note(Severity::Error, &format!("limits.{name}"), what, allowed.to_owned());
+            validator.note(Severity::Error, &format!("limits.{name}"), what, allowed.to_owned());
         }
     }
     Limits {
@@ -219,7 +224,7 @@
 const READS: [&str; 4] = ["GET", "HEAD", "OPTIONS", "TRACE"];
 
 /// The file's classes, and behind them the two that stand for what they leave open.
-pub(super) fn with_defaults(file: &File) -> Vec<model::Class> {
+pub(super) fn with_defaults(file: &ConfigFile) -> Vec<model::Class> {
     let mut classes = file.class.clone();
     for (name, effect, methods) in
         [("read", model::Effect::Safe, &READS[..]), ("write", model::Effect::Unsafe, &[][..])]
@@ -236,31 +241,31 @@
     classes
 }
 
-fn classes(file: &File, reader: &mut Reader<'_>) -> Vec<RequestClass> {
-    unique(file.class.iter().map(|c| &c.name), "class", reader);
+fn classes(file: &ConfigFile, validator: &mut Validator<'_>) -> Vec<RequestClass> {
+    unique(file.class.iter().map(|c| &c.name), "class", validator);
     let mut by_method: BTreeMap<&str, usize> = BTreeMap::new();
     for (k, class) in file.class.iter().enumerate() {
         let at = |key: &str| format!("class[{k}].{key}");
         if class.aim > class.deadline {
-            reader.error(&at("aim"), format!("the aim is longer than the deadline, {}", class.deadline));
+            validator.error(&at("aim"), format!("the aim is longer than the deadline, {}", class.deadline));
         }
         if class.effect != model::Effect::Keyed {
             if class.group != model::Group::All {
-                reader.error(&at("group"), "only classes of effect \"keyed\" have a group");
+                validator.error(&at("group"), "only classes of effect \"keyed\" have a group");
             }
         } else if class.window < class.deadline {
             let what = "a repeat may come after the window; the module sends none then".to_owned();
-            reader.note(Severity::Warning, &at("window"), what, format!("at least {}", class.deadline));
+            validator.note(Severity::Warning, &at("window"), what, format!("at least {}", class.deadline));
         }
         for (n, method) in class.methods.iter().enumerate() {
             if let Some(earlier) = by_method.insert(method, k) {
                 let what = format!("class[{earlier}] is for {method} too");
-                reader.error(&at(&format!("methods[{n}]")), what);
+                validator.error(&at(&format!("methods[{n}]")), what);
             }
         }
     }
     if with_defaults(file).len() > 255 {
-        reader.error("class", "more than 253 classes");
+        validator.error("class", "more than 253 classes");
     }
     let methods = |c: &model::Class| c.methods.iter().filter_map(|m| m.parse().ok()).collect();
     let build = |c: model::Class| RequestClass {
@@ -284,9 +289,9 @@
     with_defaults(file).into_iter().map(build).collect()
 }
 
-fn tenants(file: &File, reader: &mut Reader<'_>) -> Option<Tenants> {
+fn tenants(file: &ConfigFile, validator: &mut Validator<'_>) -> Option<Tenants> {
     let tenants = file.tenants.clone().unwrap_or_default();
-    unique(tenants.tenant.iter().map(|t| &t.name), "tenants.tenant", reader);
+    unique(tenants.tenant.iter().map(|t| &t.name), "tenants.tenant", validator);
     let shares = tenants.tenant.iter().map(|t| (t.name.clone(), t.rate));
     Some(Tenants::new(header(&tenants.header)?, shares, tenants.over_share_worth))
 }
@@ -297,13 +302,13 @@
     settings: Settings,
     zones: &[String],
     folder: &Path,
-    reader: &mut Reader<'_>,
+    validator: &mut Validator<'_>,
 ) -> Pool {
     let at = |key: &str| format!("pool[{k}].{key}");
     let told = [pool.servers.is_some(), pool.watch.is_some(), pool.discovery.is_some()];
     if told.iter().filter(|t| **t).count() != 1 {
         let what = "exactly one of `servers`, `watch` and `discovery` says who its servers are";
-        reader.error(&format!("pool[{k}]"), what);
+        validator.error(&format!("pool[{k}]"), what);
     }
     let source = match (&pool.servers, &pool.watch, pool.discovery) {
         (_, Some(path), _) => Source::Watch(folder.join(path)),
@@ -317,9 +322,9 @@
             let list = list.as_deref().unwrap_or_default();
             if pool.servers.is_some() && list.is_empty() {
                 let what = "the pool has no servers: all its requests are refused".to_owned();
-                reader.note(Severity::Warning, &at("servers"), what, String::new());
+                validator.note(Severity::Warning, &at("servers"), what, String::new());
             }
-            Source::Static(servers(list, &at("servers"), settings.zone, zones, reader))
+            Source::Static(servers(list, &at("servers"), settings.zone, zones, validator))
         }
     };
     Pool {
@@ -349,18 +354,18 @@
     path: &str,
     zone: u8,
     zones: &[String],
-    reader: &mut Reader<'_>,
+    validator: &mut Validator<'_>,
 ) -> Vec<Server> {
     let (mut names, mut addresses) = (BTreeMap::new(), BTreeMap::new());
     let mut out = Vec::with_capacity(list.len());
     for (k, server) in list.iter().enumerate() {
         let name = server.identity();
         if let Some(earlier) = names.insert(name.clone(), k) {
-            reader.error(&format!("{path}[{k}]"), format!("{path}[{earlier}] has the name `{name}` too"));
+            validator.error(&format!("{path}[{k}]"), format!("{path}[{earlier}] has the name `{name}` too"));
         } else if let Some(earlier) = addresses.insert(server.address, k) {
             let what =
                 format!("{path}[{earlier}] has the address {} too: each gets a full share", server.address);
-            reader.note(Severity::Warning, &format!("{path}[{k}].address"), what, String::new());
+            validator.note(Severity::Warning, &format!("{path}[{k}].address"), what, String::new());
         }
         let own = match &server.zone {
             None => Some(zone),
@@ -369,7 +374,7 @@
         if own.is_none() {
             let allowed = zones.iter().filter(|z| !z.is_empty()).cloned().collect::<Vec<_>>().join(", ");
             let what = "the operator's file names no such zone".to_owned();
-            reader.note(Severity::Error, &format!("{path}[{k}].zone"), what, allowed);
+            validator.note(Severity::Error, &format!("{path}[{k}].zone"), what, allowed);
         }
         out.push(Server {
             name,
--- a/crates/plan/src/file/mod.rs
+++ b/crates/plan/src/config/mod.rs
@@ -1,47 +1,47 @@
 //! The operator's file: TOML in, a [`Plan`] or every fault out. Nothing here opens a file.
 
 mod compile;
-pub mod guide;
 pub mod model;
-pub mod reader;
+pub mod reference;
 mod routes;
 pub mod schema;
+pub mod validator;
 pub mod values;
 
 use crate::plan::{Plan, Server};
 use crate::version::Version;
-pub use reader::{Fault, Severity};
 use serde::de::DeserializeOwned;
 use std::path::Path;
 use toml::de::DeTable;
 use toml::Spanned;
+pub use validator::{Diagnostic, Severity};
 
 /// A plan with what should be said of its file all the same.
 #[derive(Debug)]
-pub struct Checked {
+pub struct CheckedConfig {
     /// What the program does.
     pub plan: Plan,
     /// The file as it was read.
-    pub file: model::File,
+    pub file: model::ConfigFile,
     /// Warnings only.
-    pub warnings: Vec<Fault>,
+    pub warnings: Vec<Diagnostic>,
 }
 
 /// Reads an operator's file. Files that it names are looked for in `folder`.
 ///
 /// # Errors
 /// Every fault that was found, by its place in the file; at least one of them is an error.
-pub fn read(text: &str, folder: &Path) -> Result<Checked, Vec<Fault>> {
-    let (mut reader, document) = reader::Reader::read(text, &schema::FILE);
-    let built = parse::<model::File>(document, &mut reader).and_then(|file| {
-        let plan = compile::compile(&file, folder, Version::of(text.as_bytes()), &mut reader)?;
+pub fn parse_config(text: &str, folder: &Path) -> Result<CheckedConfig, Vec<Diagnostic>> {
+    let (mut validator, document) = validator::Validator::read(text, &schema::CONFIG);
+    let built = parse::<model::ConfigFile>(document, &mut validator).and_then(|file| {
+        let plan = compile::compile(&file, folder, Version::of(text.as_bytes()), &mut validator)?;
         Some((plan, file))
     });
-    let failed = reader.failed();
-    let mut faults = reader.faults;
+    let failed = validator.has_errors();
+    let mut faults = validator.diagnostics;
     faults.sort_by_key(|f| (f.line, f.column));
     match built {
-        Some((plan, file)) if !failed => Ok(Checked { plan, file, warnings: faults }),
+        Some((plan, file)) if !failed => Ok(CheckedConfig { plan, file, warnings: faults }),
         _ => Err(faults),
     }
 }
@@ -50,25 +50,28 @@
 ///
 /// # Errors
 /// Every fault that was found.
-pub fn read_servers(text: &str, zone: u8, zones: &[String]) -> Result<Vec<Server>, Vec<Fault>> {
-    let (mut reader, document) = reader::Reader::read(text, &schema::SERVERS_FILE);
-    let servers = parse::<model::ServersFile>(document, &mut reader)
-        .map(|file| compile::servers(&file.servers, "servers", zone, zones, &mut reader));
+pub fn parse_server_list(text: &str, zone: u8, zones: &[String]) -> Result<Vec<Server>, Vec<Diagnostic>> {
+    let (mut validator, document) = validator::Validator::read(text, &schema::SERVER_LIST);
+    let servers = parse::<model::ServerList>(document, &mut validator)
+        .map(|file| compile::servers(&file.servers, "servers", zone, zones, &mut validator));
     match servers {
-        Some(servers) if !reader.failed() => Ok(servers),
-        _ => Err(reader.faults),
+        Some(servers) if !validator.has_errors() => Ok(servers),
+        _ => Err(validator.diagnostics),
     }
 }
 
-fn parse<T: DeserializeOwned>(document: Spanned<DeTable<'_>>, reader: &mut reader::Reader<'_>) -> Option<T> {
-    if reader.failed() {
+fn parse<T: DeserializeOwned>(
+    document: Spanned<DeTable<'_>>,
+    validator: &mut validator::Validator<'_>,
+) -> Option<T> {
+    if validator.has_errors() {
         return None;
     }
     match T::deserialize(toml::Deserializer::from(document)) {
         Ok(value) => Some(value),
         // The schema lets through only what serde reads; should they differ, the operator hears of it all the same.
         Err(error) => {
-            reader.error("", error.message().to_owned());
+            validator.error("", error.message().to_owned());
             None
         }
     }
--- a/crates/plan/src/file/model.rs
+++ b/crates/plan/src/config/model.rs
@@ -1,14 +1,14 @@
 //! The operator's file as serde reads and writes it. What each key means stands in [`super::schema`].
 #![allow(missing_docs)] // Each key is documented once, in the schema.
 
-use super::values::{Duration, Size};
+use super::values::{ByteSize, Duration};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct File {
+pub struct ConfigFile {
     pub node: Node,
     pub operator: Operator,
     #[serde(skip_serializing_if = "Option::is_none")]
@@ -52,15 +52,15 @@
 }
 
 fn probe_every() -> Duration {
-    Duration::ms(500)
+    Duration::from_millis(500)
 }
 
 fn probe_timeout() -> Duration {
-    Duration::ms(200)
+    Duration::from_millis(200)
 }
 
 fn suspect_for() -> Duration {
-    Duration::ms(2_500)
+    Duration::from_millis(2_500)
 }
 
 fn datagram_bytes() -> usize {
@@ -78,7 +78,7 @@
 
 impl Default for Node {
     fn default() -> Self {
-        Node { zone: None, zones: Vec::new(), drain_timeout: Duration::ms(30_000) }
+        Node { zone: None, zones: Vec::new(), drain_timeout: Duration::from_millis(30_000) }
     }
 }
 
@@ -86,9 +86,9 @@
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
     pub descriptors: usize,
-    pub memory: Size,
-    pub replay_buffer: Size,
-    pub header_bytes: Size,
+    pub memory: ByteSize,
+    pub replay_buffer: ByteSize,
+    pub header_bytes: ByteSize,
     pub header_timeout: Duration,
     pub idle_timeout: Duration,
     pub stall_timeout: Duration,
@@ -98,12 +98,12 @@
     fn default() -> Self {
         Limits {
             descriptors: 1024,
-            memory: Size(192_000_000),
-            replay_buffer: Size(64 << 10),
-            header_bytes: Size(16 << 10),
-            header_timeout: Duration::ms(10_000),
-            idle_timeout: Duration::ms(90_000),
-            stall_timeout: Duration::ms(20_000),
+            memory: ByteSize(192_000_000),
+            replay_buffer: ByteSize(64 << 10),
+            header_bytes: ByteSize(16 << 10),
+            header_timeout: Duration::from_millis(10_000),
+            idle_timeout: Duration::from_millis(90_000),
+            stall_timeout: Duration::from_millis(20_000),
         }
     }
 }
@@ -200,11 +200,11 @@
 }
 
 fn aim() -> Duration {
-    Duration::ms(1_000)
+    Duration::from_millis(1_000)
 }
 
 fn deadline() -> Duration {
-    Duration::ms(30_000)
+    Duration::from_millis(30_000)
 }
 
 fn one() -> f64 {
@@ -216,7 +216,7 @@
 }
 
 fn window() -> Duration {
-    Duration::ms(10_000)
+    Duration::from_millis(10_000)
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -281,7 +281,7 @@
 }
 
 fn connect_timeout() -> Duration {
-    Duration::ms(500)
+    Duration::from_millis(500)
 }
 
 fn max_waiting() -> usize {
@@ -320,7 +320,7 @@
 /// A file that a pool watches.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct ServersFile {
+pub struct ServerList {
     pub servers: Vec<Server>,
 }
 
@@ -341,7 +341,7 @@
 }
 
 fn every() -> Duration {
-    Duration::ms(2_000)
+    Duration::from_millis(2_000)
 }
 
 fn two() -> u32 {
@@ -354,7 +354,7 @@
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Field {
+pub struct FieldCondition {
     pub name: String,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub is: Option<String>,
@@ -368,7 +368,7 @@
 
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Edits {
+pub struct HeaderEdits {
     pub remove: Vec<String>,
     pub set: BTreeMap<String, String>,
     pub add: BTreeMap<String, String>,
@@ -387,8 +387,8 @@
     pub with: Option<String>,
     #[serde(skip_serializing_if = "Option::is_none")]
     pub host: Option<String>,
-    pub request: Edits,
-    pub response: Edits,
+    pub request: HeaderEdits,
+    pub response: HeaderEdits,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -434,9 +434,9 @@
     #[serde(default)]
     pub methods: Vec<String>,
     #[serde(default)]
-    pub headers: Vec<Field>,
+    pub headers: Vec<FieldCondition>,
     #[serde(default)]
-    pub query: Vec<Field>,
+    pub query: Vec<FieldCondition>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub class: Option<String>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
--- a/crates/plan/src/file/routes.rs
+++ b/crates/plan/src/config/routes.rs
@@ -1,8 +1,8 @@
 //! Routes, from the file to the plan.
 
 use super::compile::{header, unique, with_defaults};
-use super::model::{self, File};
-use super::reader::{Reader, Severity};
+use super::model::{self, ConfigFile};
+use super::validator::{Severity, Validator};
 use crate::plan::Listener;
 use crate::routes::rewrite::PathRewrite;
 use crate::routes::{
@@ -13,18 +13,22 @@
 use http::Method;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
-pub(super) fn routes(file: &File, listeners: &[Listener], reader: &mut Reader<'_>) -> Vec<Option<Route>> {
+pub(super) fn routes(
+    file: &ConfigFile,
+    listeners: &[Listener],
+    validator: &mut Validator<'_>,
+) -> Vec<Option<Route>> {
     if file.route.is_empty() {
-        reader.error("route", "there must be at least one route");
+        validator.error("route", "there must be at least one route");
     }
-    unique(file.route.iter().map(|r| &r.name), "route", reader);
+    unique(file.route.iter().map(|r| &r.name), "route", validator);
     let classes: Vec<_> = with_defaults(file).into_iter().map(|c| c.name).collect();
     let names = Names {
         listeners: Named::new("listener", file.listener.iter().map(|l| l.name.as_str())),
         classes: Named::new("class", classes.iter().map(String::as_str)),
         pools: Named::new("pool", file.pool.iter().map(|p| p.name.as_str())),
     };
-    file.route.iter().enumerate().map(|(k, r)| route(r, k, &names, listeners, reader)).collect()
+    file.route.iter().enumerate().map(|(k, r)| route(r, k, &names, listeners, validator)).collect()
 }
 
 /// Names of one kind, with the place of each; of two alike, the first's.
@@ -52,11 +56,11 @@
     }
 
     /// The place of a name; notes where there is none.
-    fn find(&self, name: &str, at: &str, reader: &mut Reader<'_>) -> Option<usize> {
+    fn find(&self, name: &str, at: &str, validator: &mut Validator<'_>) -> Option<usize> {
         let found = self.places.get(name).copied();
         if found.is_none() {
             let message = format!("there is no {} `{name}`", self.what);
-            reader.note(Severity::Error, at, message, self.all.join(", "));
+            validator.note(Severity::Error, at, message, self.all.join(", "));
         }
         found
     }
@@ -67,33 +71,33 @@
     k: usize,
     names: &Names<'_>,
     listeners: &[Listener],
-    reader: &mut Reader<'_>,
+    validator: &mut Validator<'_>,
 ) -> Option<Route> {
     let at = |key: &str| format!("route[{k}].{key}");
     let own: Vec<_> = r
         .listeners
         .iter()
         .enumerate()
-        .filter_map(|(n, name)| names.listeners.find(name, &at(&format!("listeners[{n}]")), reader))
+        .filter_map(|(n, name)| names.listeners.find(name, &at(&format!("listeners[{n}]")), validator))
         .collect();
-    let rules = rules_of(&own, listeners, k, r, reader);
-    let path = path(r, rules, k, reader);
-    let class = r.class.as_ref().and_then(|name| names.classes.find(name, &at("class"), reader));
-    let headers = fields(&r.headers, &at("headers"), true, reader);
-    let query = fields(&r.query, &at("query"), false, reader);
+    let rules = rules_of(&own, listeners, k, r, validator);
+    let path = path(r, rules, k, validator);
+    let class = r.class.as_ref().and_then(|name| names.classes.find(name, &at("class"), validator));
+    let headers = fields(&r.headers, &at("headers"), true, validator);
+    let query = fields(&r.query, &at("query"), false, validator);
     let told = [r.pool.is_some(), r.redirect.is_some(), r.answer.is_some()];
     if told.iter().filter(|t| **t).count() != 1 {
         let what = "exactly one of `pool`, `redirect` and `answer` says what becomes of a request";
-        reader.error(&format!("route[{k}]"), what);
+        validator.error(&format!("route[{k}]"), what);
         return None;
     }
     if r.pool.is_none() && r.rewrite.is_some() {
-        reader.error(&at("rewrite"), "only a route with `pool` rewrites");
+        validator.error(&at("rewrite"), "only a route with `pool` rewrites");
     }
     let outcome = match (&r.pool, &r.redirect, &r.answer) {
         (Some(name), ..) => {
-            let pool = names.pools.find(name, &at("pool"), reader)?;
-            Outcome::Forward { pool, rewrite: Box::new(rewrite(r, rules, k, reader)) }
+            let pool = names.pools.find(name, &at("pool"), validator)?;
+            Outcome::Forward { pool, rewrite: Box::new(rewrite(r, rules, k, validator)) }
         }
         (_, Some(redirect), _) => Outcome::Redirect(Redirect::parse(&redirect.to, redirect.status).ok()?),
         (.., Some(answer)) => Outcome::Answer {
@@ -122,23 +126,23 @@
     listeners: &[Listener],
     k: usize,
     r: &model::Route,
-    reader: &mut Reader<'_>,
+    validator: &mut Validator<'_>,
 ) -> PathRules {
     let all: Vec<_> = if own.is_empty() { (0..listeners.len()).collect() } else { own.to_vec() };
     let rules: Vec<_> = all.iter().map(|l| listeners[*l].paths).collect();
     let first = rules.first().copied().unwrap_or_default();
     if rules.iter().any(|r| *r != first) && (r.path.is_some() || r.path_prefix.is_some()) {
         let what = "its listeners read paths in different ways: give each a route of its own";
-        reader.error(&format!("route[{k}].listeners"), what);
+        validator.error(&format!("route[{k}].listeners"), what);
     }
     first
 }
 
-fn path(r: &model::Route, rules: PathRules, k: usize, reader: &mut Reader<'_>) -> Option<PathPattern> {
+fn path(r: &model::Route, rules: PathRules, k: usize, validator: &mut Validator<'_>) -> Option<PathPattern> {
     let at = |key: &str| format!("route[{k}].{key}");
     let told = [r.path.is_some(), r.path_prefix.is_some(), r.path_regex.is_some()];
     if told.iter().filter(|t| **t).count() > 1 {
-        reader.error(&format!("route[{k}]"), "at most one of `path`, `path_prefix` and `path_regex`");
+        validator.error(&format!("route[{k}]"), "at most one of `path`, `path_prefix` and `path_regex`");
     }
     let (key, built) = match (&r.path, &r.path_prefix, &r.path_regex) {
         (Some(path), ..) => ("path", PathPattern::exact(path, rules).map_err(|e| e.to_string())),
@@ -146,20 +150,25 @@
         (.., Some(text)) => ("path_regex", PathPattern::regex(text).map_err(|e| e.to_string())),
         _ => return None,
     };
-    built.map_err(|what| reader.error(&at(key), format!("no request has this path: {what}"))).ok()
+    built.map_err(|what| validator.error(&at(key), format!("no request has this path: {what}"))).ok()
 }
 
-fn fields(list: &[model::Field], path: &str, headers: bool, reader: &mut Reader<'_>) -> Vec<FieldMatch> {
+fn fields(
+    list: &[model::FieldCondition],
+    path: &str,
+    headers: bool,
+    validator: &mut Validator<'_>,
+) -> Vec<FieldMatch> {
     let mut out = Vec::new();
     for (k, field) in list.iter().enumerate() {
         let at = format!("{path}[{k}]");
         let told =
             [field.is.is_some(), field.begins.is_some(), field.matches.is_some(), field.present.is_some()];
         if told.iter().filter(|t| **t).count() != 1 {
-            reader.error(&at, "exactly one of `is`, `begins`, `matches` and `present`");
+            validator.error(&at, "exactly one of `is`, `begins`, `matches` and `present`");
         }
         if headers && header(&field.name).is_none() {
-            reader.error(&format!("{at}.name"), format!("{:?} is no header's name", field.name));
+            validator.error(&format!("{at}.name"), format!("{:?} is no header's name", field.name));
         }
         let whole = |text: &String| {
             regex::Regex::new(&format!("^(?:{text})$")).ok().map(|regex| FieldTest::Matches(regex.into()))
@@ -177,19 +186,19 @@
     out
 }
 
-fn rewrite(r: &model::Route, rules: PathRules, k: usize, reader: &mut Reader<'_>) -> Rewrite {
+fn rewrite(r: &model::Route, rules: PathRules, k: usize, validator: &mut Validator<'_>) -> Rewrite {
     let Some(w) = &r.rewrite else { return Rewrite::default() };
     let at = |key: &str| format!("route[{k}].rewrite.{key}");
     let told = [w.path.is_some(), w.prefix.is_some(), w.regex.is_some()];
     if told.iter().filter(|t| **t).count() > 1 {
-        reader.error(&format!("route[{k}].rewrite"), "at most one of `path`, `prefix` and `regex`");
+        validator.error(&format!("route[{k}].rewrite"), "at most one of `path`, `prefix` and `regex`");
     }
     if w.regex.is_some() != w.with.is_some() {
-        reader.error(&format!("route[{k}].rewrite"), "`regex` and `with` belong together");
+        validator.error(&format!("route[{k}].rewrite"), "`regex` and `with` belong together");
     }
     let from = r.path_prefix.as_deref().map(|p| PathPattern::prefix(p, rules));
     if w.prefix.is_some() && from.is_none() {
-        reader.error(&at("prefix"), "only a route with `path_prefix` has a prefix to rewrite");
+        validator.error(&at("prefix"), "only a route with `path_prefix` has a prefix to rewrite");
     }
     let path = match (&w.path, &w.prefix, &w.regex) {
         (Some(path), ..) => Some(PathRewrite::Whole(path.clone())),
@@ -207,7 +216,7 @@
     };
     if let Some(PathRewrite::Regex { find, with }) = &path {
         for name in unknown_groups(find, with) {
-            reader.error(&at("with"), format!("`regex` has no group `{name}`"));
+            validator.error(&at("with"), format!("`regex` has no group `{name}`"));
         }
     }
     Rewrite {
@@ -245,7 +254,7 @@
     unknown
 }
 
-fn edits(edits: &model::Edits) -> HeaderEdits {
+fn edits(edits: &model::HeaderEdits) -> HeaderEdits {
     let pairs = |map: &BTreeMap<String, String>| {
         map.iter().filter_map(|(n, v)| Some((header(n)?, HeaderValue::from_str(v).ok()?))).collect()
     };
@@ -256,7 +265,7 @@
     }
 }
 
-pub(super) fn warn_of_unused(file: &File, reader: &mut Reader<'_>) {
+pub(super) fn warn_of_unused(file: &ConfigFile, validator: &mut Validator<'_>) {
     let named = |name: fn(&model::Route) -> Option<&String>| {
         file.route.iter().filter_map(name).collect::<HashSet<_>>()
     };
@@ -264,23 +273,23 @@
     for (k, pool) in file.pool.iter().enumerate() {
         if !pools.contains(&pool.name) {
             let what = "no route leads to this pool".to_owned();
-            reader.note(Severity::Warning, &format!("pool[{k}].name"), what, String::new());
+            validator.note(Severity::Warning, &format!("pool[{k}].name"), what, String::new());
         }
     }
     for (k, class) in file.class.iter().enumerate() {
         if !classes.contains(&class.name) && class.methods.is_empty() && class.name != "write" {
             let what = "no route and no method leads to this class".to_owned();
-            reader.note(Severity::Warning, &format!("class[{k}].name"), what, String::new());
+            validator.note(Severity::Warning, &format!("class[{k}].name"), what, String::new());
         }
     }
 }
 
-pub(super) fn warn_of_covered(table: &RouteTable, reader: &mut Reader<'_>) {
+pub(super) fn warn_of_covered(table: &RouteTable, validator: &mut Validator<'_>) {
     for (k, earlier) in table.covered().into_iter().enumerate() {
         if let Some(earlier) = earlier {
             let name = &table.routes()[earlier].name;
             let what = format!("never taken: route `{name}` takes all its requests before");
-            reader.note(Severity::Warning, &format!("route[{k}].name"), what, String::new());
+            validator.note(Severity::Warning, &format!("route[{k}].name"), what, String::new());
         }
     }
 }
--- a/crates/plan/src/file/reader.rs
+++ b/crates/plan/src/config/validator.rs
@@ -1,6 +1,6 @@
 //! Holds a file against the schema: every fault with its place, not only the first.
 
-use super::schema::{Absent, Field, Kind, Table};
+use super::schema::{Key, KeyDefault, Kind, Table};
 use std::collections::BTreeMap;
 use std::ops::Range;
 use toml::de::{DeTable, DeValue};
@@ -17,7 +17,7 @@
 
 /// Something wrong with a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
+pub struct Diagnostic {
     /// How grave it is.
     pub severity: Severity,
     /// Its line, from 1.
@@ -27,19 +27,19 @@
     /// The path of the key, such as `route[2].path`; empty for what is no TOML.
     pub path: String,
     /// What is wrong.
-    pub what: String,
+    pub message: String,
     /// What is allowed there; empty where that goes without saying.
     pub allowed: String,
 }
 
-impl std::fmt::Display for Fault {
+impl std::fmt::Display for Diagnostic {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let severity = if self.severity == Severity::Error { "error" } else { "warning" };
         write!(f, "{}:{}: {severity}: ", self.line, self.column)?;
         if !self.path.is_empty() {
             write!(f, "{}: ", self.path)?;
         }
-        f.write_str(&self.what)?;
+        f.write_str(&self.message)?;
         if !self.allowed.is_empty() {
             write!(f, "; allowed: {}", self.allowed)?;
         }
@@ -49,33 +49,40 @@
 
 /// Where the values of a file stand, and what was found wrong with it.
 #[derive(Debug)]
-pub struct Reader<'t> {
+pub struct Validator<'t> {
     text: &'t str,
     /// Where each line begins.
     lines: Vec<usize>,
     /// By the path of the key, the place of its value; for a list of tables, of each table.
     places: BTreeMap<String, Range<usize>>,
     /// What is wrong, in the order in which it was found.
-    pub faults: Vec<Fault>,
+    pub diagnostics: Vec<Diagnostic>,
 }
 
-impl<'t> Reader<'t> {
+impl<'t> Validator<'t> {
     /// Reads a text and holds it against a schema. What it holds comes with it, as far as it could be read.
     pub fn read(text: &'t str, schema: &Table) -> (Self, Spanned<DeTable<'t>>) {
         let lines = std::iter::once(0).chain(text.match_indices('\n').map(|(at, _)| at + 1)).collect();
-        let mut reader = Reader { text, lines, places: BTreeMap::new(), faults: Vec::new() };
+        let mut validator = Validator { text, lines, places: BTreeMap::new(), diagnostics: Vec::new() };
         let (document, errors) = DeTable::parse_recoverable(text);
         for error in &errors {
-            let (line, column) = reader.position(error.span().map_or(0, |s| s.start));
-            let what = error.message().to_owned();
+            let (line, column) = validator.position(error.span().map_or(0, |s| s.start));
+            let message = error.message().to_owned();
             let (path, allowed) = (String::new(), String::new());
-            reader.faults.push(Fault { severity: Severity::Error, line, column, path, what, allowed });
+            validator.diagnostics.push(Diagnostic {
+                severity: Severity::Error,
+                line,
+                column,
+                path,
+                message,
+                allowed,
+            });
         }
         // What was recovered from a broken text would give faults that are none.
         if errors.is_empty() {
-            reader.table("", document.span(), document.get_ref(), schema);
+            validator.table("", document.span(), document.get_ref(), schema);
         }
-        (reader, document)
+        (validator, document)
     }
 
     /// Line and column of a byte.
@@ -90,7 +97,7 @@
     }
 
     /// Notes a fault at a key that is, or should be, there. It stands at the nearest key that is.
-    pub fn note(&mut self, severity: Severity, path: &str, what: String, allowed: String) {
+    pub fn note(&mut self, severity: Severity, path: &str, message: String, allowed: String) {
         let mut near = path;
         let at = loop {
             if let Some(place) = self.places.get(near) {
@@ -102,7 +109,7 @@
             }
         };
         let (line, column) = self.position(at);
-        self.faults.push(Fault { severity, line, column, path: path.to_owned(), what, allowed });
+        self.diagnostics.push(Diagnostic { severity, line, column, path: path.to_owned(), message, allowed });
     }
 
     /// Notes an error.
@@ -111,8 +118,8 @@
     }
 
     /// Whether anything found forbids the file's use.
-    pub fn failed(&self) -> bool {
-        self.faults.iter().any(|f| f.severity == Severity::Error)
+    pub fn has_errors(&self) -> bool {
+        self.diagnostics.iter().any(|f| f.severity == Severity::Error)
     }
 
     fn table(&mut self, path: &str, span: Range<usize>, table: &DeTable<'_>, schema: &Table) {
@@ -121,11 +128,11 @@
         for (key, value) in table {
             let name = key.get_ref().as_ref();
             let at = under(name);
-            match schema.fields.iter().find(|f| f.name == name) {
+            match schema.keys.iter().find(|f| f.name == name) {
                 Some(field) => self.value(&at, value, &field.kind),
                 None => {
                     self.places.insert(at.clone(), key.span());
-                    let names: Vec<_> = schema.fields.iter().map(|f| f.name).collect();
+                    let names: Vec<_> = schema.keys.iter().map(|f| f.name).collect();
                     let what = match nearest(name, &names) {
                         Some(near) => format!("unknown key; did you mean `{near}`?"),
                         None => "unknown key".to_owned(),
@@ -134,8 +141,8 @@
                 }
             }
         }
-        let missing = |f: &&Field| f.absent == Absent::Required && !table.contains_key(f.name);
-        for field in schema.fields.iter().filter(missing) {
+        let missing = |f: &&Key| f.default == KeyDefault::Required && !table.contains_key(f.name);
+        for field in schema.keys.iter().filter(missing) {
             let what = format!("`{}` is missing", field.name);
             self.note(Severity::Error, &under(field.name), what, field.kind.allowed());
         }
@@ -152,12 +159,12 @@
                     None => format!("{text:?} is not known"),
                 })
             }
-            (Kind::Flag, DeValue::Boolean(_)) => None,
-            (Kind::Whole(least, most), DeValue::Integer(n)) => {
+            (Kind::Boolean, DeValue::Boolean(_)) => None,
+            (Kind::Integer(least, most), DeValue::Integer(n)) => {
                 let fits = whole(n).is_some_and(|n| (*least..=*most).contains(&n));
                 (!fits).then(|| format!("{n} is out of range"))
             }
-            (Kind::OneOfNumbers(all), DeValue::Integer(n)) => {
+            (Kind::OneOfIntegers(all), DeValue::Integer(n)) => {
                 let fits = whole(n).is_some_and(|n| all.contains(&n));
                 (!fits).then(|| format!("{n} is not one of them"))
             }
@@ -170,7 +177,7 @@
                 let fits = number.is_some_and(|n| (*least..=*most).contains(&n));
                 (!fits).then(|| "the number is out of range".to_owned())
             }
-            (Kind::List(of), DeValue::Array(items)) => {
+            (Kind::Array(of), DeValue::Array(items)) => {
                 for (k, item) in items.iter().enumerate() {
                     self.value(&format!("{path}[{k}]"), item, of);
                 }
@@ -180,7 +187,7 @@
                 self.table(path, value.span(), table, schema);
                 None
             }
-            (Kind::Tables(schema), DeValue::Array(items)) => {
+            (Kind::ArrayOfTables(schema), DeValue::Array(items)) => {
                 for (k, item) in items.iter().enumerate() {
                     let at = format!("{path}[{k}]");
                     match item.get_ref() {
--- a/crates/plan/src/file/values.rs
+++ b/crates/plan/src/config/values.rs
@@ -48,14 +48,14 @@
 
 impl Duration {
     /// Of so many milliseconds.
-    pub const fn ms(ms: u64) -> Self {
+    pub const fn from_millis(ms: u64) -> Self {
         Duration(ms * 1_000_000)
     }
 }
 
 /// A number of bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Size(pub u64);
+pub struct ByteSize(pub u64);
 
 macro_rules! text_value {
     ($type:ident, $units:ident, $least:expr) => {
@@ -87,7 +87,7 @@
 }
 
 text_value!(Duration, NANOS, 1);
-text_value!(Size, BYTES, 0);
+text_value!(ByteSize, BYTES, 0);
 
 pub(super) fn any(_: &str) -> Result<(), String> {
     Ok(())
@@ -98,7 +98,7 @@
 }
 
 pub(super) fn size(text: &str) -> Result<(), String> {
-    text.parse::<Size>().map(drop)
+    text.parse::<ByteSize>().map(drop)
 }
 
 pub(super) fn name(text: &str) -> Result<(), String> {
@@ -170,12 +170,12 @@
     fn measures_are_read_and_written() {
         let cases = [("250ms", 250), ("2s", 2_000), ("5m", 300_000), ("1h", 3_600_000)];
         for (text, ms) in cases {
-            assert_eq!(text.parse::<Duration>().unwrap(), Duration::ms(ms));
-            assert_eq!(Duration::ms(ms).to_string(), text);
+            assert_eq!(text.parse::<Duration>().unwrap(), Duration::from_millis(ms));
+            assert_eq!(Duration::from_millis(ms).to_string(), text);
         }
-        assert_eq!("64KiB".parse::<Size>().unwrap(), Size(65_536));
-        assert_eq!(Size(192_000_000).to_string(), "192MB");
-        assert_eq!(Size(0).to_string().parse::<Size>().unwrap(), Size(0));
+        assert_eq!("64KiB".parse::<ByteSize>().unwrap(), ByteSize(65_536));
+        assert_eq!(ByteSize(192_000_000).to_string(), "192MB");
+        assert_eq!(ByteSize(0).to_string().parse::<ByteSize>().unwrap(), ByteSize(0));
         for bad in ["", "5", "s", "-1s", "1.5s", "0ms", "1 s", "99999999999999999999s", "9999999h"] {
             assert!(bad.parse::<Duration>().is_err(), "{bad}");
         }
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -1,7 +1,7 @@
 //! What the program has been told to do, and how much it may hold: no sockets, no clock.
 
 pub mod change;
-pub mod file;
+pub mod config;
 pub mod hosts;
 pub mod limits;
 pub mod plan;
--- a/crates/plan/tests/change.rs
+++ b/crates/plan/tests/change.rs
@@ -1,7 +1,7 @@
 //! What a plan changes of the one in force, on files made and changed at random.
 
 use corkhollow_plan::change::{Change, Counted, Differs, PoolChange};
-use corkhollow_plan::file::read;
+use corkhollow_plan::config::parse_config;
 use corkhollow_plan::plan::{Plan, Source};
 use http::HeaderValue;
 use proptest::collection::vec;
@@ -80,7 +80,7 @@
     }
 
     fn plan(&self) -> Plan {
-        match read(&self.text(), Path::new("")) {
+        match parse_config(&self.text(), Path::new("")) {
             Ok(checked) => checked.plan,
             Err(faults) => panic!("{}\n{}", faults[0], self.text()),
         }
@@ -214,7 +214,7 @@
         for (name, rate) in tenants {
             let _ = writeln!(text, "[[tenants.tenant]]\nname = \"t{name}\"\nrate = {rate:?}");
         }
-        read(&text, Path::new("")).expect("a sound file").plan
+        parse_config(&text, Path::new("")).expect("a sound file").plan
     };
     let of = |plan: &Plan, name: usize| {
         plan.tenants.number(Some(&HeaderValue::try_from(format!("t{name}")).unwrap()))
@@ -246,7 +246,7 @@
         let text = format!(
             "{more}[[listener]]\nname = \"web\"\naddress = \"127.0.0.1:0\"\n[[pool]]\nname = \"p\"\n{pool}\n[[route]]\nname = \"r\"\npool = \"p\"\n"
         );
-        read(&text, Path::new("")).unwrap_or_else(|faults| panic!("{}", faults[0])).plan
+        parse_config(&text, Path::new("")).unwrap_or_else(|faults| panic!("{}", faults[0])).plan
     };
     let old = file("servers = [{ address = \"127.0.0.1:1\" }]", "");
     for (pool, more, expected) in [
--- a/crates/plan/tests/file.rs
+++ b/crates/plan/tests/config.rs
@@ -1,9 +1,9 @@
-//! The operator's file: what is read, what is refused and where, and that what is printed is read again.
+//! The operator's file: what is parse_config, what is refused and where, and that what is printed is read again.
 
-use corkhollow_plan::file::model::{self, File};
-use corkhollow_plan::file::schema::{Absent, Kind, Table, FILE};
-use corkhollow_plan::file::values::{Duration, Size};
-use corkhollow_plan::file::{guide, read, read_servers, Fault, Severity};
+use corkhollow_plan::config::model::{self, ConfigFile};
+use corkhollow_plan::config::schema::{KeyDefault, Kind, Table, CONFIG};
+use corkhollow_plan::config::values::{ByteSize, Duration};
+use corkhollow_plan::config::{parse_config, parse_server_list, reference, Diagnostic, Severity};
 use corkhollow_plan::plan::Plan;
 use corkhollow_plan::routes::path::normalise;
 use corkhollow_plan::routes::{Host, Target};
@@ -28,8 +28,8 @@
 pool = "boxes"
 "#;
 
-fn faults(text: &str) -> Vec<Fault> {
-    match read(text, Path::new("")) {
+fn faults(text: &str) -> Vec<Diagnostic> {
+    match parse_config(text, Path::new("")) {
         Ok(checked) => checked.warnings,
         Err(faults) => faults,
     }
@@ -42,7 +42,7 @@
 
 #[test]
 fn a_small_file_is_enough() {
-    let checked = read(SMALL, Path::new("")).unwrap_or_else(|f| panic!("{f:?}"));
+    let checked = parse_config(SMALL, Path::new("")).unwrap_or_else(|f| panic!("{f:?}"));
     assert_eq!(checked.warnings, []);
     let plan = checked.plan;
     assert_eq!(plan.classes.iter().map(|c| c.name.as_str()).collect::<Vec<_>>(), ["read", "write"]);
@@ -123,7 +123,7 @@
             "exactly one of `servers`, `watch` and `discovery`",
         ),
         (route("pool = \"nowhere\""), "route[1].pool: there is no pool `nowhere`; allowed: boxes"),
-        (route("pool = \"boxes\"\nclass = \"x\""), "there is no class `x`; allowed: read, write"),
+        (route("pool = \"boxes\"\nclass = \"x\""), "there is no class `x`; allowed: parse_config, write"),
         (route("pool = \"boxes\"\nlisteners = [\"x\"]"), "there is no listener `x`; allowed: web"),
         (route("path = \"/a\""), "exactly one of `pool`, `redirect` and `answer`"),
         (route("pool = \"boxes\"\nanswer = { status = 200 }"), "exactly one of `pool`, `redirect`"),
@@ -182,7 +182,7 @@
             "has the address 127.0.0.1:1 too",
         ),
     ] {
-        let checked = read(&format!("{SMALL}\n{more}"), Path::new("")).unwrap_or_else(|f| panic!("{f:?}"));
+        let checked = parse_config(&format!("{SMALL}\n{more}"), Path::new("")).unwrap_or_else(|f| panic!("{f:?}"));
         assert!(checked.warnings.iter().all(|f| f.severity == Severity::Warning));
         let said: String = checked.warnings.iter().map(|f| format!("{f}\n")).collect();
         assert!(said.contains(expected), "not said: {expected}\n{said}");
@@ -211,7 +211,7 @@
         SMALL.replace("[[route]]", "[[route]]\nname = \"api\"\nhosts = [\"*.a.org\"]\npath_prefix = \"/api\"\nmethods = [\"GET\"]\npool = \"boxes\"\nclass = \"read\"\n[route.rewrite]\nprefix = \"/\"\n[[route]]"),
         "path = \"/x\"\n"
     );
-    let plan = read(&text, Path::new("")).unwrap_or_else(|f| panic!("{f:?}")).plan;
+    let plan = parse_config(&text, Path::new("")).unwrap_or_else(|f| panic!("{f:?}")).plan;
     let api = explained(&plan, Method::GET, "WWW.A.Org:80", "/api/../api/v1");
     for line in
         ["route     api (number 1 of 2)", "class     read (named by the route): safe", "sent as   GET /v1"]
@@ -229,8 +229,8 @@
 /// Walks the schema, and calls with the path of each table and its schema.
 fn each_table(path: &str, table: &'static Table, f: &mut dyn FnMut(&str, &'static Table)) {
     f(path, table);
-    for field in table.fields {
-        if let Kind::Table(inner) | Kind::Tables(inner) = field.kind {
+    for field in table.keys {
+        if let Kind::Table(inner) | Kind::ArrayOfTables(inner) = field.kind {
             each_table(&format!("{path}/{}", field.name), inner, f);
         }
     }
@@ -265,7 +265,7 @@
         toml::Table::try_from(&value).unwrap()
     }
     let mut compared = 0;
-    each_table("", &FILE, &mut |path, table| {
+    each_table("", &CONFIG, &mut |path, table| {
         if path.is_empty() {
             return;
         }
@@ -283,27 +283,27 @@
             "/pool/servers" => printed::<model::Server>(text),
             "/pool/check" => printed::<model::Check>(text),
             "/route" => printed::<model::Route>(text),
-            "/route/headers" | "/route/query" => printed::<model::Field>(text),
+            "/route/headers" | "/route/query" => printed::<model::FieldCondition>(text),
             "/route/rewrite" => printed::<model::Rewrite>(text),
-            "/route/rewrite/request" | "/route/rewrite/response" => printed::<model::Edits>(text),
+            "/route/rewrite/request" | "/route/rewrite/response" => printed::<model::HeaderEdits>(text),
             "/route/redirect" => printed::<model::Redirect>(text),
             "/route/answer" => printed::<model::Answer>(text),
             other => panic!("no model for {other}"),
         };
-        for field in table.fields {
+        for field in table.keys {
             let value = printed.get(field.name);
-            match field.absent {
-                Absent::Value(default) => {
+            match field.default {
+                KeyDefault::Value(default) => {
                     let expected: toml::Table = toml::from_str(&format!("v = {default}")).unwrap();
                     assert_eq!(value, Some(&expected["v"]), "{path}/{}", field.name);
                     compared += 1;
                 }
-                Absent::Required => assert!(value.is_some(), "{path}/{}", field.name),
-                Absent::Means(_) => {}
+                KeyDefault::Required => assert!(value.is_some(), "{path}/{}", field.name),
+                KeyDefault::Described(_) => {}
             }
         }
         for key in printed.keys() {
-            assert!(table.fields.iter().any(|f| f.name == key), "{path}/{key} is not in the schema");
+            assert!(table.keys.iter().any(|f| f.name == key), "{path}/{key} is not in the schema");
         }
     });
     assert!(compared > 30, "{compared}");
@@ -318,7 +318,7 @@
         ("<!-- reference: made by `corkhollow reference` -->\n\n", "<!-- end of the reference -->");
     let held = text.split_once(begin).and_then(|(_, rest)| rest.split_once(end)).map(|(held, _)| held);
     assert!(
-        held == Some(&guide::reference()),
+        held == Some(&reference::render_markdown()),
         "run `corkhollow reference` and put what it prints into {}",
         path.display()
     );
@@ -329,15 +329,15 @@
 }
 
 fn duration() -> impl Strategy<Value = Duration> {
-    (1u64..100_000).prop_map(Duration::ms)
+    (1u64..100_000).prop_map(Duration::from_millis)
 }
 
 fn header_name() -> impl Strategy<Value = String> {
     select(&["x-a", "X-B", "accept"][..]).prop_map(str::to_owned)
 }
 
-fn field() -> impl Strategy<Value = model::Field> {
-    (header_name(), 0..4, "[a-z]{0,4}").prop_map(|(name, kind, text)| model::Field {
+fn field() -> impl Strategy<Value = model::FieldCondition> {
+    (header_name(), 0..4, "[a-z]{0,4}").prop_map(|(name, kind, text)| model::FieldCondition {
         name,
         is: (kind == 0).then(|| text.clone()),
         begins: (kind == 1).then(|| text.clone()),
@@ -366,8 +366,8 @@
         remove in vec(header_name(), 0..2),
         set in btree_map(header_name(), "[ -~]{0,8}", 0..2),
         add in btree_map(header_name(), "[a-z]{0,8}", 0..2),
-    ) -> model::Edits {
-        model::Edits { remove, set, add }
+    ) -> model::HeaderEdits {
+        model::HeaderEdits { remove, set, add }
     }
 }
 
@@ -420,7 +420,7 @@
         check in any::<bool>(),
         tenant in option::of(name()),
         mut route in vec(route(), 1..6),
-    ) -> File {
+    ) -> ConfigFile {
         let listener = names.into_iter().map(|name| model::Listener {
             name,
             address: "127.0.0.1:0".parse().unwrap(),
@@ -444,14 +444,14 @@
         let check = check.then(|| model::Check {
             path: "/up".into(), every: aim, timeout: aim, rise: 1, fall: 2, status: vec![200, 204],
         });
-        File {
+        ConfigFile {
             node: model::Node { zone, zones, drain_timeout },
             operator: model::Operator { listen: operator.then(|| "127.0.0.1:9100".parse().unwrap()) },
             fleet: operator.then(|| model::Fleet {
                 seeds: vec!["127.0.0.1:7001".parse().unwrap()],
                 ..toml::from_str("name = \"f\"\nnode = \"n\"\nlisten = \"127.0.0.1:7000\"").unwrap()
             }),
-            limits: model::Limits { memory: Size(memory), ..Default::default() },
+            limits: model::Limits { memory: ByteSize(memory), ..Default::default() },
             listener: listener.collect(),
             class: vec![class],
             tenants: tenant.map(|name| model::Tenants {
@@ -468,7 +468,7 @@
     #[test]
     fn a_printed_file_reads_the_same(file in file()) {
         let text = toml::to_string(&file).unwrap();
-        let checked = read(&text, Path::new("")).unwrap_or_else(|f| panic!("{f:?}\n{text}"));
+        let checked = parse_config(&text, Path::new("")).unwrap_or_else(|f| panic!("{f:?}\n{text}"));
         prop_assert_eq!(&checked.file, &file, "{}", text);
         prop_assert_eq!(toml::to_string(&checked.file).unwrap(), text);
     }
@@ -476,7 +476,7 @@
     /// No text makes it panic, and what is refused is refused with a reason.
     #[test]
     fn no_text_panics(text in "([\\[\\]={}\",.#a-z0-9\n ]|listener|route|pool|name|\\[\\[|\"a\"){0,60}") {
-        if let Err(faults) = read(&text, Path::new("")) {
+        if let Err(faults) = parse_config(&text, Path::new("")) {
             prop_assert!(faults.iter().any(|f| f.severity == Severity::Error));
         }
     }
@@ -497,12 +497,13 @@
 /// A watched file may name the zones that the operator's file names, and no others.
 #[test]
 fn zones_of_a_watched_file_are_named_in_the_operators() {
-    let plan = read(&format!("[node]\nzone = \"a\"\nzones = [\"b\"]\n{SMALL}"), Path::new("")).unwrap().plan;
+    let plan =
+        parse_config(&format!("[node]\nzone = \"a\"\nzones = [\"b\"]\n{SMALL}"), Path::new("")).unwrap().plan;
     let list =
         |zone: &str| format!("[[servers]]\naddress = \"127.0.0.1:1\"\nzone = \"{zone}\"\nkind = \"m2\"\n");
-    let servers = read_servers(&list("b"), plan.zone, &plan.zones).unwrap();
+    let servers = parse_server_list(&list("b"), plan.zone, &plan.zones).unwrap();
     assert_eq!((servers[0].zone, servers[0].kind.as_deref()), (1, Some("m2")));
-    let refused = read_servers(&list("c"), plan.zone, &plan.zones).unwrap_err();
+    let refused = parse_server_list(&list("c"), plan.zone, &plan.zones).unwrap_err();
     let said = refused[0].to_string();
     assert!(said.starts_with("3:8: error: servers[0].zone") && said.ends_with("allowed: a, b"), "{said}");
 }
--- a/crates/plan/tests/fleet.rs
+++ b/crates/plan/tests/fleet.rs
@@ -1,6 +1,6 @@
 //! The table `[fleet]` of the operator's file.
 
-use corkhollow_plan::file::read;
+use corkhollow_plan::config::parse_config;
 use corkhollow_plan::plan::Fleet;
 use std::path::Path;
 
@@ -8,7 +8,7 @@
 
 fn fleet(lines: &str) -> Result<Fleet, Vec<String>> {
     let text = format!("[fleet]\nname = \"perth\"\nnode = \"n3\"\n{lines}\n{REST}");
-    let read = read(&text, Path::new("/etc/site"));
+    let read = parse_config(&text, Path::new("/etc/site"));
     read.map(|checked| checked.plan.fleet.unwrap())
         .map_err(|faults| faults.iter().map(ToString::to_string).collect())
 }
@@ -22,7 +22,7 @@
     );
     assert_eq!((told.datagram, told.seeds.len(), told.advertise), (1200, 0, None));
     assert_eq!(told.key_file.as_deref(), Some(Path::new("/etc/site/fleet.key")));
-    assert!(read(REST, Path::new("")).unwrap().plan.fleet.is_none());
+    assert!(parse_config(REST, Path::new("")).unwrap().plan.fleet.is_none());
 }
 
 #[test]
@@ -46,7 +46,7 @@
         assert!(faults.contains(said), "{lines}: {faults}");
     }
     let long = format!("[fleet]\nname = \"f\"\nnode = \"{}\"\n{listen}{REST}", "n".repeat(33));
-    let faults = read(&long, Path::new("")).unwrap_err();
+    let faults = parse_config(&long, Path::new("")).unwrap_err();
     assert!(
         faults[0].to_string().contains("fleet.node: a node's name in a fleet has at most 32"),
         "{faults:?}"
--- a/crates/plan/tests/golden.rs
+++ b/crates/plan/tests/golden.rs
@@ -2,9 +2,9 @@
 
 use corkhollow_balance::interface::{Effect, Group, Settings};
 use corkhollow_balance::settings::{parse, Pairs, ReportField};
-use corkhollow_plan::file::model::{File, ServersFile};
-use corkhollow_plan::file::schema::{Kind, Table, FILE, SERVERS_FILE};
-use corkhollow_plan::file::{read, read_servers};
+use corkhollow_plan::config::model::{ConfigFile, ServerList};
+use corkhollow_plan::config::schema::{Kind, Table, CONFIG, SERVER_LIST};
+use corkhollow_plan::config::{parse_config, parse_server_list};
 use corkhollow_plan::hosts::{Health, Host, HostList, ListReader};
 use corkhollow_plan::plan::Source;
 use corkhollow_plan::platform::Config;
@@ -29,10 +29,10 @@
 fn an_operators_file_with_all_keys_is_read_and_written_with_the_same_names() {
     let text = golden_text("all-keys.toml");
     let folder = golden("");
-    let checked = read(&text, &folder).unwrap_or_else(|faults| panic!("{faults:?}"));
+    let checked = parse_config(&text, &folder).unwrap_or_else(|faults| panic!("{faults:?}"));
     let written = toml::to_string(&checked.file).unwrap();
     assert_golden("all-keys-written.toml", written.as_bytes());
-    assert_eq!(toml::from_str::<File>(&written).unwrap(), checked.file);
+    assert_eq!(toml::from_str::<ConfigFile>(&written).unwrap(), checked.file);
     let tables = |text: &str| toml::from_str::<toml::Table>(text).unwrap();
     let [given, written] = [&text, &written].map(|text| tables(text));
     assert_contains("", &toml::Value::Table(written), &toml::Value::Table(given));
@@ -75,18 +75,18 @@
 fn a_watched_file_with_all_keys_is_read() {
     let text = golden_text("servers.toml");
     let zones = ["north".to_owned(), "south".to_owned()];
-    let servers = read_servers(&text, 0, &zones).unwrap();
+    let servers = parse_server_list(&text, 0, &zones).unwrap();
     assert_eq!(servers.len(), 2);
-    let written = toml::to_string(&toml::from_str::<ServersFile>(&text).unwrap()).unwrap();
+    let written = toml::to_string(&toml::from_str::<ServerList>(&text).unwrap()).unwrap();
     assert_golden("servers-written.toml", written.as_bytes());
 }
 
 fn list_keys(path: &str, table: &Table, keys: &mut String) {
-    for field in table.fields {
+    for field in table.keys {
         let path = if path.is_empty() { field.name.to_owned() } else { format!("{path}.{}", field.name) };
         keys.push_str(&format!("{path}\n"));
         match field.kind {
-            Kind::Table(table) | Kind::Tables(table) => list_keys(&path, table, keys),
+            Kind::Table(table) | Kind::ArrayOfTables(table) => list_keys(&path, table, keys),
             _ => {}
         }
     }
@@ -95,8 +95,8 @@
 #[test]
 fn the_schema_keeps_its_keys() {
     let mut keys = String::new();
-    list_keys("", &FILE, &mut keys);
-    list_keys("(watched file)", &SERVERS_FILE, &mut keys);
+    list_keys("", &CONFIG, &mut keys);
+    list_keys("(watched file)", &SERVER_LIST, &mut keys);
     assert_golden("keys.txt", keys.as_bytes());
 }
 
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -11,7 +11,7 @@
 use corkhollow_fleet::Group;
 use corkhollow_operate::Figures;
 use corkhollow_plan::change::Differs;
-use corkhollow_plan::file::read_servers;
+use corkhollow_plan::config::parse_server_list;
 use corkhollow_plan::limits::Budget;
 use corkhollow_plan::plan::{self, Plan, Source};
 use corkhollow_plan::pools::{Listed, Roster};
@@ -344,6 +344,6 @@
 
 fn read_list(path: &Path, zone: u8, zones: &[String]) -> Result<Vec<plan::Server>, String> {
     let text = std::fs::read_to_string(path).map_err(|e| e.to_string())?;
-    read_servers(&text, zone, zones)
+    parse_server_list(&text, zone, zones)
         .map_err(|faults| faults.first().map(ToString::to_string).unwrap_or_default())
 }
--- a/crates/proxy/tests/closing.rs
+++ b/crates/proxy/tests/closing.rs
@@ -2,7 +2,7 @@
 
 use corkhollow_engine::Clock;
 use corkhollow_operate::{Control, Figures};
-use corkhollow_plan::file::read;
+use corkhollow_plan::config::parse_config;
 use corkhollow_plan::limits::Budget;
 use corkhollow_proxy::http1::{Clients, Service};
 use corkhollow_proxy::site::{Current, Site};
@@ -31,7 +31,7 @@
 
 impl TestClients {
     async fn new() -> Self {
-        let plan = read(FILE, Path::new("")).unwrap_or_else(|faults| panic!("{}", faults[0])).plan;
+        let plan = parse_config(FILE, Path::new("")).unwrap_or_else(|faults| panic!("{}", faults[0])).plan;
         let shared = Shared {
             clock: Clock::start(),
             budget: Budget::new(1_000, 64 << 20),
--- a/crates/proxy/tests/follow.rs
+++ b/crates/proxy/tests/follow.rs
@@ -6,7 +6,7 @@
 use corkhollow_fleet::Group;
 use corkhollow_operate::Figures;
 use corkhollow_plan::change::PoolChange;
-use corkhollow_plan::file::read;
+use corkhollow_plan::config::parse_config;
 use corkhollow_plan::limits::Budget;
 use corkhollow_plan::plan::Plan;
 use corkhollow_plan::routes::Target;
@@ -98,7 +98,7 @@
                 "[[route]]\nname = \"r{name}\"\npath = \"/{path}\"\npool = \"p{pool}\"\nclass = \"c{class}\""
             );
         }
-        match read(&out, Path::new("")) {
+        match parse_config(&out, Path::new("")) {
             Ok(checked) => checked.plan,
             Err(faults) => panic!("{}\n{out}", faults[0]),
         }
