--- a/crates/plan/tests/config.rs
+++ b/crates/plan/tests/config.rs
@@ -123,7 +123,7 @@
             "exactly one of `servers`, `watch` and `discovery`",
         ),
         (route("pool = \"nowhere\""), "route[1].pool: there is no pool `nowhere`; allowed: boxes"),
-        (route("pool = \"boxes\"\nclass = \"x\""), "there is no class `x`; allowed: parse_config, write"),
+        (route("pool = \"boxes\"\nclass = \"x\""), "there is no class `x`; allowed: read, write"),
         (route("pool = \"boxes\"\nlisteners = [\"x\"]"), "there is no listener `x`; allowed: web"),
         (route("path = \"/a\""), "exactly one of `pool`, `redirect` and `answer`"),
         (route("pool = \"boxes\"\nanswer = { status = 200 }"), "exactly one of `pool`, `redirect`"),
