--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -9,9 +9,9 @@
 };
 use corkhollow_engine::{log, Clock, Engine};
 use corkhollow_fleet::Group;
-use corkhollow_operate::Figures;
+use corkhollow_operate::Metrics;
 use corkhollow_plan::change::Differs;
-use corkhollow_plan::file::read_servers;
+use corkhollow_plan::config::parse_server_list;
 use corkhollow_plan::limits::Budget;
 use corkhollow_plan::plan::{self, Plan, Source};
 use corkhollow_plan::pools::{Listed, Roster};
@@ -42,7 +42,7 @@
     /// What it may hold.
     pub budget: Rc<Budget>,
     /// What it has done.
-    pub figures: Figures,
+    pub figures: Metrics,
     /// The engines of all pools, those with them that no plan has any longer and that have requests under way.
     pub engines: Engines,
 }
@@ -345,6 +345,6 @@
 
 fn read_list(path: &Path, zone: u8, zones: &[String]) -> Result<Vec<plan::Server>, String> {
     let text = std::fs::read_to_string(path).map_err(|e| e.to_string())?;
-    read_servers(&text, zone, zones)
+    parse_server_list(&text, zone, zones)
         .map_err(|faults| faults.first().map(ToString::to_string).unwrap_or_default())
 }
--- a/crates/proxy/tests/closing.rs
+++ b/crates/proxy/tests/closing.rs
@@ -1,8 +1,8 @@
 //! Closes of clients' connections, chosen at one moment and carried out at another, with bytes that come in between.
 
 use corkhollow_engine::Clock;
-use corkhollow_operate::{Control, Figures};
-use corkhollow_plan::file::read;
+use corkhollow_operate::{Metrics, SharedLifecycle};
+use corkhollow_plan::config::parse_config;
 use corkhollow_plan::limits::Budget;
 use corkhollow_proxy::active_plan::{ActivePlan, CurrentPlan};
 use corkhollow_proxy::http1::{Clients, Service};
@@ -31,11 +31,11 @@
 
 impl TestClients {
     async fn new() -> Self {
-        let plan = read(FILE, Path::new("")).unwrap_or_else(|faults| panic!("{}", faults[0])).plan;
+        let plan = parse_config(FILE, Path::new("")).unwrap_or_else(|faults| panic!("{}", faults[0])).plan;
         let shared = PoolContext {
             clock: Clock::start(),
             budget: Budget::new(1_000, 64 << 20),
-            figures: Figures::new().unwrap(),
+            figures: Metrics::new().unwrap(),
             engines: Engines::default(),
         };
         let site = ActivePlan::start(plan, &shared, 7, None).unwrap();
@@ -43,7 +43,7 @@
             site: CurrentPlan::new(site),
             clock: shared.clock,
             budget: shared.budget,
-            control: Control::default(),
+            control: SharedLifecycle::default(),
             ids: Cell::new(1),
             figures: shared.figures,
         });
--- a/crates/proxy/tests/follow.rs
+++ b/crates/proxy/tests/follow.rs
@@ -4,9 +4,9 @@
 use corkhollow_balance::interface::{Class, Phase, Server, Settings};
 use corkhollow_engine::Clock;
 use corkhollow_fleet::Group;
-use corkhollow_operate::Figures;
+use corkhollow_operate::Metrics;
 use corkhollow_plan::change::PoolChange;
-use corkhollow_plan::file::read;
+use corkhollow_plan::config::parse_config;
 use corkhollow_plan::limits::Budget;
 use corkhollow_plan::plan::Plan;
 use corkhollow_plan::routes::Target;
@@ -98,7 +98,7 @@
                 "[[route]]\nname = \"r{name}\"\npath = \"/{path}\"\npool = \"p{pool}\"\nclass = \"c{class}\""
             );
         }
-        match read(&out, Path::new("")) {
+        match parse_config(&out, Path::new("")) {
             Ok(checked) => checked.plan,
             Err(faults) => panic!("{}\n{out}", faults[0]),
         }
@@ -109,7 +109,7 @@
     PoolContext {
         clock: Clock::start(),
         budget: Budget::new(1_000, 192 << 20),
-        figures: Figures::new().unwrap(),
+        figures: Metrics::new().unwrap(),
         engines: Engines::default(),
     }
 }
