--- a/crates/corkhollow/src/commands/membership.rs
+++ b/crates/corkhollow/src/commands/membership.rs
@@ -59,12 +59,12 @@
 
 impl Membership {
     /// Joins the fleet that the plan names, and counts by it from the first request on.
-    pub async fn join(&self, plan: &Plan, figures: &Metrics, seed: u64) -> Result<(), StartError> {
+    pub async fn join(&self, plan: &Plan, metrics: &Metrics, seed: u64) -> Result<(), StartError> {
         let Some(told) = &plan.fleet else { return Ok(()) };
         let open = |error| StartError::Listen { address: told.listen, error };
         let socket = UdpSocket::bind(told.listen).map_err(open)?;
         let config = config(plan, told, reached(told, &socket).map_err(open)?)?;
-        let mut fleet = start(config, socket, seed, figures)?;
+        let mut fleet = start(config, socket, seed, metrics)?;
         let name = told.node.clone();
         fleet.wait_until_joined().await.map_err(|by| StartError::Name { name, by })?;
         let group = fleet.view().snapshot.group;
@@ -74,7 +74,7 @@
     }
 
     /// Takes another process's place in the fleet once that one has let go of it, and counts as that one did until then.
-    pub async fn succeed(self, plan: Arc<Plan>, from: Option<FleetHandover>, figures: Metrics, seed: u64) {
+    pub async fn succeed(self, plan: Arc<Plan>, from: Option<FleetHandover>, metrics: Metrics, seed: u64) {
         let Some(told) = &plan.fleet else { return };
         let socket = loop {
             match UdpSocket::bind(told.listen) {
@@ -89,7 +89,7 @@
                 config.incarnation = from.incarnation + 1;
                 config.seeds.extend(from.members);
             }
-            let mut fleet = start(config, socket, seed, &figures)?;
+            let mut fleet = start(config, socket, seed, &metrics)?;
             let name = told.node.clone();
             fleet.wait_until_joined().await.map_err(|by| StartError::Name { name, by })?;
             Ok::<_, StartError>(fleet)
@@ -151,10 +151,10 @@
     }
 }
 
-fn start(config: Config, socket: UdpSocket, seed: u64, figures: &Metrics) -> Result<Fleet, StartError> {
+fn start(config: Config, socket: UdpSocket, seed: u64, metrics: &Metrics) -> Result<Fleet, StartError> {
     let local = socket.local_addr()?;
     log(format_args!("fleet {}: {} hears datagrams at {local}", config.fleet, config.name));
     // Another life of the same node draws other numbers.
     let seed = seed ^ u64::from(std::process::id()).rotate_left(32);
-    Ok(Fleet::start(config, socket, seed, Some(figures.fleet()?))?)
+    Ok(Fleet::start(config, socket, seed, Some(metrics.fleet()?))?)
 }
--- a/crates/corkhollow/src/commands/reload.rs
+++ b/crates/corkhollow/src/commands/reload.rs
@@ -102,7 +102,7 @@
     }
 
     /// SIGHUP has come.
-    pub fn begin(&mut self, current: &CurrentPlan, figures: &Metrics) {
+    pub fn begin(&mut self, current: &CurrentPlan, metrics: &Metrics) {
         if self.running.is_some() {
             self.again = true;
             return;
@@ -111,7 +111,7 @@
         let told = self.told.clone();
         match background::spawn(move || compile(&told, &old)) {
             Ok(running) => self.running = Some(running),
-            Err(why) => turn_down(figures, &why),
+            Err(why) => turn_down(metrics, &why),
         }
     }
 
@@ -133,17 +133,17 @@
     }
 
     /// Puts in force what has been compiled, unless it is passed over; begins with what is newer.
-    pub fn finish(&mut self, ready: Ready, mut target: Target<'_>, figures: &Metrics) {
+    pub fn finish(&mut self, ready: Ready, mut target: Target<'_>, metrics: &Metrics) {
         match ready
             .compiled
             .map(|compiled| compiled.and_then(|c| self.put(*c, &mut target).map_err(|e| e.to_string())))
         {
             None => {}
-            Some(Ok(())) => figures.applied.inc(),
-            Some(Err(why)) => turn_down(figures, &why),
+            Some(Ok(())) => metrics.applied.inc(),
+            Some(Err(why)) => turn_down(metrics, &why),
         }
         if ready.newer {
-            self.begin(target.current, figures);
+            self.begin(target.current, metrics);
         }
     }
 
@@ -172,7 +172,7 @@
         let times = [read, compared, swapped];
         tell(&site, &change, times);
         let told = (times.map(|time| time.as_secs_f64()), change.touched());
-        target.shared.figures.in_force(&change.to.to_string(), Some(told));
+        target.shared.metrics.in_force(&change.to.to_string(), Some(told));
         Ok(())
     }
 }
@@ -185,8 +185,8 @@
     newer: bool,
 }
 
-fn turn_down(figures: &Metrics, why: &dyn std::fmt::Display) {
-    figures.rejected.inc();
+fn turn_down(metrics: &Metrics, why: &dyn std::fmt::Display) {
+    metrics.rejected.inc();
     log(format_args!("not reloaded: {why}"));
 }
 
--- a/crates/corkhollow/src/commands/run.rs
+++ b/crates/corkhollow/src/commands/run.rs
@@ -34,7 +34,7 @@
 
 /// Connections that the kernel may hold for us while we are busy; it cuts this down to what it allows.
 const BACKLOG: u32 = 4096;
-/// How often figures and readiness are brought up to date.
+/// How often metrics and readiness are brought up to date.
 const WATCH: Duration = Duration::from_millis(50);
 /// Beyond `MANY` servers they are counted at one look of `SELDOM` only, which is once a second: each is looked at for that.
 const MANY: usize = 1_000;
@@ -264,9 +264,9 @@
     let neighbours = neighbours.map(Rc::new);
     let own = if plan.fleet.is_some() { membership::DESCRIPTORS } else { 0 };
     let budget = Budget::new(plan.limits.descriptors.saturating_sub(own), plan.limits.memory);
-    let figures = Metrics::new()?;
+    let metrics = Metrics::new()?;
     let shared =
-        PoolContext { clock, budget: budget.clone(), figures: figures.clone(), engines: Engines::default() };
+        PoolContext { clock, budget: budget.clone(), metrics: metrics.clone(), engines: Engines::default() };
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let seed = plan.seed.unwrap_or(since.as_nanos() as u64 ^ u64::from(std::process::id()));
     let mut listeners = Listeners { handed, ..Listeners::default() };
@@ -279,11 +279,11 @@
         tokio::select! {
             // Nothing has been taken yet.
             _ = terminate.recv() => return Ok(()),
-            joined = member.join(&plan, &figures, seed) => joined?,
+            joined = member.join(&plan, &metrics, seed) => joined?,
         }
     }
     let site = ActivePlan::start(plan, &shared, seed, member.group.get())?;
-    figures.in_force(&site.plan.version.to_string(), None);
+    metrics.in_force(&site.plan.version.to_string(), None);
     let current = CurrentPlan::new(site.clone());
     let service = Rc::new(Service {
         site: current.clone(),
@@ -291,15 +291,15 @@
         budget: budget.clone(),
         control: control.clone(),
         ids: Cell::new(seed),
-        figures: figures.clone(),
+        figures: metrics.clone(),
     });
     let clients = Clients::new(service.clone());
     let changed = Arc::new(Notify::new());
     if let Some(calls) = calls {
         log(format_args!("operators call at {}", calls.local_addr()?));
-        let (control, figures, changed) = (control.clone(), figures.clone(), changed.clone());
+        let (control, metrics, changed) = (control.clone(), metrics.clone(), changed.clone());
         let fleet = member.place.clone();
-        Operator { control, figures, clock, changed, fleet }.start(calls)?;
+        Operator { control, metrics, clock, changed, fleet }.start(calls)?;
     }
     if let Some(neighbours) = &neighbours {
         budget.keep_to(neighbours.now().share());
@@ -313,7 +313,7 @@
                 }
                 if succeeds {
                     if let Some(plan) = site.plan.share() {
-                        spawn_local(member.clone().succeed(plan, from, figures.clone(), seed));
+                        spawn_local(member.clone().succeed(plan, from, metrics.clone(), seed));
                     }
                 }
             }
@@ -323,7 +323,7 @@
         spawn_local(member.clone().follow(current.clone()));
     }
     let open = Rc::new(Cell::new(neighbours.is_none()));
-    spawn_local(watch(current.clone(), control.clone(), figures.clone(), budget.clone(), open.clone()));
+    spawn_local(watch(current.clone(), control.clone(), metrics.clone(), budget.clone(), open.clone()));
     spawn_local(tell_of_drains(member.place.clone(), control.clone()));
     if let Some(neighbours) = &neighbours {
         while !neighbours.now().accepts(site.is_ready() && !control.lock().drains()) {
@@ -348,7 +348,7 @@
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
-            _ = hang_up.recv() => reloads.begin(&current, &figures),
+            _ = hang_up.recv() => reloads.begin(&current, &metrics),
             ready = reloads.compiled() => {
                 let target = Target {
                     current: &current,
@@ -359,7 +359,7 @@
                     place: &member.place,
                     group: member.group.get(),
                 };
-                reloads.finish(ready, target, &figures);
+                reloads.finish(ready, target, &metrics);
             }
         }
     }
@@ -388,11 +388,11 @@
     Ok(())
 }
 
-/// Keeps the figures and the node's readiness up to date, for good. It is not ready before its listeners are open.
+/// Keeps the metrics and the node's readiness up to date, for good. It is not ready before its listeners are open.
 async fn watch(
     current: Rc<CurrentPlan>,
     control: SharedLifecycle,
-    figures: Metrics,
+    metrics: Metrics,
     budget: Rc<Budget>,
     open: Rc<Cell<bool>>,
 ) {
@@ -403,14 +403,14 @@
         if listed < MANY || looks.is_multiple_of(SELDOM) {
             let ejected;
             (listed, ejected) = site.server_counts();
-            figures.discovered.set(listed as i64);
-            figures.ejected.set(ejected as i64);
+            metrics.discovered.set(listed as i64);
+            metrics.ejected.set(ejected as i64);
         }
         looks = looks.wrapping_add(1);
         for (held, (now, most)) in [
-            (&figures.clients, budget.clients()),
-            (&figures.servers, budget.servers()),
-            (&figures.bodies, budget.bytes()),
+            (&metrics.clients, budget.clients()),
+            (&metrics.servers, budget.servers()),
+            (&metrics.bodies, budget.bytes()),
         ] {
             held.set(now, most);
         }
--- a/crates/proxy/src/active_plan.rs
+++ b/crates/proxy/src/active_plan.rs
@@ -24,7 +24,7 @@
     /// By pool and by class of the plan, the place that the pool's decision module has for the class.
     pub class_indexes: Vec<Rc<[u16]>>,
     /// Where requests are counted, by their class in the plan.
-    pub class_figures: Vec<ClassMetrics>,
+    pub class_metrics: Vec<ClassMetrics>,
 }
 
 /// A site's plan.
@@ -84,9 +84,9 @@
     }
 
     fn of(plan: Plan, shared: &PoolContext, pools: Vec<(Rc<Pool>, Rc<[u16]>)>) -> Rc<Self> {
-        let class_figures = plan.classes.iter().map(|class| shared.figures.class(&class.name)).collect();
+        let class_metrics = plan.classes.iter().map(|class| shared.metrics.class(&class.name)).collect();
         let (pools, class_indexes) = pools.into_iter().unzip();
-        Rc::new(ActivePlan { plan: PlanHandle(Some(Arc::new(plan))), pools, class_indexes, class_figures })
+        Rc::new(ActivePlan { plan: PlanHandle(Some(Arc::new(plan))), pools, class_indexes, class_metrics })
     }
 
     /// The site of a plan that follows this one's. Pools that fit go on, with what they have learnt and what is under way; those
--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -82,7 +82,7 @@
         config: Config,
         socket: UdpSocket,
         seed: u64,
-        figures: Option<FleetMetrics>,
+        metrics: Option<FleetMetrics>,
     ) -> std::io::Result<Self> {
         socket.set_nonblocking(true)?;
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
@@ -91,7 +91,7 @@
         let (shown, view) = watch::channel(show(&node, 0));
         let (commands, told) = mpsc::unbounded_channel();
         let member =
-            Member { node, start, shown, shown_at: start, figures, pace: LogLimiter::new(LINES.0, LINES.1) };
+            Member { node, start, shown, shown_at: start, metrics, pace: LogLimiter::new(LINES.0, LINES.1) };
         let serve = move || runtime.block_on(member.run(socket, told));
         std::thread::Builder::new().name("fleet".to_owned()).spawn(serve)?;
         Ok(Fleet { view, commands })
@@ -162,7 +162,7 @@
     start: Instant,
     shown: watch::Sender<View>,
     shown_at: Instant,
-    figures: Option<FleetMetrics>,
+    metrics: Option<FleetMetrics>,
     pace: LogLimiter,
 }
 
@@ -247,8 +247,8 @@
             return;
         }
         let view = show(&self.node, self.now());
-        if let Some(figures) = &self.figures {
-            figures.set(&view.snapshot, &view.stats);
+        if let Some(metrics) = &self.metrics {
+            metrics.set(&view.snapshot, &view.stats);
         }
         self.shown_at = Instant::now();
         self.shown.send_replace(view);
--- a/crates/proxy/src/http1/general.rs
+++ b/crates/proxy/src/http1/general.rs
@@ -157,7 +157,7 @@
         }
         Outcome::Forward { pool, rewrite } => {
             let class = site.plan.class_of(route.class, &head.method);
-            client.count(&site.class_figures[class]);
+            client.count(&site.class_metrics[class]);
             let sent = sent(rewrite, &path, &head.uri)?;
             let tenant = site.plan.tenants.number(head.headers.get(&site.plan.tenants.header));
             let mut headers = head.headers;
--- a/crates/proxy/src/http1/platform.rs
+++ b/crates/proxy/src/http1/platform.rs
@@ -59,7 +59,7 @@
         return closing(text(StatusCode::NOT_FOUND, "no such class of requests\n"));
     };
     let (pool, settings) = (&site.pools[at], &site.plan.pools[at].settings);
-    client.count(&site.class_figures[class]);
+    client.count(&site.class_metrics[class]);
     let rules = Rules {
         most_kept: site.plan.limits.replay_buffer,
         most: MOST_BODY,
--- a/crates/proxy/src/operator.rs
+++ b/crates/proxy/src/operator.rs
@@ -1,4 +1,4 @@
-//! The operator's address (HTTP/1.1, one call to a connection): ready, figures, drain, resume. It has a thread and a
+//! The operator's address (HTTP/1.1, one call to a connection): ready, metrics, drain, resume. It has a thread and a
 //! runtime of its own, so that no load keeps an answer back.
 
 use crate::fleet::{Fleet, FleetCell};
@@ -42,7 +42,7 @@
     /// The node's life.
     pub control: SharedLifecycle,
     /// What it has done.
-    pub figures: Metrics,
+    pub metrics: Metrics,
     /// The clock that its life goes by.
     pub clock: Clock,
     /// Tells the serving side that the life has changed.
@@ -97,15 +97,15 @@
         match path {
             "/-/ready" if self.control.lock().up() => text(StatusCode::OK, "ready\n"),
             "/-/ready" => text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
-            "/-/metrics" => match self.figures.page() {
+            "/-/metrics" => match self.metrics.page() {
                 Ok((page, kind)) => {
                     let mut response = Response::new(Full::new(Bytes::from(page)));
                     response.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static(kind));
                     response
                 }
-                Err(_) => text(StatusCode::INTERNAL_SERVER_ERROR, "the figures cannot be written\n"),
+                Err(_) => text(StatusCode::INTERNAL_SERVER_ERROR, "the metrics cannot be written\n"),
             },
-            "/-/events" => plain(Bytes::from(self.figures.recorder.page())),
+            "/-/events" => plain(Bytes::from(self.metrics.recorder.page())),
             "/-/fleet" => match self.fleet.get() {
                 Some(fleet) => json(page(fleet)),
                 None => text(StatusCode::NOT_FOUND, "no member of a fleet\n"),
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -42,7 +42,7 @@
     /// What it may hold.
     pub budget: Rc<Budget>,
     /// What it has done.
-    pub figures: Metrics,
+    pub metrics: Metrics,
     /// The engines of all pools, those with them that no plan has any longer and that have requests under way.
     pub engines: Engines,
 }
@@ -129,9 +129,9 @@
         let told = plan.pools[at].clone();
         let (list_calls, calls) = mpsc::unbounded_channel();
         let upstreams = Upstreams::new(&told, &plan.limits, shared, list_calls);
-        let (sender, figures) =
-            (Rc::new(UpstreamTransport(upstreams.clone())), shared.figures.pool(&told.name));
-        let engine = Engine::new(terms.settings(&told), seed, shared.clock, sender, figures)?;
+        let (sender, metrics) =
+            (Rc::new(UpstreamTransport(upstreams.clone())), shared.metrics.pool(&told.name));
+        let engine = Engine::new(terms.settings(&told), seed, shared.clock, sender, metrics)?;
         shared.engines.add(&engine);
         let retired = Rc::new(Cell::new(false));
         spawn_local(engine.clone().run_timers(retired.clone()));
--- a/crates/proxy/src/upstream/upstreams.rs
+++ b/crates/proxy/src/upstream/upstreams.rs
@@ -103,7 +103,7 @@
             dialect: pool.dialect,
             budget: shared.budget.clone(),
             clock: shared.clock,
-            forwards: shared.figures.forwards.clone(),
+            forwards: shared.metrics.forwards.clone(),
             connect_timeout: Cell::new(Duration::from_nanos(pool.connect_timeout)),
             stall_timeout: Duration::from_nanos(limits.stall_timeout),
             read_buffer_bytes: limits.read_buffer(),
--- a/crates/proxy/tests/closing.rs
+++ b/crates/proxy/tests/closing.rs
@@ -35,7 +35,7 @@
         let shared = PoolContext {
             clock: Clock::start(),
             budget: Budget::new(1_000, 64 << 20),
-            figures: Metrics::new().unwrap(),
+            metrics: Metrics::new().unwrap(),
             engines: Engines::default(),
         };
         let site = ActivePlan::start(plan, &shared, 7, None).unwrap();
@@ -45,7 +45,7 @@
             budget: shared.budget,
             control: SharedLifecycle::default(),
             ids: Cell::new(1),
-            figures: shared.figures,
+            figures: shared.metrics,
         });
         let clients = Clients::new(service);
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
--- a/crates/proxy/tests/follow.rs
+++ b/crates/proxy/tests/follow.rs
@@ -109,7 +109,7 @@
     PoolContext {
         clock: Clock::start(),
         budget: Budget::new(1_000, 192 << 20),
-        figures: Metrics::new().unwrap(),
+        metrics: Metrics::new().unwrap(),
         engines: Engines::default(),
     }
 }
