--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -250,7 +250,7 @@
         work_hint: (options & 1 != 0).then(|| u64_at(r, 30)),
         is_retry: options & 2 != 0,
         is_write: options & 4 != 0,
-        streamed: false,
+        has_streaming_body: false,
     }
 }
 
--- a/crates/balance/src/balancer/attempts.rs
+++ b/crates/balance/src/balancer/attempts.rs
@@ -14,7 +14,7 @@
         (self.nodes[i].paced_from, self.nodes[i].jitter) = (from, 1.0);
         self.credit(i, credit);
         let alone = self.nodes[i].out == 0;
-        let working = self.pending.get(&id).is_some_and(|p| !p.request.streamed);
+        let working = self.pending.get(&id).is_some_and(|p| !p.request.has_streaming_body);
         if working {
             self.works(now, i, weight);
         }
--- a/crates/balance/src/interface.rs
+++ b/crates/balance/src/interface.rs
@@ -314,7 +314,7 @@
     /// It writes.
     pub is_write: bool,
     /// Its body is still coming and goes on as it comes: [`Event::BodyWritten`] tells when a server has all of it.
-    pub streamed: bool,
+    pub has_streaming_body: bool,
 }
 
 impl Request {
@@ -329,7 +329,7 @@
             work_hint: None,
             is_retry: false,
             is_write: false,
-            streamed: false,
+            has_streaming_body: false,
         }
     }
 }
--- a/crates/balance/tests/mechanism.rs
+++ b/crates/balance/tests/mechanism.rs
@@ -170,7 +170,7 @@
         let mut test_node = TestNode::new(settings(Effect::Safe), servers(1), 1);
         let (id, request) = test_node.draft();
         let late = test_node.now + 60_000 * MS;
-        test_node.feed(Event::Request(Request { streamed: true, give_up_at: late, ..request }));
+        test_node.feed(Event::Request(Request { has_streaming_body: true, give_up_at: late, ..request }));
         if written {
             test_node.feed(Event::BodyWritten { request: id, attempt: 0 });
         }
--- a/crates/proxy/src/http1/general.rs
+++ b/crates/proxy/src/http1/general.rs
@@ -203,7 +203,7 @@
                 class: places[class],
                 tenant: tenant.unwrap_or(u32::MAX),
                 is_write: !head.method.is_safe(),
-                streamed: matches!(payload, Payload::Stream(_)),
+                has_streaming_body: matches!(payload, Payload::Stream(_)),
                 ..interface::Request::new(0, give_up_at)
             };
             let interims = (head.version == Version::HTTP_11).then(|| interims(client, listener));
--- a/crates/proxy/src/http1/platform.rs
+++ b/crates/proxy/src/http1/platform.rs
@@ -119,7 +119,7 @@
         is_write: headers
             .get("x-attrs")
             .is_some_and(|v| v.to_str().unwrap_or_default().split(',').any(|a| a.trim() == "write=1")),
-        streamed: matches!(payload, Payload::Stream(_)),
+        has_streaming_body: matches!(payload, Payload::Stream(_)),
         ..interface::Request::new(0, give_up_at)
     };
     match &payload {
