--- a/crates/balance/src/balancer/attempts.rs
+++ b/crates/balance/src/balancer/attempts.rs
@@ -1,6 +1,6 @@
 //! Attempts: sent, ended, sent again, copied, called off.
 
-use super::cold::EARLY;
+use super::slow_start::EARLY;
 use super::{Attempt, Balancer, Sink};
 use crate::interface::{Action, Effect, Ending, Group, Nanos, Refusal, RequestId};
 
--- a/crates/balance/src/balancer/mod.rs
+++ b/crates/balance/src/balancer/mod.rs
@@ -6,20 +6,20 @@
 
 mod admission;
 mod attempts;
-mod choice;
-mod cold;
 mod health;
-mod list;
-mod order;
-mod queue;
-mod ranking;
-mod retune;
+mod queue_estimate;
+mod score_order;
+mod scores;
+mod selection;
+mod server_list;
+mod settings_update;
+mod slow_start;
 mod start_times;
 
 use crate::interface::*;
-use order::Order;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
+use score_order::Order;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
@@ -97,7 +97,7 @@
     epoch: Nanos,
     start_clock: start_times::StartClock,
     pending: BTreeMap<RequestId, Pending>,
-    pub(crate) places: Vec<retune::Place>,
+    pub(crate) places: Vec<settings_update::Place>,
     waits: Faded,
     sent: Faded,
     begun: Nanos,
@@ -147,7 +147,7 @@
             epoch: 0,
             start_clock: start_times::StartClock::default(),
             pending: BTreeMap::new(),
-            places: settings.classes.iter().map(retune::Place::new).collect(),
+            places: settings.classes.iter().map(settings_update::Place::new).collect(),
             waits: Faded::default(),
             sent: Faded::default(),
             begun: Nanos::MAX,
--- a/crates/balance/src/balancer/order.rs
+++ b/crates/balance/src/balancer/score_order.rs
@@ -185,5 +185,5 @@
 }
 
 #[cfg(test)]
-#[path = "../order_tests.rs"]
+#[path = "../score_order_tests.rs"]
 mod tests;
--- a/crates/balance/src/balancer/choice.rs
+++ b/crates/balance/src/balancer/selection.rs
@@ -1,6 +1,6 @@
 //! JSQ-DAS: some of the accomplished set and some of the rest are drawn, the shortest queue wins.
 
-use super::order::Order;
+use super::score_order::Order;
 use super::{Balancer, Pending};
 use crate::interface::{Effect, Group, Nanos};
 
--- a/crates/balance/src/balancer/list.rs
+++ b/crates/balance/src/balancer/server_list.rs
@@ -1,6 +1,6 @@
 //! The list of servers: who comes, changes and leaves, and which of them this node ranks.
 
-use super::order::Order;
+use super::score_order::Order;
 use super::{Balancer, Faded, Job, Node, Sink};
 use crate::interface::{Action, ListKind, Nanos, Phase, Server};
 use std::cmp::Reverse;
--- a/crates/balance/src/lib.rs
+++ b/crates/balance/src/lib.rs
@@ -23,7 +23,7 @@
 mod knowledge;
 mod quotas;
 pub mod settings;
-mod told;
+mod updates;
 
 pub use balancer::Balancer;
 pub use knowledge::{ClassKnowledge, Knowledge, ServerKnowledge};
