--- a/crates/corkhollow/src/commands/run.rs
+++ b/crates/corkhollow/src/commands/run.rs
@@ -7,15 +7,15 @@
 use crate::succession::{self, Neighbours};
 use corkhollow_engine::{log, Clock, LogLimiter};
 use corkhollow_fleet::Group;
-use corkhollow_operate::{Control, Figures, FiguresError, FleetHandover, Handover};
+use corkhollow_operate::{FleetHandover, Handover, Metrics, MetricsError, SharedLifecycle};
 use corkhollow_plan::limits::Budget;
 use corkhollow_plan::plan::Plan;
 use corkhollow_plan::platform::{Config, ConfigError};
+use corkhollow_proxy::active_plan::{ActivePlan, CurrentPlan, PoolError};
 use corkhollow_proxy::background;
 use corkhollow_proxy::fleet::Place;
 use corkhollow_proxy::http1::{Clients, Service};
 use corkhollow_proxy::operator::Operator;
-use corkhollow_proxy::site::{Current, PoolError, Site};
 use corkhollow_proxy::upstream::{Engines, Shared};
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -72,7 +72,7 @@
     #[error("{0}")]
     System(#[from] std::io::Error),
     #[error("{0}")]
-    Figures(#[from] FiguresError),
+    Metrics(#[from] MetricsError),
 }
 
 /// Serves until SIGTERM.
@@ -264,7 +264,7 @@
     let neighbours = neighbours.map(Rc::new);
     let own = if plan.fleet.is_some() { membership::DESCRIPTORS } else { 0 };
     let budget = Budget::new(plan.limits.descriptors.saturating_sub(own), plan.limits.memory);
-    let figures = Figures::new()?;
+    let figures = Metrics::new()?;
     let shared =
         Shared { clock, budget: budget.clone(), figures: figures.clone(), engines: Engines::default() };
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
@@ -272,7 +272,7 @@
     let mut listeners = Listeners { handed, ..Listeners::default() };
     let bound = listeners.bind(&plan)?;
     let calls = plan.operator.map(listen_for_calls).transpose()?;
-    let control = Control::default();
+    let control = SharedLifecycle::default();
     let member = Membership::default();
     let succeeds = neighbours.as_ref().is_some_and(|n| n.now().older);
     if !succeeds {
@@ -282,9 +282,9 @@
             joined = member.join(&plan, &figures, seed) => joined?,
         }
     }
-    let site = Site::start(plan, &shared, seed, member.group.get())?;
+    let site = ActivePlan::start(plan, &shared, seed, member.group.get())?;
     figures.in_force(&site.plan.version.to_string(), None);
-    let current = Current::new(site.clone());
+    let current = CurrentPlan::new(site.clone());
     let service = Rc::new(Service {
         site: current.clone(),
         clock,
@@ -326,7 +326,7 @@
     spawn_local(watch(current.clone(), control.clone(), figures.clone(), budget.clone(), open.clone()));
     spawn_local(tell_of_drains(member.place.clone(), control.clone()));
     if let Some(neighbours) = &neighbours {
-        while !neighbours.now().accepts(site.ready() && !control.lock().drains()) {
+        while !neighbours.now().accepts(site.is_ready() && !control.lock().drains()) {
             tokio::select! {
                 // Nothing has been taken yet.
                 _ = terminate.recv() => return Ok(()),
@@ -339,7 +339,7 @@
     listeners.start(&site.plan, bound, &clients)?;
     // It says yes when it takes clients, not before: the other process may end on that word.
     open.set(true);
-    control.lock().tell(site.ready());
+    control.lock().tell(site.is_ready());
     drop(site);
     spawn_local(sweep(current.clone(), clients.clone()));
     spawn_local(empty(clients.clone(), control.clone(), clock, changed));
@@ -390,19 +390,19 @@
 
 /// Keeps the figures and the node's readiness up to date, for good. It is not ready before its listeners are open.
 async fn watch(
-    current: Rc<Current>,
-    control: Control,
-    figures: Figures,
+    current: Rc<CurrentPlan>,
+    control: SharedLifecycle,
+    figures: Metrics,
     budget: Rc<Budget>,
     open: Rc<Cell<bool>>,
 ) {
     let (mut looks, mut listed) = (0u32, 0);
     loop {
         let site = current.get();
-        control.lock().tell(open.get() && site.ready());
+        control.lock().tell(open.get() && site.is_ready());
         if listed < MANY || looks.is_multiple_of(SELDOM) {
             let ejected;
-            (listed, ejected) = site.census();
+            (listed, ejected) = site.server_counts();
             figures.discovered.set(listed as i64);
             figures.ejected.set(ejected as i64);
         }
@@ -427,7 +427,12 @@
 }
 
 /// Writes down what this process has learnt while there is one that comes to its place, for good.
-async fn teach(neighbours: Rc<Neighbours>, current: Rc<Current>, control: Control, member: Membership) {
+async fn teach(
+    neighbours: Rc<Neighbours>,
+    current: Rc<CurrentPlan>,
+    control: SharedLifecycle,
+    member: Membership,
+) {
     let mut failed = false;
     loop {
         let newer = neighbours.now().newer;
@@ -445,7 +450,7 @@
 }
 
 /// Tells the fleet when the operator empties the node and when no longer, for good.
-async fn tell_of_drains(place: Place, control: Control) {
+async fn tell_of_drains(place: Place, control: SharedLifecycle) {
     loop {
         if let Some(fleet) = place.get() {
             let drains = control.lock().drains();
@@ -461,9 +466,9 @@
 /// it tells in time.
 async fn learn(
     neighbours: &Neighbours,
-    site: &Site,
+    site: &ActivePlan,
     clock: Clock,
-    control: &Control,
+    control: &SharedLifecycle,
 ) -> Option<FleetHandover> {
     if !neighbours.now().older {
         return None;
@@ -473,20 +478,20 @@
     }
     neighbours.begin();
     loop {
-        let told = neighbours.told(clock.now()).filter(|_| site.ready());
+        let told = neighbours.told(clock.now()).filter(|_| site.is_ready());
         if told.as_ref().is_some_and(|told| told.drains) {
             log(format_args!("begins drained, as the other process is; POST /-/resume ends that"));
             control.lock().drain(clock.now());
         }
         if let Some(told) = told {
-            match site.recall(&told) {
+            match site.restore_knowledge(&told) {
                 0 => log(format_args!("begins cold: nothing that the other process knows holds here")),
                 known => log(format_args!("begins with what is known of {known} servers")),
             }
             return told.fleet;
         }
         // One that has gone leaves its clients to this one, ready or not.
-        if !neighbours.now().older || (site.ready() && neighbours.age() > LEARN_WITHIN) {
+        if !neighbours.now().older || (site.is_ready() && neighbours.age() > LEARN_WITHIN) {
             log(format_args!("begins cold: the other process has not told what it knows"));
             return None;
         }
@@ -495,13 +500,13 @@
 }
 
 /// Closes connections that have no request, as far as the node's life wants that; the number of those that are left.
-fn close_idle(clients: &Clients, control: &Control, clock: Clock) -> usize {
+fn close_idle(clients: &Clients, control: &SharedLifecycle, clock: Clock) -> usize {
     let before = control.lock().closes_idle_before(clock.now());
     clients.close_idle(before.unwrap_or(0))
 }
 
 /// Empties the node as long as its operator wants that, for good.
-async fn empty(clients: Rc<Clients>, control: Control, clock: Clock, changed: Arc<Notify>) {
+async fn empty(clients: Rc<Clients>, control: SharedLifecycle, clock: Clock, changed: Arc<Notify>) {
     loop {
         while control.lock().keeps() {
             changed.notified().await;
@@ -512,7 +517,7 @@
 }
 
 /// Closes what stands still, for good.
-async fn sweep(current: Rc<Current>, clients: Rc<Clients>) {
+async fn sweep(current: Rc<CurrentPlan>, clients: Rc<Clients>) {
     let mut forgotten = tokio::time::Instant::now();
     loop {
         for _ in 0..5 {
--- a/crates/proxy/src/http1/general.rs
+++ b/crates/proxy/src/http1/general.rs
@@ -5,9 +5,9 @@
 use super::closing::Stage;
 use super::service::Service;
 use super::upload::{self, UploadError};
+use crate::active_plan::ActivePlan;
 use crate::body::{AnswerBody, PieceBody};
 use crate::headers::strip;
-use crate::site::Site;
 use bytes::Bytes;
 use corkhollow_balance::interface::{self, Nanos};
 use corkhollow_engine::{Answer, InterimHandler, Message, Payload};
@@ -81,7 +81,7 @@
 /// Answers one request.
 pub(super) async fn answer(
     service: &Rc<Service>,
-    site: &Site,
+    site: &ActivePlan,
     client: &Rc<Client>,
     listener: Option<usize>,
     request: Request<Incoming>,
@@ -111,7 +111,7 @@
 
 async fn handle(
     service: &Rc<Service>,
-    site: &Site,
+    site: &ActivePlan,
     client: &Rc<Client>,
     listener: Option<usize>,
     head: Parts,
@@ -157,7 +157,7 @@
         }
         Outcome::Forward { pool, rewrite } => {
             let class = site.plan.class_of(route.class, &head.method);
-            client.count(&site.figures[class]);
+            client.count(&site.class_figures[class]);
             let sent = sent(rewrite, &path, &head.uri)?;
             let tenant = site.plan.tenants.number(head.headers.get(&site.plan.tenants.header));
             let mut headers = head.headers;
@@ -197,7 +197,7 @@
                 }
                 headers.remove(header::EXPECT);
             }
-            let (pool, places) = (&site.pools[*pool], &site.places[*pool]);
+            let (pool, places) = (&site.pools[*pool], &site.class_indexes[*pool]);
             let give_up_at = service.clock.now() + site.plan.classes[class].class.give_up;
             let request = interface::Request {
                 class: places[class],
@@ -207,8 +207,14 @@
                 ..interface::Request::new(0, give_up_at)
             };
             let interims = (head.version == Version::HTTP_11).then(|| interims(client, listener));
-            let message =
-                Message { method: head.method, uri: Uri::from(sent), headers, payload, give_up_at, interims };
+            let message = Message {
+                method: head.method,
+                uri: Uri::from(sent),
+                headers,
+                payload,
+                deadline: give_up_at,
+                interim_handler: interims,
+            };
             client.stage.set(Stage::Waiting);
             if matches!(message.payload, Payload::Buffered(_)) {
                 client.taken(service.clock.now());
@@ -283,7 +289,7 @@
     }
 }
 
-fn no_route(site: &Site, target: &Target<'_>) -> Problem {
+fn no_route(site: &ActivePlan, target: &Target<'_>) -> Problem {
     let allowed = site.plan.routes.other_methods(target);
     if allowed.is_empty() {
         return Problem::new(StatusCode::NOT_FOUND, "no-route", "no route takes this request");
@@ -375,7 +381,7 @@
         Answer::Buffered { status, headers, body } => {
             (status, headers, AnswerBody::Whole(PieceBody::new(Rc::new(body))))
         }
-        Answer::Stream { status, headers, length, pieces } => {
+        Answer::Stream { status, headers, length, frames: pieces } => {
             (status, headers, AnswerBody::Stream { pieces, length })
         }
         Answer::Refused { retry_after } => {
@@ -383,11 +389,11 @@
             let problem = Problem::new(StatusCode::SERVICE_UNAVAILABLE, "refused", detail);
             return Err(Problem { retry_after: Some(retry_after), ..problem });
         }
-        Answer::Failed { late: true } => {
+        Answer::Failed { timed_out: true } => {
             let detail = "no answer in time; it may have run";
             return Err(Problem::new(StatusCode::GATEWAY_TIMEOUT, "late", detail));
         }
-        Answer::Failed { late: false } => {
+        Answer::Failed { timed_out: false } => {
             let detail = "no server answered; it may have run";
             return Err(Problem::new(StatusCode::BAD_GATEWAY, "failed", detail));
         }
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -9,7 +9,7 @@
 };
 use corkhollow_engine::{log, Clock, Engine};
 use corkhollow_fleet::Group;
-use corkhollow_operate::Figures;
+use corkhollow_operate::Metrics;
 use corkhollow_plan::change::Differs;
 use corkhollow_plan::file::read_servers;
 use corkhollow_plan::limits::Budget;
@@ -42,7 +42,7 @@
     /// What it may hold.
     pub budget: Rc<Budget>,
     /// What it has done.
-    pub figures: Figures,
+    pub figures: Metrics,
     /// The engines of all pools, those with them that no plan has any longer and that have requests under way.
     pub engines: Engines,
 }
@@ -60,7 +60,7 @@
 
     /// Answers all that is under way by then, for the node leaves.
     pub fn end_by(&self, at: Nanos) {
-        self.0.borrow().iter().filter_map(Weak::upgrade).for_each(|engine| engine.end_by(at));
+        self.0.borrow().iter().filter_map(Weak::upgrade).for_each(|engine| engine.set_shutdown_deadline(at));
     }
 }
 
@@ -294,7 +294,7 @@
     fn tell(&self, kind: ListKind, listed: Vec<Listed>) {
         let entries = listed.into_iter().map(entry).collect();
         let servers = self.upstreams.follow(kind, entries);
-        self.engine.list(kind, servers);
+        self.engine.on_server_list(kind, servers);
     }
 }
 
