--- a/crates/corkhollow/src/commands/membership.rs
+++ b/crates/corkhollow/src/commands/membership.rs
@@ -156,5 +156,5 @@
     log(format_args!("fleet {}: {} hears datagrams at {local}", config.fleet, config.name));
     // Another life of the same node draws other numbers.
     let seed = seed ^ u64::from(std::process::id()).rotate_left(32);
-    Ok(Fleet::start(config, socket, seed, Some(figures.fleet()?))?)
+    Ok(Fleet::start(config, socket, seed, Some(figures.for_fleet()?))?)
 }
--- a/crates/corkhollow/src/commands/reload.rs
+++ b/crates/corkhollow/src/commands/reload.rs
@@ -139,7 +139,7 @@
             .map(|compiled| compiled.and_then(|c| self.put(*c, &mut target).map_err(|e| e.to_string())))
         {
             None => {}
-            Some(Ok(())) => figures.applied.inc(),
+            Some(Ok(())) => figures.reloads_applied.inc(),
             Some(Err(why)) => turn_down(figures, &why),
         }
         if ready.newer {
@@ -172,7 +172,7 @@
         let times = [read, compared, swapped];
         tell(&site, &change, times);
         let told = (times.map(|time| time.as_secs_f64()), change.touched());
-        target.shared.figures.in_force(&change.to.to_string(), Some(told));
+        target.shared.figures.set_active_config(&change.to.to_string(), Some(told));
         Ok(())
     }
 }
@@ -186,7 +186,7 @@
 }
 
 fn turn_down(figures: &Metrics, why: &dyn std::fmt::Display) {
-    figures.rejected.inc();
+    figures.reloads_rejected.inc();
     log(format_args!("not reloaded: {why}"));
 }
 
--- a/crates/corkhollow/src/commands/run.rs
+++ b/crates/corkhollow/src/commands/run.rs
@@ -283,7 +283,7 @@
         }
     }
     let site = Site::start(plan, &shared, seed, member.group.get())?;
-    figures.in_force(&site.plan.version.to_string(), None);
+    figures.set_active_config(&site.plan.version.to_string(), None);
     let current = Current::new(site.clone());
     let service = Rc::new(Service {
         site: current.clone(),
@@ -403,14 +403,14 @@
         if listed < MANY || looks.is_multiple_of(SELDOM) {
             let ejected;
             (listed, ejected) = site.census();
-            figures.discovered.set(listed as i64);
-            figures.ejected.set(ejected as i64);
+            figures.discovered_servers.set(listed as i64);
+            figures.ejected_servers.set(ejected as i64);
         }
         looks = looks.wrapping_add(1);
         for (held, (now, most)) in [
-            (&figures.clients, budget.clients()),
-            (&figures.servers, budget.servers()),
-            (&figures.bodies, budget.bytes()),
+            (&figures.client_connections, budget.clients()),
+            (&figures.server_connections, budget.servers()),
+            (&figures.body_bytes, budget.bytes()),
         ] {
             held.set(now, most);
         }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -159,7 +159,7 @@
                 let answer = match verdict {
                     FinalAnswer::FromServer(answer) => answer,
                     FinalAnswer::Refused { retry_after, reason } => {
-                        self.figures.refused(reason);
+                        self.figures.count_refusal(reason);
                         Answer::Refused { retry_after }
                     }
                     FinalAnswer::Failed { late } => Answer::Failed { late },
@@ -171,12 +171,12 @@
             Command::Ask(call) => self.carrier.ask(call),
             Command::Log { server, text } => self.carrier.log(server, &text),
             Command::Ended { id, ending } => {
-                self.figures.ended(ending);
+                self.figures.count_attempt(ending);
                 self.record(id.request, Event::AttemptEnded { attempt: id.number, ending });
             }
-            Command::Denied { request, denial } => self.denied(request, DenialPoint::Send, denial),
+            Command::Denied { request, denial } => self.denied(request, DenialPoint::Decision, denial),
             Command::Repeated { after: None } => self.figures.hedges.inc(),
-            Command::Repeated { after: Some(ending) } => self.figures.retried(ending),
+            Command::Repeated { after: Some(ending) } => self.figures.count_retry(ending),
         }
     }
 
@@ -195,7 +195,7 @@
         let id = self.requests.borrow().next_id();
         self.replies.borrow_mut().insert(id, reply);
         let request = Request { give_up_at: message.give_up_at, ..request };
-        self.record(id, Event::Taken(client_id));
+        self.record(id, Event::Received(client_id));
         let taken = self.step(|all, now, sink| all.submit(now, name, request, Rc::new(message), sink));
         if taken.is_none() {
             self.replies.borrow_mut().remove(&id);
@@ -255,7 +255,7 @@
     pub fn may_begin(&self, id: AttemptId) -> bool {
         let allowed = self.requests.borrow().may_begin(self.clock.now(), id);
         if let Err(denial) = allowed {
-            self.denied(id.request, DenialPoint::Begin, denial);
+            self.denied(id.request, DenialPoint::FirstByte, denial);
         }
         allowed.is_ok()
     }
@@ -263,16 +263,16 @@
     /// Counts what the rules have denied. A proposal of the decision module that would have broken a rule is a fault of the program:
     /// it goes into the log.
     fn denied(&self, request: RequestId, proposed: DenialPoint, denial: Denial) {
-        self.figures.denied(proposed, denial.name());
+        self.figures.count_denial(proposed, denial.name());
         self.record(request, Event::Denied(denial.name()));
-        if proposed == DenialPoint::Send && !denial.is_expected() {
+        if proposed == DenialPoint::Decision && !denial.is_expected() {
             log(format_args!("request {request}: proposed and denied: {}; this is a fault", denial.name()));
         }
     }
 
     fn record(&self, request: RequestId, event: Event) {
         let subject = Subject::Request { pool: self.figures.pool.clone(), number: request };
-        self.figures.recorder.record(self.clock.now(), subject, event);
+        self.figures.events.record(self.clock.now(), subject, event);
     }
 
     fn client_gone(self: &Rc<Self>, request: RequestId) {
@@ -349,7 +349,7 @@
     /// Servers in the list, and how many of them the module has ejected for now; brings the list's age up to date.
     pub fn census(&self) -> (usize, usize) {
         let (listed, ejected, age) = self.requests.borrow().census(self.clock.now());
-        self.figures.list_age.set(age as f64 / 1e9);
+        self.figures.list_age_seconds.set(age as f64 / 1e9);
         (listed, ejected)
     }
 
--- a/crates/operate/src/events.rs
+++ b/crates/operate/src/events.rs
@@ -61,7 +61,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// A request was taken: its client's own id.
-    Taken(ClientRequestId),
+    Received(ClientRequestId),
     /// An attempt was sent on its way.
     AttemptSent {
         /// Its number among the request's attempts.
@@ -107,7 +107,7 @@
             Subject::Connection(number) => write!(f, "connection={number} ")?,
         }
         match &self.event {
-            Event::Taken(id) => write!(f, "taken id={id}"),
+            Event::Received(id) => write!(f, "taken id={id}"),
             Event::AttemptSent { attempt, server, hedge } => {
                 write!(f, "sent attempt={attempt} server={server} hedge={hedge}")
             }
@@ -139,7 +139,7 @@
     }
 
     /// A line for each, the oldest first.
-    pub fn page(&self) -> String {
+    pub fn render(&self) -> String {
         // Written without the lock: the serving thread must not wait for a reader.
         let events: Vec<Record> = self.lock().iter().cloned().collect();
         events.iter().map(|event| format!("{event}\n")).collect()
--- a/crates/operate/src/metrics.rs
+++ b/crates/operate/src/metrics.rs
@@ -36,16 +36,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DenialPoint {
     /// To send an attempt or to give a final answer.
-    Send,
+    Decision,
     /// To write an attempt's first byte.
-    Begin,
+    FirstByte,
 }
 
 impl DenialPoint {
     fn name(self) -> &'static str {
         match self {
-            DenialPoint::Send => "send",
-            DenialPoint::Begin => "begin",
+            DenialPoint::Decision => "send",
+            DenialPoint::FirstByte => "begin",
         }
     }
 }
@@ -69,30 +69,30 @@
     retries_after: IntCounterVec,
     refusals: IntCounterVec,
     /// The last events of requests and connections.
-    pub recorder: EventLog,
+    pub events: EventLog,
     hedges: IntCounterVec,
     denied: IntCounterVec,
     closes: IntCounterVec,
     violations: IntCounterVec,
     list_age: GaugeVec,
     /// Connections of clients.
-    pub clients: UsageGauges,
+    pub client_connections: UsageGauges,
     /// Connections to servers.
-    pub servers: UsageGauges,
+    pub server_connections: UsageGauges,
     /// Bytes of bodies.
-    pub bodies: UsageGauges,
+    pub body_bytes: UsageGauges,
     /// Attempts of which a server's connection has the last byte.
     pub forwards: IntCounter,
     /// Requests taken and not ended.
-    pub outstanding: IntGauge,
+    pub outstanding_requests: IntGauge,
     /// Servers in the list.
-    pub discovered: IntGauge,
+    pub discovered_servers: IntGauge,
     /// Servers in the list that get nothing now because of their failures.
-    pub ejected: IntGauge,
+    pub ejected_servers: IntGauge,
     /// Files that SIGHUP brought and that were taken.
-    pub applied: IntCounter,
+    pub reloads_applied: IntCounter,
     /// Files that SIGHUP brought and that were turned down.
-    pub rejected: IntCounter,
+    pub reloads_rejected: IntCounter,
     /// Which file is in force.
     version: IntGaugeVec,
     /// How long the steps of the last change took, in seconds.
@@ -115,33 +115,33 @@
     /// Attempts beside one that is still out.
     pub hedges: IntCounter,
     /// How long ago discovery has last told of servers, in seconds.
-    pub list_age: Gauge,
+    pub list_age_seconds: Gauge,
     denied: IntCounterVec,
     /// The pool's name.
     pub pool: Arc<str>,
     /// Where events are kept.
-    pub recorder: EventLog,
+    pub events: EventLog,
 }
 
 impl PoolMetrics {
     /// An attempt has ended so.
-    pub fn ended(&self, ending: Ending) {
+    pub fn count_attempt(&self, ending: Ending) {
         self.attempts[place(ending)].inc();
     }
 
     /// An attempt follows one that has ended so.
-    pub fn retried(&self, ending: Ending) {
+    pub fn count_retry(&self, ending: Ending) {
         self.retries.inc();
         self.retries_after[place(ending)].inc();
     }
 
     /// A request is refused for this reason.
-    pub fn refused(&self, reason: Refusal) {
+    pub fn count_refusal(&self, reason: Refusal) {
         self.refusals[reason as usize].inc();
     }
 
     /// The rules have denied what was proposed, for this reason.
-    pub fn denied(&self, proposed: DenialPoint, reason: &str) {
+    pub fn count_denial(&self, proposed: DenialPoint, reason: &str) {
         self.denied.with_label_values(&[&self.pool, proposed.name(), reason]).inc();
     }
 }
@@ -223,7 +223,7 @@
                 "Requests that the program refused, by reason.",
                 &[POOL, "reason"],
             )?,
-            recorder: EventLog::default(),
+            events: EventLog::default(),
             hedges: counters("hedges", "Attempts beside one that is still out.", &[POOL])?,
             denied: counters(
                 "denied",
@@ -232,15 +232,18 @@
             )?,
             closes: counters("client_closes", "Connections of clients that ended, by reason.", &["reason"])?,
             list_age: listed(&registry, GaugeVec::new(age, &[POOL])?)?,
-            clients: held("client_connections", "Connections of clients")?,
-            servers: held("server_connections", "Connections to servers")?,
-            bodies: held("body_bytes", "Bytes of bodies")?,
+            client_connections: held("client_connections", "Connections of clients")?,
+            server_connections: held("server_connections", "Connections to servers")?,
+            body_bytes: held("body_bytes", "Bytes of bodies")?,
             forwards: counter("forwards", "Attempts written whole to servers.")?,
-            outstanding: gauge("outstanding", "Requests taken and not ended.")?,
-            discovered: gauge("discovered", "Servers in the list.")?,
-            ejected: gauge("ejected", "Listed servers that are avoided for their failures.")?,
-            applied: counter("sighup_applied", "Files that SIGHUP brought and that were taken.")?,
-            rejected: counter("sighup_rejected", "Files that SIGHUP brought and that were turned down.")?,
+            outstanding_requests: gauge("outstanding", "Requests taken and not ended.")?,
+            discovered_servers: gauge("discovered", "Servers in the list.")?,
+            ejected_servers: gauge("ejected", "Listed servers that are avoided for their failures.")?,
+            reloads_applied: counter("sighup_applied", "Files that SIGHUP brought and that were taken.")?,
+            reloads_rejected: counter(
+                "sighup_rejected",
+                "Files that SIGHUP brought and that were turned down.",
+            )?,
             version: listed(&registry, IntGaugeVec::new(version, &["version"])?)?,
             steps: listed(&registry, GaugeVec::new(steps, &["step"])?)?,
             touched: gauge("reload_pools", "Pools that the last change of the file has touched.")?,
@@ -249,7 +252,7 @@
     }
 
     /// A client's connection has ended for this reason; whether that dropped a request that was taken whole and not answered.
-    pub fn closed(&self, reason: &str, dropped: bool) {
+    pub fn count_client_close(&self, reason: &str, dropped: bool) {
         self.closes.with_label_values(&[reason]).inc();
         if dropped {
             self.violations.with_label_values(&[DROPPED_REQUEST]).inc();
@@ -257,13 +260,13 @@
     }
 
     /// An answer went out after its request's time and the slack that the rules give it.
-    pub fn answered_late(&self) {
+    pub fn count_late_answer(&self) {
         self.violations.with_label_values(&[LATE_ANSWER]).inc();
     }
 
     /// This file is in force. Where it took another one's place: how long reading and checking, comparing and putting it in force
     /// took, in seconds, and how many pools that touched.
-    pub fn in_force(&self, version: &str, change: Option<([f64; 3], usize)>) {
+    pub fn set_active_config(&self, version: &str, change: Option<([f64; 3], usize)>) {
         self.version.reset();
         self.version.with_label_values(&[version]).set(1);
         let Some((times, touched)) = change else { return };
@@ -274,7 +277,7 @@
     }
 
     /// Where requests of a class are counted; from here on the class is shown.
-    pub fn class(&self, name: &str) -> ClassMetrics {
+    pub fn for_class(&self, name: &str) -> ClassMetrics {
         ClassMetrics {
             succeeded: self.succeeded.with_label_values(&[name]),
             declined: self.declined.with_label_values(&[name]),
@@ -282,20 +285,20 @@
             unserved: UnservedReason::ALL
                 .map(|reason| self.unserved.with_label_values(&[name, reason.name()])),
             answered: self.answered.with_label_values(&[name]),
-            outstanding: self.outstanding.clone(),
+            outstanding: self.outstanding_requests.clone(),
         }
     }
 
     /// Where attempts of a pool are counted; from here on the pool is shown.
-    pub fn pool(&self, name: &str) -> PoolMetrics {
+    pub fn for_pool(&self, name: &str) -> PoolMetrics {
         PoolMetrics {
             attempts: ENDINGS.map(|(_, ending)| self.attempts.with_label_values(&[name, ending])),
             retries: self.retries.with_label_values(&[name]),
             hedges: self.hedges.with_label_values(&[name]),
-            list_age: self.list_age.with_label_values(&[name]),
+            list_age_seconds: self.list_age.with_label_values(&[name]),
             denied: self.denied.clone(),
             pool: name.into(),
-            recorder: self.recorder.clone(),
+            events: self.events.clone(),
             retries_after: ENDINGS.map(|(_, ending)| self.retries_after.with_label_values(&[name, ending])),
             refusals: Refusal::ALL.map(|reason| self.refusals.with_label_values(&[name, reason.name()])),
         }
@@ -305,7 +308,7 @@
     ///
     /// # Errors
     /// Where this was asked for before.
-    pub fn fleet(&self) -> Result<FleetMetrics, prometheus::Error> {
+    pub fn for_fleet(&self) -> Result<FleetMetrics, prometheus::Error> {
         let counters = |name: &str, help: &str, labels: &[&str]| {
             listed(&self.registry, IntCounterVec::new(Opts::new(name, help), labels)?)
         };
@@ -331,7 +334,7 @@
     ///
     /// # Errors
     /// Where a figure cannot be written.
-    pub fn page(&self) -> Result<(Vec<u8>, &'static str), prometheus::Error> {
+    pub fn render(&self) -> Result<(Vec<u8>, &'static str), prometheus::Error> {
         let mut page = Vec::new();
         TextEncoder::new().encode(&self.registry.gather(), &mut page)?;
         Ok((page, prometheus::TEXT_FORMAT))
@@ -349,17 +352,17 @@
     use super::*;
 
     fn page(figures: &Metrics) -> String {
-        String::from_utf8(figures.page().unwrap().0).unwrap()
+        String::from_utf8(figures.render().unwrap().0).unwrap()
     }
 
     /// A scraper must be able to tell 0 from a figure that is not there.
     #[test]
     fn all_figures_stand_there_from_the_start() {
         let figures = Metrics::new().unwrap();
-        figures.class("a \"b\"\\");
-        let pool = figures.pool("main");
-        ENDINGS.iter().for_each(|(ending, _)| pool.ended(*ending));
-        figures.bodies.set(0, 7);
+        figures.for_class("a \"b\"\\");
+        let pool = figures.for_pool("main");
+        ENDINGS.iter().for_each(|(ending, _)| pool.count_attempt(*ending));
+        figures.body_bytes.set(0, 7);
         let page = page(&figures);
         for name in [
             "succeeded{service=\"a \\\"b\\\"\\\\\"}",
--- a/crates/operate/src/request_tracker.rs
+++ b/crates/operate/src/request_tracker.rs
@@ -160,13 +160,13 @@
     use proptest::test_runner::RngSeed;
 
     fn page(figures: &Metrics) -> String {
-        String::from_utf8(figures.page().unwrap().0).unwrap()
+        String::from_utf8(figures.render().unwrap().0).unwrap()
     }
 
     #[test]
     fn each_request_is_counted_once_by_how_it_ended() {
         let figures = Metrics::new().unwrap();
-        let class = figures.class("status");
+        let class = figures.for_class("status");
         let mut open = RequestTracker::new(class.clone());
         open.take(0);
         open.take(0);
@@ -184,7 +184,7 @@
         turned_away.no_place();
         turned_away.answer(0, 503, false);
         drop(turned_away);
-        RequestTracker::new(figures.class("general")).answer(0, 404, true);
+        RequestTracker::new(figures.for_class("general")).answer(0, 404, true);
         drop(open);
         let page = page(&figures);
         for line in [
@@ -238,7 +238,7 @@
         #[test]
         fn all_that_begins_is_open_or_counted(steps in proptest::collection::vec(step(), 0..120)) {
             let figures = Metrics::new().unwrap();
-            let class = figures.class("one");
+            let class = figures.for_class("one");
             let (mut open, mut begun) = (Vec::<RequestTracker>::new(), 0u64);
             for (at, step) in steps {
                 match (step, open.get_mut(at)) {
--- a/crates/operate/tests/events.rs
+++ b/crates/operate/tests/events.rs
@@ -7,7 +7,7 @@
 fn events_are_lines_that_tell_time_subject_and_reason() {
     let recorder = EventLog::default();
     let request = |number| Subject::Request { pool: "main".into(), number };
-    recorder.record(1_500_000_000, request(7), Event::Taken(ClientRequestId::new(b"9b1f\x00 e")));
+    recorder.record(1_500_000_000, request(7), Event::Received(ClientRequestId::new(b"9b1f\x00 e")));
     let sent = Event::AttemptSent { attempt: 0, server: "s-1".into(), hedge: false };
     recorder.record(1_500_000_999, request(7), sent);
     recorder.record(1_501_000_000, request(7), Event::AttemptEnded { attempt: 0, ending: Ending::Reset });
@@ -15,7 +15,7 @@
     recorder.record(1_501_000_000, request(7), Event::Answered("failed"));
     recorder.record(1_502_000_000, Subject::Connection(3), Event::Closed("leaving"));
     assert_eq!(
-        recorder.page(),
+        recorder.render(),
         "1.500000 pool=main request=7 taken id=9b1f..e\n\
          1.500000 pool=main request=7 sent attempt=0 server=s-1 hedge=false\n\
          1.501000 pool=main request=7 ended attempt=0 as=Reset\n\
@@ -29,7 +29,7 @@
 fn the_oldest_events_go_first() {
     let recorder = EventLog::default();
     (0..10_000).for_each(|at| recorder.record(at, Subject::Connection(at), Event::ClientLeft));
-    let page = recorder.page();
+    let page = recorder.render();
     assert_eq!(page.lines().count(), 2_048);
     assert!(page.lines().next().unwrap().contains("connection=7952 "));
     assert!(page.ends_with("connection=9999 client-left\n"));
--- a/crates/operate/tests/golden.rs
+++ b/crates/operate/tests/golden.rs
@@ -131,7 +131,7 @@
 fn events_page_keeps_its_lines() {
     let recorder = EventLog::default();
     let request = || Subject::Request { pool: "main".into(), number: 7 };
-    recorder.record(1_500_000_000, request(), Event::Taken(ClientRequestId::new(b"9b1f")));
+    recorder.record(1_500_000_000, request(), Event::Received(ClientRequestId::new(b"9b1f")));
     recorder.record(
         1_500_000_000,
         request(),
@@ -145,27 +145,27 @@
     recorder.record(1_700_000_000, request(), Event::ClientLeft);
     recorder.record(1_800_000_000, Subject::Connection(3), Event::Closed("leaving"));
     recorder.record(1_800_000_000, Subject::Connection(3), Event::ClientLeft);
-    assert_golden("events.txt", recorder.page().as_bytes());
+    assert_golden("events.txt", recorder.render().as_bytes());
 }
 
 /// Metric names with their types and labels; help texts and values are left out.
 #[test]
 fn metrics_keep_names_types_and_labels() {
     let figures = Metrics::new().unwrap();
-    figures.closed("idle-timeout", true);
-    figures.answered_late();
-    figures.in_force("v1", Some(([0.1, 0.2, 0.3], 4)));
-    figures.class("status");
-    let pool = figures.pool("main");
+    figures.count_client_close("idle-timeout", true);
+    figures.count_late_answer();
+    figures.set_active_config("v1", Some(([0.1, 0.2, 0.3], 4)));
+    figures.for_class("status");
+    let pool = figures.for_pool("main");
     for ending in ENDINGS {
-        pool.ended(ending);
-        pool.retried(ending);
+        pool.count_attempt(ending);
+        pool.count_retry(ending);
     }
-    Refusal::ALL.into_iter().for_each(|reason| pool.refused(reason));
-    pool.denied(DenialPoint::Send, "may-have-run");
-    pool.denied(DenialPoint::Begin, "out-of-time");
-    figures.fleet().unwrap().set(&snapshot(), &Stats::default());
-    let (page, content_type) = figures.page().unwrap();
+    Refusal::ALL.into_iter().for_each(|reason| pool.count_refusal(reason));
+    pool.count_denial(DenialPoint::Decision, "may-have-run");
+    pool.count_denial(DenialPoint::FirstByte, "out-of-time");
+    figures.for_fleet().unwrap().set(&snapshot(), &Stats::default());
+    let (page, content_type) = figures.render().unwrap();
     assert_eq!(content_type, "text/plain; version=0.0.4");
     let page = String::from_utf8(page).unwrap();
     let shown = page.lines().filter(|line| !line.starts_with("# HELP "));
--- a/crates/proxy/src/http1/platform.rs
+++ b/crates/proxy/src/http1/platform.rs
@@ -139,7 +139,7 @@
     };
     let answer = ticket.answer().await;
     if whole_body && service.clock.now() > give_up_at + LATE_ANSWER {
-        service.figures.answered_late();
+        service.figures.count_late_answer();
     }
     // Nobody reads the body any longer, or somebody has read all of it.
     drop(ticket);
--- a/crates/proxy/src/http1/service.rs
+++ b/crates/proxy/src/http1/service.rs
@@ -29,9 +29,9 @@
 impl Service {
     /// Counts the end of a connection, and whether it dropped a request.
     pub(super) fn closed(&self, client: &Client, reason: &'static str, dropped: bool) {
-        self.figures.closed(reason, dropped);
+        self.figures.count_client_close(reason, dropped);
         let subject = Subject::Connection(client.number);
-        self.figures.recorder.record(self.clock.now(), subject, Event::Closed(reason));
+        self.figures.events.record(self.clock.now(), subject, Event::Closed(reason));
     }
 
     pub(super) fn close_limits(&self) -> CloseLimits {
--- a/crates/proxy/src/operator.rs
+++ b/crates/proxy/src/operator.rs
@@ -97,7 +97,7 @@
         match path {
             "/-/ready" if self.control.lock().up() => text(StatusCode::OK, "ready\n"),
             "/-/ready" => text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
-            "/-/metrics" => match self.figures.page() {
+            "/-/metrics" => match self.figures.render() {
                 Ok((page, kind)) => {
                     let mut response = Response::new(Full::new(Bytes::from(page)));
                     response.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static(kind));
@@ -105,7 +105,7 @@
                 }
                 Err(_) => text(StatusCode::INTERNAL_SERVER_ERROR, "the figures cannot be written\n"),
             },
-            "/-/events" => plain(Bytes::from(self.figures.recorder.page())),
+            "/-/events" => plain(Bytes::from(self.figures.events.render())),
             "/-/fleet" => match self.fleet.get() {
                 Some(fleet) => json(page(fleet)),
                 None => text(StatusCode::NOT_FOUND, "no member of a fleet\n"),
--- a/crates/proxy/src/site.rs
+++ b/crates/proxy/src/site.rs
@@ -84,7 +84,7 @@
     }
 
     fn of(plan: Plan, shared: &Shared, pools: Vec<(Rc<Pool>, Rc<[u16]>)>) -> Rc<Self> {
-        let figures = plan.classes.iter().map(|class| shared.figures.class(&class.name)).collect();
+        let figures = plan.classes.iter().map(|class| shared.figures.for_class(&class.name)).collect();
         let (pools, places) = pools.into_iter().unzip();
         Rc::new(Site { plan: Held(Some(Arc::new(plan))), pools, places, figures })
     }
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -129,7 +129,7 @@
         let told = plan.pools[at].clone();
         let (list_calls, calls) = mpsc::unbounded_channel();
         let upstreams = Upstreams::new(&told, &plan.limits, shared, list_calls);
-        let (sender, figures) = (Rc::new(Sender(upstreams.clone())), shared.figures.pool(&told.name));
+        let (sender, figures) = (Rc::new(Sender(upstreams.clone())), shared.figures.for_pool(&told.name));
         let engine = Engine::new(terms.settings(&told), seed, shared.clock, sender, figures)?;
         shared.engines.add(&engine);
         let retired = Rc::new(Cell::new(false));
