--- a/crates/corkhollow/src/commands/fleet.rs
+++ b/crates/corkhollow/src/commands/fleet.rs
@@ -58,7 +58,7 @@
     if status != "200" {
         return Err(format!("answered {status}: {}", String::from_utf8_lossy(body).trim()));
     }
-    FleetPage::read(body).map_err(|error| format!("not a fleet's page: {error}"))
+    FleetPage::from_json(body).map_err(|error| format!("not a fleet's page: {error}"))
 }
 
 fn print(page: &FleetPage, out: &mut impl Write) -> std::io::Result<()> {
--- a/crates/corkhollow/src/commands/run.rs
+++ b/crates/corkhollow/src/commands/run.rs
@@ -274,7 +274,7 @@
     let calls = plan.operator.map(listen_for_calls).transpose()?;
     let control = SharedLifecycle::default();
     let member = Membership::default();
-    let succeeds = neighbours.as_ref().is_some_and(|n| n.now().older);
+    let succeeds = neighbours.as_ref().is_some_and(|n| n.now().has_predecessor);
     if !succeeds {
         tokio::select! {
             // Nothing has been taken yet.
@@ -302,7 +302,7 @@
         Operator { control, figures, clock, changed, fleet }.start(calls)?;
     }
     if let Some(neighbours) = &neighbours {
-        budget.keep_to(neighbours.now().share());
+        budget.keep_to(neighbours.now().limit_share());
         tokio::select! {
             // Nothing has been taken yet.
             _ = terminate.recv() => return Ok(()),
@@ -326,7 +326,7 @@
     spawn_local(watch(current.clone(), control.clone(), figures.clone(), budget.clone(), open.clone()));
     spawn_local(tell_of_drains(member.place.clone(), control.clone()));
     if let Some(neighbours) = &neighbours {
-        while !neighbours.now().accepts(site.ready() && !control.lock().drains()) {
+        while !neighbours.now().accepts_connections(site.ready() && !control.lock().is_draining()) {
             tokio::select! {
                 // Nothing has been taken yet.
                 _ = terminate.recv() => return Ok(()),
@@ -339,7 +339,7 @@
     listeners.start(&site.plan, bound, &clients)?;
     // It says yes when it takes clients, not before: the other process may end on that word.
     open.set(true);
-    control.lock().tell(site.ready());
+    control.lock().set_servers_known(site.ready());
     drop(site);
     spawn_local(sweep(current.clone(), clients.clone()));
     spawn_local(empty(clients.clone(), control.clone(), clock, changed));
@@ -363,15 +363,15 @@
             }
         }
     }
-    let succeeded = neighbours.is_some_and(|n| n.now().newer);
-    control.lock().leave(clock.now(), succeeded);
+    let succeeded = neighbours.is_some_and(|n| n.now().has_successor);
+    control.lock().begin_shutdown(clock.now(), succeeded);
     let within = current.get().plan.drain_timeout;
-    let (answered, gone) = control.lock().ends_by(within).unwrap_or_default();
+    let (answered, gone) = control.lock().shutdown_deadlines(within).unwrap_or_default();
     shared.engines.end_by(answered);
     if let (Some(fleet), true) = (member.place.get(), succeeded) {
         fleet.hand_over();
     }
-    while control.lock().accepts(clock.now()) && clock.now() < gone {
+    while control.lock().accepts_connections(clock.now()) && clock.now() < gone {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
     match succeeded {
@@ -399,7 +399,7 @@
     let (mut looks, mut listed) = (0u32, 0);
     loop {
         let site = current.get();
-        control.lock().tell(open.get() && site.ready());
+        control.lock().set_servers_known(open.get() && site.ready());
         if listed < MANY || looks.is_multiple_of(SELDOM) {
             let ejected;
             (listed, ejected) = site.census();
@@ -421,7 +421,7 @@
 /// Keeps to this process's share of the limits, for good.
 async fn share(neighbours: Rc<Neighbours>, budget: Rc<Budget>) {
     loop {
-        budget.keep_to(neighbours.now().share());
+        budget.keep_to(neighbours.now().limit_share());
         tokio::time::sleep(SHARE).await;
     }
 }
@@ -435,9 +435,9 @@
 ) {
     let mut failed = false;
     loop {
-        let newer = neighbours.now().newer;
+        let newer = neighbours.now().has_successor;
         if newer {
-            let drains = control.lock().drains();
+            let drains = control.lock().is_draining();
             let handover = Handover { fleet: member.handover(), ..current.get().handover(drains) };
             let told = neighbours.tell(&handover);
             if let (Err(why), false) = (&told, failed) {
@@ -453,7 +453,7 @@
 async fn tell_of_drains(place: Place, control: SharedLifecycle) {
     loop {
         if let Some(fleet) = place.get() {
-            let drains = control.lock().drains();
+            let drains = control.lock().is_draining();
             if fleet.view().drains() != drains {
                 fleet.drain(drains);
             }
@@ -470,10 +470,10 @@
     clock: Clock,
     control: &SharedLifecycle,
 ) -> Option<FleetHandover> {
-    if !neighbours.now().older {
+    if !neighbours.now().has_predecessor {
         return None;
     }
-    while neighbours.now().waits {
+    while neighbours.now().is_queued {
         tokio::time::sleep(LOOK).await;
     }
     neighbours.begin();
@@ -491,7 +491,7 @@
             return told.fleet;
         }
         // One that has gone leaves its clients to this one, ready or not.
-        if !neighbours.now().older || (site.ready() && neighbours.age() > LEARN_WITHIN) {
+        if !neighbours.now().has_predecessor || (site.ready() && neighbours.age() > LEARN_WITHIN) {
             log(format_args!("begins cold: the other process has not told what it knows"));
             return None;
         }
@@ -501,14 +501,14 @@
 
 /// Closes connections that have no request, as far as the node's life wants that; the number of those that are left.
 fn close_idle(clients: &Clients, control: &SharedLifecycle, clock: Clock) -> usize {
-    let before = control.lock().closes_idle_before(clock.now());
+    let before = control.lock().idle_close_cutoff(clock.now());
     clients.close_idle(before.unwrap_or(0))
 }
 
 /// Empties the node as long as its operator wants that, for good.
 async fn empty(clients: Rc<Clients>, control: SharedLifecycle, clock: Clock, changed: Arc<Notify>) {
     loop {
-        while control.lock().keeps() {
+        while control.lock().allows_keep_alive() {
             changed.notified().await;
         }
         close_idle(&clients, &control, clock);
--- a/crates/corkhollow/src/succession.rs
+++ b/crates/corkhollow/src/succession.rs
@@ -128,7 +128,7 @@
         let [older, waits, succeeds] = [older, waits, succeeds].map(|b| b.load(Ordering::SeqCst));
         // While an older one is there, the lock is this one's, or that of the one whose turn is before.
         let newer = !older && !succeeds && self.newer().unwrap_or(false);
-        Succession { older, newer, waits }
+        Succession { has_predecessor: older, has_successor: newer, is_queued: waits }
     }
 
     /// Writes down what this process has learnt, whole or not at all, for its owner alone.
@@ -156,8 +156,9 @@
         }
         let mut bytes = Vec::new();
         file.take(MAX_HANDOVER_BYTES as u64 + 1).read_to_end(&mut bytes).ok()?;
-        let handover = Handover::decode(&bytes).ok().filter(|handover| handover.written_at().is_some())?;
-        (written_at >= joined).then(|| handover.dated(written_at))
+        let handover =
+            Handover::decode(&bytes).ok().filter(|handover| handover.oldest_written_at().is_some())?;
+        (written_at >= joined).then(|| handover.rebased_to(written_at))
     }
 
     /// Its turn has come: what has been told before is nobody's.
@@ -200,7 +201,7 @@
         }
     }
 
-    const ALONE: Succession = Succession { older: false, newer: false, waits: false };
+    const ALONE: Succession = Succession { has_predecessor: false, has_successor: false, is_queued: false };
 
     /// Locks go with the open file, so that one process can stand for several here.
     #[test]
@@ -220,16 +221,16 @@
         let second = Neighbours::join(&folder, address).unwrap();
         let stranger = Neighbours::join(&folder, other).unwrap();
         assert_eq!(stranger.now(), ALONE, "one that serves another address is no neighbour");
-        wait("the second's turn", || second.now() == Succession { older: true, ..ALONE });
-        wait("the first hears of it", || first.now() == Succession { newer: true, ..ALONE });
+        wait("the second's turn", || second.now() == Succession { has_predecessor: true, ..ALONE });
+        wait("the first hears of it", || first.now() == Succession { has_successor: true, ..ALONE });
         let third = Neighbours::join(&folder, address).unwrap();
-        assert_eq!(third.now(), Succession { older: true, waits: true, ..ALONE });
-        assert_eq!(second.now(), Succession { older: true, ..ALONE });
-        assert_eq!([&first, &second, &third].map(|n| n.now().share()).iter().sum::<f64>(), 1.0);
+        assert_eq!(third.now(), Succession { has_predecessor: true, is_queued: true, ..ALONE });
+        assert_eq!(second.now(), Succession { has_predecessor: true, ..ALONE });
+        assert_eq!([&first, &second, &third].map(|n| n.now().limit_share()).iter().sum::<f64>(), 1.0);
         drop(held);
-        wait("the third's turn", || third.now() == Succession { older: true, ..ALONE });
+        wait("the third's turn", || third.now() == Succession { has_predecessor: true, ..ALONE });
         wait("the second serves, and hears of the third", || {
-            second.now() == Succession { newer: true, ..ALONE }
+            second.now() == Succession { has_successor: true, ..ALONE }
         });
         let _ = std::fs::remove_dir_all(folder);
     }
--- a/crates/operate/src/fleet_page.rs
+++ b/crates/operate/src/fleet_page.rs
@@ -75,7 +75,7 @@
     }
 
     /// In JSON.
-    pub fn json(&self) -> String {
+    pub fn to_json(&self) -> String {
         // Nothing in it can fail to be written.
         serde_json::to_string(self).unwrap_or_default()
     }
@@ -84,14 +84,14 @@
     ///
     /// # Errors
     /// Where it is no such page.
-    pub fn read(json: &[u8]) -> Result<Self, serde_json::Error> {
+    pub fn from_json(json: &[u8]) -> Result<Self, serde_json::Error> {
         serde_json::from_slice(json)
     }
 }
 
 impl FleetMetrics {
     /// Brings the figures up to date.
-    pub fn set(&self, snapshot: &Snapshot, stats: &Stats) {
+    pub fn update(&self, snapshot: &Snapshot, stats: &Stats) {
         for state in State::ALL {
             let count = snapshot.members.iter().filter(|member| member.state == state).count();
             self.members.with_label_values(&[state.name()]).set(count as i64);
--- a/crates/operate/src/handover.rs
+++ b/crates/operate/src/handover.rs
@@ -102,14 +102,14 @@
 
     /// The same on another clock, on which the oldest of it was written down then. The two processes may have read a wall clock that was
     /// set in between, each at its start.
-    pub fn dated(mut self, written_at: u64) -> Self {
-        let ahead = self.written_at().map_or(0, |at| written_at.wrapping_sub(at) as i64);
+    pub fn rebased_to(mut self, written_at: u64) -> Self {
+        let ahead = self.oldest_written_at().map_or(0, |at| written_at.wrapping_sub(at) as i64);
         self.pools.iter_mut().for_each(|pool| pool.knowledge.shift(ahead));
         self
     }
 
     /// When the oldest of it was written down, in nanoseconds since the Unix epoch; none where nothing was.
-    pub fn written_at(&self) -> Option<u64> {
+    pub fn oldest_written_at(&self) -> Option<u64> {
         self.pools.iter().map(|pool| pool.knowledge.at).min()
     }
 }
--- a/crates/operate/src/lib.rs
+++ b/crates/operate/src/lib.rs
@@ -15,6 +15,6 @@
 pub use prometheus::{Error as MetricsError, IntCounter};
 
 pub use handover::{FleetHandover, Handover, HandoverError, PoolHandover, MAX_HANDOVER_BYTES};
-pub use lifecycle::{Lifecycle, SharedLifecycle, Stage};
+pub use lifecycle::{Lifecycle, LifecycleStage, SharedLifecycle};
 pub use request_tracker::{ClassMetrics, RequestTracker, UnservedReason};
 pub use succession::Succession;
--- a/crates/operate/tests/golden.rs
+++ b/crates/operate/tests/golden.rs
@@ -109,10 +109,10 @@
 #[test]
 fn fleet_page_keeps_its_json() {
     let page = FleetPage::new(&snapshot(), Some(address("127.0.0.1:7999")), 2_000_000);
-    assert_golden("fleet-page.json", page.json().as_bytes());
-    assert_eq!(FleetPage::read(page.json().as_bytes()).unwrap(), page);
+    assert_golden("fleet-page.json", page.to_json().as_bytes());
+    assert_eq!(FleetPage::from_json(page.to_json().as_bytes()).unwrap(), page);
     let alone = FleetPage::new(&Snapshot { members: Vec::new(), settled: false, ..snapshot() }, None, 0);
-    assert_golden("fleet-page-alone.json", alone.json().as_bytes());
+    assert_golden("fleet-page-alone.json", alone.to_json().as_bytes());
 }
 
 const ENDINGS: [Ending; 9] = [
@@ -164,7 +164,7 @@
     Refusal::ALL.into_iter().for_each(|reason| pool.count_refusal(reason));
     pool.count_denial(DenialPoint::Decision, "may-have-run");
     pool.count_denial(DenialPoint::FirstByte, "out-of-time");
-    figures.for_fleet().unwrap().set(&snapshot(), &Stats::default());
+    figures.for_fleet().unwrap().update(&snapshot(), &Stats::default());
     let (page, content_type) = figures.render().unwrap();
     assert_eq!(content_type, "text/plain; version=0.0.4");
     let page = String::from_utf8(page).unwrap();
--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -248,7 +248,7 @@
         }
         let view = show(&self.node, self.now());
         if let Some(figures) = &self.figures {
-            figures.set(&view.snapshot, &view.stats);
+            figures.update(&view.snapshot, &view.stats);
         }
         self.shown_at = Instant::now();
         self.shown.send_replace(view);
--- a/crates/proxy/src/http1/platform.rs
+++ b/crates/proxy/src/http1/platform.rs
@@ -35,7 +35,7 @@
 ) -> Response<AnswerBody> {
     let (head, body) = request.into_parts();
     if head.uri.path() == "/up" && head.method == Method::GET {
-        let up = service.control.lock().up();
+        let up = service.control.lock().is_ready();
         return text(if up { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }, "");
     }
     if head.headers.contains_key(header::TRANSFER_ENCODING) && client.socket.said("\ncontent-length:") {
--- a/crates/proxy/src/operator.rs
+++ b/crates/proxy/src/operator.rs
@@ -95,7 +95,7 @@
             return response;
         }
         match path {
-            "/-/ready" if self.control.lock().up() => text(StatusCode::OK, "ready\n"),
+            "/-/ready" if self.control.lock().is_ready() => text(StatusCode::OK, "ready\n"),
             "/-/ready" => text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
             "/-/metrics" => match self.figures.render() {
                 Ok((page, kind)) => {
@@ -136,7 +136,7 @@
         Standing::Refused { by } => Some(by),
         _ => None,
     };
-    FleetPage::new(&view.snapshot, refused_by, view.at.elapsed().as_nanos() as u64).json()
+    FleetPage::new(&view.snapshot, refused_by, view.at.elapsed().as_nanos() as u64).to_json()
 }
 
 fn json(page: String) -> Response<Full<Bytes>> {
