--- a/crates/corkhollow/src/commands/reload.rs
+++ b/crates/corkhollow/src/commands/reload.rs
@@ -13,7 +13,7 @@
 use corkhollow_plan::platform::{Config, Shape};
 use corkhollow_proxy::background::{self, Running};
 use corkhollow_proxy::fleet::Place;
-use corkhollow_proxy::http1::Clients;
+use corkhollow_proxy::http1::ClientConnections;
 use corkhollow_proxy::site::{Current, Site};
 use corkhollow_proxy::upstream::Shared;
 use std::future::pending;
@@ -87,7 +87,7 @@
 pub struct Target<'t> {
     pub current: &'t Current,
     pub listeners: &'t mut Listeners,
-    pub clients: &'t Rc<Clients>,
+    pub clients: &'t Rc<ClientConnections>,
     pub shared: &'t Shared,
     pub seed: u64,
     pub place: &'t Place,
--- a/crates/corkhollow/src/commands/run.rs
+++ b/crates/corkhollow/src/commands/run.rs
@@ -13,7 +13,7 @@
 use corkhollow_plan::platform::{Config, ConfigError};
 use corkhollow_proxy::background;
 use corkhollow_proxy::fleet::Place;
-use corkhollow_proxy::http1::{Clients, Service};
+use corkhollow_proxy::http1::{ClientConnections, Service};
 use corkhollow_proxy::operator::Operator;
 use corkhollow_proxy::site::{Current, PoolError, Site};
 use corkhollow_proxy::upstream::{Engines, Shared};
@@ -208,7 +208,7 @@
         &mut self,
         plan: &Plan,
         bound: Vec<(String, SocketAddr, TcpListener)>,
-        clients: &Rc<Clients>,
+        clients: &Rc<ClientConnections>,
     ) -> std::io::Result<()> {
         let gone: Vec<_> = self
             .open
@@ -220,7 +220,7 @@
             if let Some(open) = self.open.remove(&name) {
                 open.stop.notify_one();
             }
-            clients.leave(&name);
+            clients.close_listener(&name);
             log(format_args!("listener {name} is closed"));
         }
         for (name, told, listener) in bound {
@@ -289,11 +289,11 @@
         site: current.clone(),
         clock,
         budget: budget.clone(),
-        control: control.clone(),
-        ids: Cell::new(seed),
-        figures: figures.clone(),
+        lifecycle: control.clone(),
+        request_id_counter: Cell::new(seed),
+        metrics: figures.clone(),
     });
-    let clients = Clients::new(service.clone());
+    let clients = ClientConnections::new(service.clone());
     let changed = Arc::new(Notify::new());
     if let Some(calls) = calls {
         log(format_args!("operators call at {}", calls.local_addr()?));
@@ -500,13 +500,13 @@
 }
 
 /// Closes connections that have no request, as far as the node's life wants that; the number of those that are left.
-fn close_idle(clients: &Clients, control: &SharedLifecycle, clock: Clock) -> usize {
+fn close_idle(clients: &ClientConnections, control: &SharedLifecycle, clock: Clock) -> usize {
     let before = control.lock().idle_close_cutoff(clock.now());
     clients.close_idle(before.unwrap_or(0))
 }
 
 /// Empties the node as long as its operator wants that, for good.
-async fn empty(clients: Rc<Clients>, control: SharedLifecycle, clock: Clock, changed: Arc<Notify>) {
+async fn empty(clients: Rc<ClientConnections>, control: SharedLifecycle, clock: Clock, changed: Arc<Notify>) {
     loop {
         while control.lock().allows_keep_alive() {
             changed.notified().await;
@@ -517,15 +517,15 @@
 }
 
 /// Closes what stands still, for good.
-async fn sweep(current: Rc<Current>, clients: Rc<Clients>) {
+async fn sweep(current: Rc<Current>, clients: Rc<ClientConnections>) {
     let mut forgotten = tokio::time::Instant::now();
     loop {
         for _ in 0..5 {
             tokio::time::sleep(Duration::from_millis(200)).await;
-            clients.cut_heads();
+            clients.close_slow_heads();
             current.get().pools.iter().for_each(|p| p.upstreams.cut_lingering());
         }
-        clients.sweep();
+        clients.close_idle_and_stalled();
         current.get().pools.iter().for_each(|p| p.upstreams.sweep());
         if forgotten.elapsed() > FORGET {
             forgotten = tokio::time::Instant::now();
--- a/crates/proxy/src/http1/clients.rs
+++ b/crates/proxy/src/http1/client_connections.rs
@@ -29,7 +29,7 @@
 const REPORT_EVERY: Nanos = 5_000_000_000;
 
 /// All clients' connections; bounded by the budget.
-pub struct Clients {
+pub struct ClientConnections {
     service: Rc<Service>,
     open: RefCell<HashMap<u64, Rc<Client>>>,
     next: Cell<u64>,
@@ -37,10 +37,10 @@
     reported_at: Cell<Nanos>,
 }
 
-impl Clients {
+impl ClientConnections {
     /// No connection yet.
     pub fn new(service: Rc<Service>) -> Rc<Self> {
-        Rc::new(Clients {
+        Rc::new(ClientConnections {
             service,
             open: RefCell::default(),
             next: Cell::new(0),
@@ -151,12 +151,12 @@
     }
 
     /// Cuts off those that have been at their head for too long, or have never begun one.
-    pub fn cut_heads(&self) {
+    pub fn close_slow_heads(&self) {
         self.close_all(CloseReason::SlowHead);
     }
 
     /// Once a second: closes what stands still. No client may hold a descriptor for good.
-    pub fn sweep(&self) {
+    pub fn close_idle_and_stalled(&self) {
         let now = self.service.clock.now();
         for client in self.open.borrow().values() {
             if client.socket.moved.replace(false) || client.stage.get() == Stage::Waiting {
@@ -168,7 +168,7 @@
     }
 
     /// Closes connections that came to a listener that is no more, each when it is between requests.
-    pub fn leave(&self, name: &str) {
+    pub fn close_listener(&self, name: &str) {
         let open = self.open.borrow();
         let of_listener = open.values().filter(|client| &*client.listener == name);
         of_listener.for_each(|client| client.close_for(CloseReason::ListenerRemoved));
--- a/crates/proxy/src/http1/mod.rs
+++ b/crates/proxy/src/http1/mod.rs
@@ -1,8 +1,8 @@
-//! HTTP/1.1 towards the clients.
+//! HTTP/1.1 towards clients.
 
 mod answers;
 mod client;
-mod clients;
+mod client_connections;
 mod closing;
 mod general;
 mod platform;
@@ -10,5 +10,5 @@
 mod service;
 mod upload;
 
-pub use clients::Clients;
+pub use client_connections::ClientConnections;
 pub use service::Service;
--- a/crates/proxy/src/http1/platform.rs
+++ b/crates/proxy/src/http1/platform.rs
@@ -35,7 +35,7 @@
 ) -> Response<AnswerBody> {
     let (head, body) = request.into_parts();
     if head.uri.path() == "/up" && head.method == Method::GET {
-        let up = service.control.lock().is_ready();
+        let up = service.lifecycle.lock().is_ready();
         return text(if up { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }, "");
     }
     if head.headers.contains_key(header::TRANSFER_ENCODING) && client.socket.said("\ncontent-length:") {
@@ -139,7 +139,7 @@
     };
     let answer = ticket.answer().await;
     if whole_body && service.clock.now() > give_up_at + LATE_ANSWER {
-        service.figures.count_late_answer();
+        service.metrics.count_late_answer();
     }
     // Nobody reads the body any longer, or somebody has read all of it.
     drop(ticket);
--- a/crates/proxy/src/http1/respond.rs
+++ b/crates/proxy/src/http1/respond.rs
@@ -90,7 +90,7 @@
         let by_server = matches!(response.body(), AnswerBody::Whole(_) | AnswerBody::Stream { .. });
         tally.answer(service.clock.now(), response.status().as_u16(), by_server);
     }
-    let last = !service.control.lock().allows_keep_alive() || client.surplus || client.last.get();
+    let last = !service.lifecycle.lock().allows_keep_alive() || client.surplus || client.last.get();
     if last || hides || listener.is_none() {
         response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
--- a/crates/proxy/src/http1/service.rs
+++ b/crates/proxy/src/http1/service.rs
@@ -19,19 +19,19 @@
     /// What it may hold.
     pub budget: Rc<Budget>,
     /// Whether it is up, keeps connections and takes new ones.
-    pub control: SharedLifecycle,
+    pub lifecycle: SharedLifecycle,
     /// Numbers requests that bring no id.
-    pub ids: Cell<u64>,
+    pub request_id_counter: Cell<u64>,
     /// What it has done.
-    pub figures: Metrics,
+    pub metrics: Metrics,
 }
 
 impl Service {
     /// Counts the end of a connection, and whether it dropped a request.
     pub(super) fn closed(&self, client: &Client, reason: &'static str, dropped: bool) {
-        self.figures.count_client_close(reason, dropped);
+        self.metrics.count_client_close(reason, dropped);
         let subject = Subject::Connection(client.number);
-        self.figures.events.record(self.clock.now(), subject, Event::Closed(reason));
+        self.metrics.events.record(self.clock.now(), subject, Event::Closed(reason));
     }
 
     pub(super) fn close_limits(&self) -> CloseLimits {
@@ -45,7 +45,7 @@
 
     /// A number that no other request has, spread over all bits.
     pub(super) fn next_id(&self) -> u64 {
-        self.ids.set(self.ids.get() + 1);
-        corkhollow_plan::mix(&self.ids.get().to_le_bytes())
+        self.request_id_counter.set(self.request_id_counter.get() + 1);
+        corkhollow_plan::mix(&self.request_id_counter.get().to_le_bytes())
     }
 }
--- a/crates/proxy/tests/closing.rs
+++ b/crates/proxy/tests/closing.rs
@@ -4,7 +4,7 @@
 use corkhollow_operate::{Metrics, SharedLifecycle};
 use corkhollow_plan::file::read;
 use corkhollow_plan::limits::Budget;
-use corkhollow_proxy::http1::{Clients, Service};
+use corkhollow_proxy::http1::{ClientConnections, Service};
 use corkhollow_proxy::site::{Current, Site};
 use corkhollow_proxy::upstream::{Engines, Shared};
 use std::cell::Cell;
@@ -25,7 +25,7 @@
 
 /// The clients' side of a process, and a client of it. Nothing but the test decides when the clients' side runs.
 struct TestClients {
-    clients: Rc<Clients>,
+    clients: Rc<ClientConnections>,
     client: TcpStream,
 }
 
@@ -43,11 +43,11 @@
             site: Current::new(site),
             clock: shared.clock,
             budget: shared.budget,
-            control: SharedLifecycle::default(),
-            ids: Cell::new(1),
-            figures: shared.figures,
+            lifecycle: SharedLifecycle::default(),
+            request_id_counter: Cell::new(1),
+            metrics: shared.figures,
         });
-        let clients = Clients::new(service);
+        let clients = ClientConnections::new(service);
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         spawn_local(clients.clone().accept("web".into(), listener, Rc::new(Notify::new())));
@@ -103,7 +103,7 @@
         // Nothing runs meanwhile.
         std::thread::sleep(2 * HEAD_WITHIN);
         test.send(&REQUEST[20..]);
-        test.clients.cut_heads();
+        test.clients.close_slow_heads();
         let (answer, _) = test.receive().await;
         assert!(answer.starts_with("HTTP/1.1 404 "), "{answer:?}");
     });
@@ -117,7 +117,7 @@
         test.send(&REQUEST[..20]);
         test.run().await;
         tokio::time::sleep(2 * HEAD_WITHIN).await;
-        test.clients.cut_heads();
+        test.clients.close_slow_heads();
         assert_eq!(test.receive().await, (String::new(), true));
     });
 }
@@ -133,7 +133,7 @@
         assert!(answer.starts_with("HTTP/1.1 404 ") && !ended, "{answer:?}, ended: {ended}");
         test.send(&REQUEST[..20]);
         test.run().await;
-        test.clients.leave("web");
+        test.clients.close_listener("web");
         test.run().await;
         test.send(&REQUEST[20..]);
         let (answer, ended) = test.receive().await;
@@ -150,7 +150,7 @@
         let (answer, ended) = test.receive().await;
         assert!(answer.starts_with("HTTP/1.1 404 ") && !ended, "{answer:?}, ended: {ended}");
         tokio::time::sleep(2 * HEAD_WITHIN).await;
-        test.clients.cut_heads();
+        test.clients.close_slow_heads();
         assert_eq!(test.receive().await, (String::new(), true));
     });
 }
@@ -166,7 +166,7 @@
         let (answers, ended) = test.receive().await;
         assert!(answers.matches("HTTP/1.1 404 ").count() == 2 && !ended, "{answers:?}, ended: {ended}");
         tokio::time::sleep(2 * HEAD_WITHIN).await;
-        test.clients.cut_heads();
+        test.clients.close_slow_heads();
         assert_eq!(test.receive().await, (String::new(), false));
     });
 }
