--- a/crates/balance/src/balancer/mod.rs
+++ b/crates/balance/src/balancer/mod.rs
@@ -41,9 +41,9 @@
     report_at: Nanos,
     sent_since: f64,
     pub(crate) score: f64,
-    pub(crate) blocked_until: Nanos,
-    pub(crate) strikes: u32,
-    pub(crate) failures: Faded,
+    pub(crate) ejected_until: Nanos,
+    pub(crate) consecutive_failures: u32,
+    pub(crate) failure_rate: Faded,
     paced_from: f64,
     jitter: f64,
     reach: f64,
@@ -170,11 +170,11 @@
         match event {
             Event::List { kind, servers } => self.follow_list(now, kind, &servers, sink),
             Event::Request(request) => self.admit(now, request, sink),
-            Event::Outcome { request, server, attempt, finished, took, ending, spent, report } => {
+            Event::Outcome { request, server, attempt, finished, took, ending, body_consumed, report } => {
                 self.learn(now, server, report);
-                self.outcome(now, (request, attempt), finished, took, (ending, spent), sink)
+                self.outcome(now, (request, attempt), finished, took, (ending, body_consumed), sink)
             }
-            Event::Written { request, attempt } => self.written(now, request, attempt),
+            Event::BodyWritten { request, attempt } => self.written(now, request, attempt),
             Event::StreamStarted { request, .. } => {
                 self.pending.entry(request).and_modify(|p| p.streaming = true);
             }
@@ -201,14 +201,14 @@
     }
 
     /// How many servers it remembers, with those that have left.
-    pub fn remembered(&self) -> usize {
+    pub fn tracked_servers(&self) -> usize {
         self.nodes.len()
     }
 
     /// How many servers the list holds, and how many of these get nothing for now because of their failures.
-    pub fn census(&self, now: Nanos) -> (usize, usize) {
-        let listed = self.nodes.iter().filter(|n| n.server.phase != Phase::Gone);
-        listed.fold((0, 0), |(all, out), n| (all + 1, out + usize::from(n.blocked_until > now)))
+    pub fn server_counts(&self, now: Nanos) -> (usize, usize) {
+        let listed = self.nodes.iter().filter(|n| n.server.phase != Phase::Removed);
+        listed.fold((0, 0), |(all, out), n| (all + 1, out + usize::from(n.ejected_until > now)))
     }
 
     fn draw(&mut self, below: usize) -> usize {
--- a/crates/proxy/src/upstream/discovery.rs
+++ b/crates/proxy/src/upstream/discovery.rs
@@ -192,7 +192,7 @@
                     next = Some(call);
                     continue;
                 }
-                self.engine.list(ListKind::Failed, Vec::new());
+                self.engine.on_server_list(ListKind::Failed, Vec::new());
             }
             next = calls.recv().await;
         }
@@ -284,14 +284,14 @@
                 phase: match h.health {
                     Health::Active => Phase::Ready,
                     Health::Leaving => Phase::Draining,
-                    Health::Left => Phase::Gone,
+                    Health::Left => Phase::Removed,
                 },
                 size: h.share.filter(|s| s.is_finite()).unwrap_or(0.0),
                 started_at: h.born_ms.unwrap_or(0).saturating_mul(1_000_000),
             },
         };
         let servers = self.upstreams.follow(kind, hosts.into_iter().map(entry).collect());
-        self.engine.list(kind, servers);
+        self.engine.on_server_list(kind, servers);
     }
 
     /// Opens a watch and waits for the first that it says.
--- a/crates/proxy/tests/closing.rs
+++ b/crates/proxy/tests/closing.rs
@@ -2,10 +2,10 @@
 
 use corkhollow_engine::Clock;
 use corkhollow_operate::{Metrics, SharedLifecycle};
-use corkhollow_plan::file::read;
+use corkhollow_plan::config::parse_config;
 use corkhollow_plan::limits::Budget;
+use corkhollow_proxy::active_plan::{ActivePlan, CurrentPlan};
 use corkhollow_proxy::http1::{ClientConnections, Service};
-use corkhollow_proxy::site::{Current, Site};
 use corkhollow_proxy::upstream::{Engines, Shared};
 use std::cell::Cell;
 use std::io::{ErrorKind, Read, Write};
@@ -31,16 +31,16 @@
 
 impl TestClients {
     async fn new() -> Self {
-        let plan = read(FILE, Path::new("")).unwrap_or_else(|faults| panic!("{}", faults[0])).plan;
+        let plan = parse_config(FILE, Path::new("")).unwrap_or_else(|faults| panic!("{}", faults[0])).plan;
         let shared = Shared {
             clock: Clock::start(),
             budget: Budget::new(1_000, 64 << 20),
             figures: Metrics::new().unwrap(),
             engines: Engines::default(),
         };
-        let site = Site::start(plan, &shared, 7, None).unwrap();
+        let site = ActivePlan::start(plan, &shared, 7, None).unwrap();
         let service = Rc::new(Service {
-            site: Current::new(site),
+            site: CurrentPlan::new(site),
             clock: shared.clock,
             budget: shared.budget,
             lifecycle: SharedLifecycle::default(),
