--- a/crates/proxy/src/active_plan.rs
+++ b/crates/proxy/src/active_plan.rs
@@ -84,7 +84,7 @@
     }
 
     fn of(plan: Plan, shared: &PoolContext, pools: Vec<(Rc<Pool>, Rc<[u16]>)>) -> Rc<Self> {
-        let class_figures = plan.classes.iter().map(|class| shared.figures.class(&class.name)).collect();
+        let class_figures = plan.classes.iter().map(|class| shared.figures.for_class(&class.name)).collect();
         let (pools, class_indexes) = pools.into_iter().unzip();
         Rc::new(ActivePlan { plan: PlanHandle(Some(Arc::new(plan))), pools, class_indexes, class_figures })
     }
