--- a/crates/proxy/src/active_plan.rs
+++ b/crates/proxy/src/active_plan.rs
@@ -84,7 +84,7 @@
     }
 
     fn of(plan: Plan, shared: &PoolContext, pools: Vec<(Rc<Pool>, Rc<[u16]>)>) -> Rc<Self> {
-        let class_metrics = plan.classes.iter().map(|class| shared.metrics.class(&class.name)).collect();
+        let class_metrics = plan.classes.iter().map(|class| shared.metrics.for_class(&class.name)).collect();
         let (pools, class_indexes) = pools.into_iter().unzip();
         Rc::new(ActivePlan { plan: PlanHandle(Some(Arc::new(plan))), pools, class_indexes, class_metrics })
     }
--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -248,7 +248,7 @@
         }
         let view = show(&self.node, self.now());
         if let Some(metrics) = &self.metrics {
-            metrics.set(&view.snapshot, &view.stats);
+            metrics.update(&view.snapshot, &view.stats);
         }
         self.shown_at = Instant::now();
         self.shown.send_replace(view);
--- a/crates/proxy/src/operator.rs
+++ b/crates/proxy/src/operator.rs
@@ -95,9 +95,9 @@
             return response;
         }
         match path {
-            "/-/ready" if self.control.lock().up() => text(StatusCode::OK, "ready\n"),
+            "/-/ready" if self.control.lock().is_ready() => text(StatusCode::OK, "ready\n"),
             "/-/ready" => text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
-            "/-/metrics" => match self.metrics.page() {
+            "/-/metrics" => match self.metrics.render() {
                 Ok((page, kind)) => {
                     let mut response = Response::new(Full::new(Bytes::from(page)));
                     response.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static(kind));
@@ -105,7 +105,7 @@
                 }
                 Err(_) => text(StatusCode::INTERNAL_SERVER_ERROR, "the metrics cannot be written\n"),
             },
-            "/-/events" => plain(Bytes::from(self.metrics.recorder.page())),
+            "/-/events" => plain(Bytes::from(self.metrics.events.render())),
             "/-/fleet" => match self.fleet.get() {
                 Some(fleet) => json(page(fleet)),
                 None => text(StatusCode::NOT_FOUND, "no member of a fleet\n"),
@@ -136,7 +136,7 @@
         Standing::Refused { by } => Some(by),
         _ => None,
     };
-    FleetPage::new(&view.snapshot, refused_by, view.at.elapsed().as_nanos() as u64).json()
+    FleetPage::new(&view.snapshot, refused_by, view.at.elapsed().as_nanos() as u64).to_json()
 }
 
 fn json(page: String) -> Response<Full<Bytes>> {
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -130,7 +130,7 @@
         let (list_calls, calls) = mpsc::unbounded_channel();
         let upstreams = Upstreams::new(&told, &plan.limits, shared, list_calls);
         let (sender, metrics) =
-            (Rc::new(UpstreamTransport(upstreams.clone())), shared.metrics.pool(&told.name));
+            (Rc::new(UpstreamTransport(upstreams.clone())), shared.metrics.for_pool(&told.name));
         let engine = Engine::new(terms.settings(&told), seed, shared.clock, sender, metrics)?;
         shared.engines.add(&engine);
         let retired = Rc::new(Cell::new(false));
