--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -20,14 +20,14 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// A connection that is reset within this time counts as reset_at_once while it was idle; a later reset means that the server failed while
-/// it processed the request.
+/// A reset within this time means that the connection was already lost while it was idle; a later one means
+/// that the server failed while it processed the request.
 const IMMEDIATE_RESET: Nanos = 20_000_000;
 /// How long to wait for `100 Continue` before the body is sent without it (RFC 9110, 10.1.1).
 const CONTINUE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Runs one attempt to its end and reports the outcome to the engine. The attempt may outlast the engine's interest in it by a
-/// limited time, so that its connection can be reused.
+/// Runs one attempt to its end and reports the outcome to the engine. The attempt may outlast the engine's
+/// interest in it by a limited time, so that its connection can be reused.
 pub(super) async fn run_attempt(
     upstreams: Rc<Upstreams>,
     engine: Rc<Engine>,
@@ -44,8 +44,8 @@
     }
 }
 
-/// Reports an attempt whose task panics as cancelled: its request still gets an answer, and the panic does not count against the
-/// server.
+/// Reports an attempt whose task panics as cancelled: its request still gets an answer, and the panic does
+/// not count against the server.
 struct CancelOnPanic<'e> {
     engine: &'e Rc<Engine>,
     id: AttemptId,
@@ -107,8 +107,8 @@
             return Err(Ending::NotSent);
         };
         *attempt_socket.borrow_mut() = Some(connection.socket.clone());
-        // A server of the platform starts to process a request when it has the last byte; any other server may start when it has
-        // the head.
+        // A server of the platform starts to process a request when it has the last byte; any other server
+        // may start when it has the head.
         let body_bytes = match (&message.payload, upstreams.dialect) {
             (Payload::Buffered(body), Dialect::Platform) => body.len(),
             (Payload::Stream(_), Dialect::Platform) => declared_length(message),
@@ -165,8 +165,8 @@
                 {
                     upload.put_back(body);
                 }
-                // The server closed the reused connection before the request was written, so the request was not processed.
-                // Retry on a new connection.
+                // The server closed the reused connection before the request was written, so the request was
+                // not processed. Retry on a new connection.
                 if idle_for.is_some() && !message.is_body_consumed() {
                     continue;
                 }
@@ -186,10 +186,10 @@
     response: Response<Incoming>,
 ) -> bool {
     match upstreams.dialect {
-        Dialect::Platform => platform::answer(upstreams, engine, id, connection, response).await,
+        Dialect::Platform => platform::forward_answer(upstreams, engine, id, connection, response).await,
         Dialect::Http => {
             let bodiless = message.method == Method::HEAD;
-            http::answer(upstreams, engine, id, connection, response, bodiless).await
+            http::forward_answer(upstreams, engine, id, connection, response, bodiless).await
         }
     }
 }
@@ -229,7 +229,7 @@
             match (interim.status(), &continue_received, &interim_answers) {
                 (StatusCode::CONTINUE, Some(continue_received), _) => continue_received.notify_one(),
                 (StatusCode::CONTINUE, None, _) | (_, _, None) => {}
-                (status, _, Some(interim_answers)) => interim_answers.note(status, interim.headers()),
+                (status, _, Some(interim_answers)) => interim_answers.push(status, interim.headers()),
             }
         });
     }
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a server.
+//! Connections to servers.
 
 use super::upstreams::{ConnectionPermit, Upstreams};
 use crate::body::RequestBody;
@@ -16,41 +16,39 @@
 use std::task::{Context, Poll};
 use tokio::net::TcpStream;
 
-/// InterimBuffer answers of one request that are passed on; a server that sends more says nothing by them.
-const MOST_INTERIMS: usize = 16;
+/// Interim answers forwarded for one request; further ones are dropped.
+const MAX_INTERIM_ANSWERS: usize = 16;
 
-/// A connection with hyper's two halves. There is no task behind it: whoever uses it drives it.
+/// A connection with the two halves of hyper's client. No task drives it: its user polls the driver.
 pub(super) struct ServerConnection {
     pub(super) socket: Rc<Socket>,
     pub(super) sender: SendRequest<RequestBody>,
-    /// In a permit of its own: it is large, and a connection is handed on twice for each attempt.
+    /// Boxed because it is large and a connection is moved twice for each attempt. `None` once it has ended.
     pub(super) driver: Option<Box<Connection<TokioIo<SocketIo>, RequestBody>>>,
     pub(super) interim_answers: InterimAnswers,
-    /// More has come than the answer that was asked for.
+    /// The server sent bytes beyond the answer to the request.
     pub(super) has_surplus_bytes: bool,
     pub(super) _slot: Slot,
     pub(super) _permit: ConnectionPermit,
 }
 
-/// A connection that waits for its next request.
+/// A connection that is kept for reuse.
 pub(super) struct IdleConnection {
     pub(super) connection: ServerConnection,
-    /// When it came up.
     pub(super) opened_at: Nanos,
-    /// Since when it waits.
     pub(super) idle_since: Nanos,
 }
 
-/// InterimBuffer answers (1xx) that have come on a connection and have not been passed on. (Hyper may tell of them on any
-/// thread.)
+/// Interim answers (1xx) received on a connection and not forwarded yet. Behind a mutex because hyper's
+/// callback must be `Send`.
 #[derive(Clone, Default)]
 pub(super) struct InterimAnswers(Arc<Mutex<InterimBuffer>>);
 
 #[derive(Default)]
 struct InterimBuffer {
-    /// How many this request has brought.
+    /// Received for this request.
     count: usize,
-    left: Vec<(StatusCode, HeaderMap)>,
+    pending: Vec<(StatusCode, HeaderMap)>,
 }
 
 impl InterimAnswers {
@@ -58,40 +56,42 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub(super) fn note(&self, status: StatusCode, headers: &HeaderMap) {
-        let mut interim_answers = self.lock();
-        interim_answers.count += 1;
-        if interim_answers.count <= MOST_INTERIMS {
-            interim_answers.left.push((status, headers.clone()));
+    pub(super) fn push(&self, status: StatusCode, headers: &HeaderMap) {
+        let mut buffer = self.lock();
+        buffer.count += 1;
+        if buffer.count <= MAX_INTERIM_ANSWERS {
+            buffer.pending.push((status, headers.clone()));
         }
     }
 
     pub(super) fn take(&self) -> Option<Vec<(StatusCode, HeaderMap)>> {
-        let mut interim_answers = self.lock();
-        (!interim_answers.left.is_empty()).then(|| std::mem::take(&mut interim_answers.left))
+        let mut buffer = self.lock();
+        (!buffer.pending.is_empty()).then(|| std::mem::take(&mut buffer.pending))
     }
 }
 
 impl ServerConnection {
-    /// What comes of interim answers from here on.
+    /// Clears the buffer for a new request and returns a handle to it.
     pub(super) fn start_interim_answers(&self) -> InterimAnswers {
         *self.interim_answers.lock() = InterimBuffer::default();
         self.interim_answers.clone()
     }
 
+    /// Lets hyper make progress on the connection.
     pub(super) fn poll_driver(&mut self, cx: &mut Context<'_>) {
         if let Some(driver) = &mut self.driver {
-            if let Poll::Ready(ended) = Pin::new(&mut **driver).poll(cx) {
+            if let Poll::Ready(result) = Pin::new(&mut **driver).poll(cx) {
                 self.driver = None;
-                // What the socket fails with has a source.
-                let unasked =
-                    |e: &hyper::Error| std::error::Error::source(e).is_none() && !e.is_incomplete_message();
-                self.has_surplus_bytes = ended.as_ref().is_err_and(unasked);
+                // An I/O error has a source; an unexpected message from the server has none.
+                let is_unexpected_message = |error: &hyper::Error| {
+                    std::error::Error::source(error).is_none() && !error.is_incomplete_message()
+                };
+                self.has_surplus_bytes = result.as_ref().is_err_and(is_unexpected_message);
             }
         }
     }
 
-    /// Waits for something on the connection while that goes on.
+    /// Drives the connection until the future completes.
     pub(super) async fn drive<F: Future>(&mut self, future: F) -> F::Output {
         let mut future = pin!(future);
         poll_fn(|cx| {
@@ -101,7 +101,7 @@
         .await
     }
 
-    /// Whether the connection can carry another request, now that an answer is read to its end.
+    /// Whether the connection can carry another request, after an answer was read to its end.
     pub(super) async fn is_reusable(&mut self) -> bool {
         poll_fn(|cx| {
             self.poll_driver(cx);
@@ -112,15 +112,15 @@
     }
 }
 
-/// Why no connection was to be had.
+/// Why no connection was opened.
 pub(super) enum ConnectError {
-    /// The server's side: it counts against the server.
+    /// The server refused the connection or did not accept it in time; counts against the server.
     Failed,
-    /// The node itself has no descriptor left.
+    /// A limit of the pool or of this process is reached; does not count against the server.
     NoCapacity,
 }
 
-/// Opens a connection, as soon as the pool and the program have a permit for one.
+/// Opens a connection once the limits of the pool and of this process allow for one.
 pub(super) async fn connect(
     upstreams: &Rc<Upstreams>,
     address: SocketAddr,
@@ -136,13 +136,13 @@
         if !upstreams.abort_oldest_abandoned() {
             return Err(ConnectError::NoCapacity);
         }
-        // What was told to stop gives its descriptor back when the runtime gets to it.
+        // An aborted task releases its descriptor only when the runtime drops it.
         tokio::task::yield_now().await;
     };
     let stream =
         match tokio::time::timeout(upstreams.connect_timeout.get(), TcpStream::connect(address)).await {
             Ok(Ok(stream)) => stream,
-            Ok(Err(e)) if is_out_of_descriptors(&e) => return Err(ConnectError::NoCapacity),
+            Ok(Err(error)) if is_out_of_descriptors(&error) => return Err(ConnectError::NoCapacity),
             Ok(Err(_)) | Err(_) => return Err(ConnectError::Failed),
         };
     let socket = Socket::new(stream);
--- a/crates/proxy/src/upstream/discovery.rs
+++ b/crates/proxy/src/upstream/discovery.rs
@@ -1,5 +1,5 @@
-//! The list of servers: read once, then watched. Nonsense leaves the old list in place and the watch is opened
-//! anew.
+//! The list of servers: read once, then watched. Nonsense leaves the old list in place and the watch is
+//! opened anew.
 
 use super::servers::ListedServer;
 use super::upstreams::Upstreams;
@@ -26,27 +26,28 @@
 
 /// A watch says something at least every 2 s; one that is silent for longer hangs.
 const SILENCE: Duration = Duration::from_millis(2600);
-/// Discovery that is asked lets a call wait in turn. What a silent watch misses counts as told 6 s after it fell silent:
-/// this and the silence have to be over by then.
+/// Discovery that is asked lets a call wait in turn. What a silent watch misses counts as told 6 s after it
+/// fell silent: this and the silence have to be over by then.
 const CALL: Duration = Duration::from_secs(3);
 const CONNECT: Duration = Duration::from_millis(500);
-/// Lists that are pushed cost nothing to ask for, and what the agent gets after a silence counts as told at once: as long as
-/// no call is answered, there is another one this often, so that one of them is new whenever the silence ends ...
+/// Lists that are pushed cost nothing to ask for, and what the agent gets after a silence counts as told at
+/// once: as long as no call is answered, there is another one this often, so that one of them is new whenever
+/// the silence ends ...
 const ANOTHER: Duration = Duration::from_millis(100);
 /// ... of which this many wait: the oldest, in case an answer just takes its time, and the newest.
 const MOST_CALLS: usize = 4;
-/// Waits before a watch is opened again: from the first, doubled up to the last where what it brings is of no use, and
-/// spread.
+/// Waits before a watch is opened again: from the first, doubled up to the last where what it brings is of no
+/// use, and spread.
 const PAUSE_FIRST: f64 = 0.05;
 const PAUSE_LAST: f64 = 1.0;
-/// A watch on lists that are asked for has stood if it lasted for this long. When it breaks, those of all nodes may have:
-/// it is opened again after a part of this, for what it misses counts as told soon.
+/// A watch on lists that are asked for has stood if it lasted for this long. When it breaks, those of all
+/// nodes may have: it is opened again after a part of this, for what it misses counts as told soon.
 const STOOD: Duration = Duration::from_secs(1);
 const STOOD_PART: f64 = 0.2;
 /// A list of which nothing more has come for this long may have been cut short.
 const PAUSED: Duration = Duration::from_millis(100);
-/// An older whole list is taken only when discovery has stuck to it in this many watches: it may have lost its
-/// numbers, but more likely it was one stale copy, which would bring drained servers back.
+/// An older whole list is taken only when discovery has stuck to it in this many watches: it may have lost
+/// its numbers, but more likely it was one stale copy, which would bring drained servers back.
 const STUBBORN: u32 = 4;
 
 /// Waits until another address for discovery is in force.
@@ -161,7 +162,8 @@
             };
             tokio::select! {
                 () = lost => {}
-                // What the old address still had to say, the new one tells: it is asked from the same version on.
+                // What the old address still had to say, the new one tells: it is asked from the same version
+                // on.
                 () = moved(&mut moves) => pause = PAUSE_FIRST,
             }
         }
@@ -232,7 +234,8 @@
                 Ok(None) => return Ok(()),
                 Ok(Some(frame)) => {
                     let Ok(data) = frame?.into_data() else { continue };
-                    // White space in a list that does not go on is the heartbeat, behind one that was cut short.
+                    // White space in a list that does not go on is the heartbeat, behind one that was cut
+                    // short.
                     if !reader.amid() || !data.trim_ascii().is_empty() {
                         (moved_at, looked) = (Instant::now(), false);
                     }
--- a/crates/proxy/src/upstream/http.rs
+++ b/crates/proxy/src/upstream/http.rs
@@ -1,4 +1,4 @@
-//! Answers of any HTTP/1.1 server: every status passes, and bodies are passed on as they come.
+//! Forwards answers of any HTTP/1.1 server: with any status, and with bodies streamed as they arrive.
 
 use super::connection::ServerConnection;
 use super::upstreams::Upstreams;
@@ -14,14 +14,15 @@
 use std::task::Poll;
 use tokio::sync::mpsc;
 
-/// What is there of a body is gathered up to this before the rest is passed on as it comes.
-const GATHERED: u64 = 64 * 1024;
-/// Rounds in which the connection may bring more of a short body without being waited for.
-const ROUNDS: usize = 3;
+/// Body bytes that are already available are buffered up to this limit; the rest is streamed.
+const MAX_GATHERED_BYTES: u64 = 64 * 1024;
+/// How often the connection is polled again for a frame that is not available yet, before the rest of the
+/// body is streamed.
+const MAX_EXTRA_POLLS: usize = 3;
 
-/// What an answer's status says of its server. A failure that the server found in the request alone (500) is weak
-/// evidence, and others would find it too.
-fn ending(status: StatusCode, not_processed: bool) -> Ending {
+/// Classifies an answer by its status, as evidence on the server's health. A 500 is weak evidence: the request
+/// alone may be the cause, and another server would probably answer the same.
+fn classify(status: StatusCode, not_processed: bool) -> Ending {
     match status {
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_processed => Ending::Full,
         StatusCode::BAD_GATEWAY | StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT => {
@@ -32,8 +33,9 @@
     }
 }
 
-/// Passes an answer on and tells of it; true where the connection came to the answer's end and may be used again.
-pub(super) async fn answer(
+/// Forwards an answer and reports it to the engine; true if it was read to its end and the connection may be
+/// reused.
+pub(super) async fn forward_answer(
     upstreams: &Upstreams,
     engine: &Rc<Engine>,
     id: AttemptId,
@@ -43,9 +45,9 @@
 ) -> bool {
     let (head, mut body) = response.into_parts();
     let not_processed = head.headers.get(NOT_PROCESSED).is_some_and(|v| v == "1");
-    let ending = ending(head.status, not_processed);
-    // Two lengths: the next answer on this connection might begin inside this one (RFC 9112, 6.3).
-    let two_lengths = head.headers.contains_key(header::TRANSFER_ENCODING)
+    let ending = classify(head.status, not_processed);
+    // With both lengths, the peers may disagree on where this answer ends: response splitting (RFC 9112, 6.3).
+    let has_two_lengths = head.headers.contains_key(header::TRANSFER_ENCODING)
         && connection.socket.head_contains("\ncontent-length:");
     let (status, mut headers) = (head.status, head.headers);
     strip_hop_by_hop(&mut headers);
@@ -54,15 +56,15 @@
     }
     let length = body.size_hint().exact();
     let mut gathered = BufferedBody::new(upstreams.budget.lease());
-    let over = loop {
-        match at_hand(connection, &mut body).await {
+    let overflow = loop {
+        match next_available_frame(connection, &mut body).await {
             None => break None,
             Some(None) => {
-                tell(engine, id, ending, Answer::Buffered { status, headers, body: gathered });
-                return !two_lengths;
+                report(engine, id, ending, Answer::Buffered { status, headers, body: gathered });
+                return !has_two_lengths;
             }
             Some(Some(Ok(frame))) => {
-                let fits = |data: &bytes::Bytes| gathered.len() + data.len() as u64 <= GATHERED;
+                let fits = |data: &bytes::Bytes| gathered.len() + data.len() as u64 <= MAX_GATHERED_BYTES;
                 match frame.into_data() {
                     Ok(data) if fits(&data) && gathered.push(data.clone()) => {}
                     Ok(data) => break Some(Ok(hyper::body::Frame::data(data))),
@@ -72,36 +74,36 @@
             Some(Some(Err(_))) => break Some(Err(IncompleteBody)),
         }
     };
-    let (to_client, pieces) = mpsc::channel(1);
-    if !tell(engine, id, ending, Answer::Stream { status, headers, length, frames: pieces }) {
+    let (to_client, frames) = mpsc::channel(1);
+    if !report(engine, id, ending, Answer::Stream { status, headers, length, frames }) {
         return false;
     }
     let (gathered, _lease) = gathered.into_parts();
-    let first = gathered.into_iter().map(|data| Ok(hyper::body::Frame::data(data))).chain(over);
-    // Apart from the attempt, which is made for short answers too.
-    let whole = Box::pin(stream(upstreams, connection, &mut body, first, to_client)).await;
-    whole && !two_lengths
+    let first = gathered.into_iter().map(|data| Ok(hyper::body::Frame::data(data))).chain(overflow);
+    // Boxed to keep the future of the attempt small.
+    let is_complete = Box::pin(stream_answer(upstreams, connection, &mut body, first, to_client)).await;
+    is_complete && !has_two_lengths
 }
 
-/// Passes an answer on, its first pieces and then the rest; true where it came to its end.
-async fn stream(
+/// Streams an answer, first the buffered frames and then the rest; true if it was read to its end.
+async fn stream_answer(
     upstreams: &Upstreams,
     connection: &mut ServerConnection,
     body: &mut Incoming,
     first: impl Iterator<Item = BodyFrame>,
     to_client: mpsc::Sender<BodyFrame>,
 ) -> bool {
-    for piece in first {
-        let broken = piece.is_err();
-        if to_client.send(piece).await.is_err() || broken {
+    for frame in first {
+        let is_broken = frame.is_err();
+        if to_client.send(frame).await.is_err() || is_broken {
             return false;
         }
     }
-    pass_on(upstreams, connection, body, &to_client).await
+    stream_rest(upstreams, connection, body, &to_client).await
 }
 
-/// Tells the engine; false where nobody wants the answer.
-fn tell(engine: &Rc<Engine>, id: AttemptId, ending: Ending, answer: Answer) -> bool {
+/// Reports the answer to the engine; false if the answer is no longer wanted.
+fn report(engine: &Rc<Engine>, id: AttemptId, ending: Ending, answer: Answer) -> bool {
     match (ending, answer) {
         (Ending::Ok, Answer::Buffered { status, headers, body }) => {
             engine.on_buffered_answer(id, status, headers, body);
@@ -115,25 +117,26 @@
     }
 }
 
-/// The next piece if it is there already: `Some(None)` is the body's end, `None` that it has to be waited for.
-async fn at_hand(
+/// The next frame if it is available without waiting: `Some(None)` at the end of the body, `None` if it is not
+/// available yet.
+async fn next_available_frame(
     connection: &mut ServerConnection,
     body: &mut Incoming,
 ) -> Option<Option<Result<hyper::body::Frame<bytes::Bytes>, hyper::Error>>> {
-    let mut rounds = 0;
+    let mut extra_polls = 0;
     poll_fn(|cx| loop {
         connection.poll_driver(cx);
         match Pin::new(&mut *body).poll_frame(cx) {
-            Poll::Ready(piece) => return Poll::Ready(Some(piece)),
-            Poll::Pending if rounds < ROUNDS => rounds += 1,
+            Poll::Ready(frame) => return Poll::Ready(Some(frame)),
+            Poll::Pending if extra_polls < MAX_EXTRA_POLLS => extra_polls += 1,
             Poll::Pending => return Poll::Ready(None),
         }
     })
     .await
 }
 
-/// Passes the rest on as fast as the client takes it; true where it came to its end.
-async fn pass_on(
+/// Streams the rest as fast as the client reads it; true if it was read to its end.
+async fn stream_rest(
     upstreams: &Upstreams,
     connection: &mut ServerConnection,
     body: &mut Incoming,
@@ -141,7 +144,7 @@
 ) -> bool {
     loop {
         let next = poll_fn(|cx| Pin::new(&mut *body).poll_frame(cx));
-        let piece = match tokio::time::timeout(upstreams.stall_timeout, connection.drive(next)).await {
+        let frame = match tokio::time::timeout(upstreams.stall_timeout, connection.drive(next)).await {
             Ok(None) => return true,
             Ok(Some(Ok(frame))) => frame,
             Ok(Some(Err(_))) | Err(_) => {
@@ -149,7 +152,7 @@
                 return false;
             }
         };
-        if to_client.send(Ok(piece)).await.is_err() {
+        if to_client.send(Ok(frame)).await.is_err() {
             return false;
         }
     }
--- a/crates/proxy/src/upstream/idle_lifetime.rs
+++ b/crates/proxy/src/upstream/idle_lifetime.rs
@@ -4,18 +4,20 @@
 
 /// All counts are halved at this interval, so that old evidence fades.
 const DECAY_INTERVAL: Nanos = 10_000_000_000;
-/// Connections count as lost because of their idle time only if, from some idle time on, there are at least `MIN_LOSSES` losses,
-/// their share of uses exceeds `MIN_LOSS_SHARE`, and that share exceeds the share below that idle time by `MIN_LOSS_RATIO`.
+/// Connections count as lost because of their idle time only if, from some idle time on, there are at least
+/// `MIN_LOSSES` losses, their share of uses exceeds `MIN_LOSS_SHARE`, and that share exceeds the share below
+/// that idle time by `MIN_LOSS_RATIO`.
 const MIN_LOSSES: f64 = 1.5;
 const MIN_LOSS_SHARE: f64 = 0.1;
 const MIN_LOSS_RATIO: f64 = 2.0;
 
 /// Limits how long a connection may stay idle and be reused.
 ///
-/// A firewall or NAT between gateway and server may drop idle connections silently, before the server's idle timeout. The next
-/// request on such a connection is reset at once, and fails if it must not be sent twice. Resets have other causes too, which hit
-/// new connections alike, and a new connection costs the server work. The limit is therefore lowered only where connections with a
-/// longer idle time are lost more often than others.
+/// A firewall or NAT between gateway and server may drop idle connections silently, before the server's idle
+/// timeout. The next request on such a connection is reset at once, and fails if it must not be sent twice.
+/// Resets have other causes too, which hit new connections alike, and a new connection costs the server work.
+/// The limit is therefore lowered only where connections with a longer idle time are lost more often than
+/// others.
 pub(super) struct IdleLifetime {
     /// Uses and losses by idle time: bucket 0 holds new connections, bucket k idle times from 2^(k-1) ms.
     buckets: [(f64, f64); 16],
--- a/crates/proxy/src/upstream/platform.rs
+++ b/crates/proxy/src/upstream/platform.rs
@@ -1,5 +1,5 @@
-//! Answers in the platform's dialect: only 200 serves, and short answers are read to their end before anybody sees
-//! them.
+//! Forwards answers in the platform's dialect: only a 200 is forwarded, and a short answer is buffered whole
+//! before the engine sees it.
 
 use super::connection::ServerConnection;
 use super::upstreams::Upstreams;
@@ -16,17 +16,18 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Longer answers are passed on as they come.
-const WHOLE: u64 = 64 * 1024;
-/// An answer that is longer is spoilt: whatever keeps coming is not made for one request.
-const LONGEST: u64 = MOST_BODY;
-/// The head of a short answer has come: its body cannot be held up for this long, and is never coming.
-const SHORT_STALL: Duration = Duration::from_millis(250);
-/// A long answer that stands still for this long has broken: a vanished machine never says so.
-const STALL: Duration = Duration::from_millis(2500);
+/// Longer answers are streamed.
+const MAX_BUFFERED_BYTES: u64 = 64 * 1024;
+/// A longer answer counts as broken.
+const MAX_ANSWER_BYTES: u64 = MOST_BODY;
+/// A short answer whose body stalls for this long after the head counts as broken.
+const BUFFERED_STALL_TIMEOUT: Duration = Duration::from_millis(250);
+/// A streamed answer that stalls for this long counts as broken: a server that lost power or network never
+/// closes its connections.
+const STREAMED_STALL_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// Takes an answer and tells of it; true where the connection came to the answer's end.
-pub(super) async fn answer(
+/// Forwards an answer and reports it to the engine; true if it was read to its end.
+pub(super) async fn forward_answer(
     upstreams: &Upstreams,
     engine: &Rc<Engine>,
     id: AttemptId,
@@ -35,112 +36,119 @@
 ) -> bool {
     let (head, mut body) = response.into_parts();
     let not_processed = head.headers.get(NOT_PROCESSED).is_some_and(|v| v == "1");
-    let turned_away = matches!(head.status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT);
+    let is_overloaded_status =
+        matches!(head.status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT);
     if head.status != StatusCode::OK {
         let ending = match head.status {
-            _ if turned_away && not_processed => Ending::Full,
+            _ if is_overloaded_status && not_processed => Ending::Full,
             status if status.is_client_error() => Ending::Rejected,
             _ => Ending::Error,
         };
-        // An attempt is out as long as its answer is on its way, and another may not be allowed beside it.
-        let whole = Box::pin(drain(connection, body)).await;
+        // The attempt stays open until its answer is read, since a second one may not be allowed concurrently.
+        let is_complete = Box::pin(discard(connection, body)).await;
         engine.on_attempt_ended(id, ending);
-        return whole;
+        return is_complete;
     }
     let mut headers = head.headers;
     strip_hop_by_hop(&mut headers);
     headers.remove(header::CONTENT_LENGTH);
     headers.remove(header::TRAILER);
     let length = body.size_hint().exact();
-    if length.is_some_and(|l| l > LONGEST) {
+    if length.is_some_and(|length| length > MAX_ANSWER_BYTES) {
         engine.on_attempt_ended(id, Ending::Reset);
         return false;
     }
-    let mut pieces = BufferedBody::new(upstreams.budget.lease());
-    let mut next = None;
-    while length.is_none_or(|l| l <= WHOLE) {
-        match tokio::time::timeout(SHORT_STALL, connection.drive(body.frame())).await {
+    let mut buffered = BufferedBody::new(upstreams.budget.lease());
+    let mut overflow = None;
+    while length.is_none_or(|length| length <= MAX_BUFFERED_BYTES) {
+        match tokio::time::timeout(BUFFERED_STALL_TIMEOUT, connection.drive(body.frame())).await {
             Ok(None) => {
-                engine.on_buffered_answer(id, head.status, headers, pieces);
+                engine.on_buffered_answer(id, head.status, headers, buffered);
                 return true;
             }
-            // It may have run. Waited for to the deadline it would look to the module like a server in a jam.
+            // The request may have been processed. Waiting until the deadline would look to the decision module
+            // like an overloaded server.
             Ok(Some(Err(_))) | Err(_) => {
                 engine.on_attempt_ended(id, Ending::Reset);
                 return false;
             }
             Ok(Some(Ok(frame))) => {
                 let Ok(data) = frame.into_data() else { continue };
-                let fits = pieces.len() + data.len() as u64 <= WHOLE;
-                if !fits || !pieces.push(data.clone()) {
-                    next = Some(data);
+                let fits = buffered.len() + data.len() as u64 <= MAX_BUFFERED_BYTES;
+                if !fits || !buffered.push(data.clone()) {
+                    overflow = Some(data);
                     break;
                 }
             }
         }
     }
-    // Apart from the attempt, which is made for short answers too.
-    Box::pin(stream(engine, id, connection, headers, length, pieces, next, body)).await
+    // Boxed to keep the future of the attempt small.
+    Box::pin(stream_answer(engine, id, connection, headers, length, buffered, overflow, body)).await
 }
 
-/// Reads the rest of an answer that nobody wants, so that the connection can be kept; not for long.
-pub(super) async fn drain(connection: &mut ServerConnection, mut body: Incoming) -> bool {
-    let mut left = WHOLE as usize;
-    let all = async {
+/// Reads and discards the body of an unwanted answer within limits of size and time, so that the connection
+/// can be reused; true if it was read to its end.
+pub(super) async fn discard(connection: &mut ServerConnection, mut body: Incoming) -> bool {
+    let mut remaining_bytes = MAX_BUFFERED_BYTES as usize;
+    let read_to_end = async {
         loop {
             match connection.drive(body.frame()).await {
                 None => return true,
-                Some(Ok(frame)) => match left.checked_sub(frame.data_ref().map_or(0, Bytes::len)) {
-                    Some(rest) => left = rest,
-                    None => return false,
-                },
+                Some(Ok(frame)) => {
+                    match remaining_bytes.checked_sub(frame.data_ref().map_or(0, Bytes::len)) {
+                        Some(rest) => remaining_bytes = rest,
+                        None => return false,
+                    }
+                }
                 Some(Err(_)) => return false,
             }
         }
     };
-    tokio::time::timeout(Duration::from_millis(200), all).await.unwrap_or(false)
+    tokio::time::timeout(Duration::from_millis(200), read_to_end).await.unwrap_or(false)
 }
 
-/// Passes a long answer on as fast as the client takes it.
+/// Streams a long answer as fast as the client reads it; true if it was read to its end.
 #[allow(clippy::too_many_arguments)]
-async fn stream(
+async fn stream_answer(
     engine: &Rc<Engine>,
     id: AttemptId,
     connection: &mut ServerConnection,
     headers: HeaderMap,
     length: Option<u64>,
-    held: BufferedBody,
-    mut next: Option<Bytes>,
+    buffered: BufferedBody,
+    mut overflow: Option<Bytes>,
     mut body: Incoming,
 ) -> bool {
-    let (to_client, pieces) = mpsc::channel(1);
-    if !engine.on_answer(id, Answer::Stream { status: StatusCode::OK, headers, length, frames: pieces }) {
+    let (to_client, frames) = mpsc::channel(1);
+    if !engine.on_answer(id, Answer::Stream { status: StatusCode::OK, headers, length, frames }) {
         return false;
     }
-    let (held, _lease) = held.into_parts();
-    let mut held = held.into_iter();
-    let mut left = LONGEST;
+    let (buffered, _lease) = buffered.into_parts();
+    let mut buffered = buffered.into_iter();
+    let mut remaining_bytes = MAX_ANSWER_BYTES;
     loop {
-        let piece = match held.next().or_else(|| next.take()) {
-            Some(piece) => piece,
-            None => match tokio::time::timeout(STALL, connection.drive(body.frame())).await {
-                Ok(None) => return true,
-                Ok(Some(Ok(frame))) => match frame.into_data() {
-                    Ok(data) => data,
-                    Err(_) => continue,
-                },
-                Ok(Some(Err(_))) | Err(_) => {
-                    let _ = to_client.send(Err(IncompleteBody)).await;
-                    return false;
+        let chunk = match buffered.next().or_else(|| overflow.take()) {
+            Some(chunk) => chunk,
+            None => {
+                match tokio::time::timeout(STREAMED_STALL_TIMEOUT, connection.drive(body.frame())).await {
+                    Ok(None) => return true,
+                    Ok(Some(Ok(frame))) => match frame.into_data() {
+                        Ok(data) => data,
+                        Err(_) => continue,
+                    },
+                    Ok(Some(Err(_))) | Err(_) => {
+                        let _ = to_client.send(Err(IncompleteBody)).await;
+                        return false;
+                    }
                 }
-            },
+            }
         };
-        let Some(rest) = left.checked_sub(piece.len() as u64) else {
+        let Some(rest) = remaining_bytes.checked_sub(chunk.len() as u64) else {
             let _ = to_client.send(Err(IncompleteBody)).await;
             return false;
         };
-        left = rest;
-        if to_client.send(Ok(Frame::data(piece))).await.is_err() {
+        remaining_bytes = rest;
+        if to_client.send(Ok(Frame::data(chunk))).await.is_err() {
             return false;
         }
     }
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -27,8 +27,9 @@
 /// A watched file is looked at this often.
 const LOOK: Duration = Duration::from_millis(250);
 
-/// What an agent has counts as told from the process's first moment, and it answers at once: requests wait this long for
-/// its answer. Then it is silent, and the list of the earlier life has to do. A drain has as long.
+/// What an agent has counts as told from the process's first moment, and it answers at once: requests wait
+/// this long for its answer. Then it is silent, and the list of the earlier life has to do. A drain has as
+/// long.
 const FIRST_LIST: Nanos = 250_000_000;
 
 /// Without a word from discovery a pool serves by the list of its earlier life after this.
@@ -43,7 +44,8 @@
     pub budget: Rc<Budget>,
     /// What it has done.
     pub metrics: Metrics,
-    /// The engines of all pools, those with them that no plan has any longer and that have requests under way.
+    /// The engines of all pools, those with them that no plan has any longer and that have requests under
+    /// way.
     pub engines: Engines,
 }
 
@@ -186,8 +188,9 @@
         Ok(pool)
     }
 
-    /// Goes on under a new plan, told of what differs and no more. `predecessors`, and what is returned, are as [`Engine::retune`] has
-    /// them; where the classes are the same, none is returned and their places stay.
+    /// Goes on under a new plan, told of what differs and no more. `predecessors`, and what is returned, are
+    /// as [`Engine::retune`] has them; where the classes are the same, none is returned and their places
+    /// stay.
     ///
     /// # Errors
     /// Where no node could act on the settings; all is as it was.
--- a/crates/proxy/src/upstream/servers.rs
+++ b/crates/proxy/src/upstream/servers.rs
@@ -1,4 +1,4 @@
-//! The servers that a list has named, and the connections to them that are kept.
+//! The servers of one pool and the idle connections to them.
 
 use super::connection::IdleConnection;
 use super::idle_lifetime::IdleLifetime;
@@ -7,142 +7,153 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Servers that left are remembered for this long, for what is still under way to them.
-const MEMORY: Nanos = 60_000_000_000;
+/// How long drained and removed servers are remembered, for the attempts that are still open.
+const REMOVED_SERVER_RETENTION: Nanos = 60_000_000_000;
 
-/// One entry of discovery's list.
+/// One entry of a server list.
 #[derive(Clone, Debug)]
 pub struct ListedServer {
     /// Its name, the same at every node.
     pub host: String,
-    /// Where it listens for this node.
+    /// The address that this node connects to; may differ between nodes.
     pub address: SocketAddr,
-    /// All that the module is told; its id is filled in by the table.
+    /// What the decision module needs to know; [`ServerTable::apply_list`] fills in the id.
     pub server: Server,
 }
 
 struct ServerState {
     host: Arc<str>,
     address: SocketAddr,
-    /// When its process started, by another machine's clock: compared with itself alone.
+    /// When its process started, by the clock of another machine: only compared for equality.
     started_at: Nanos,
-    /// Since when it has been listed with this start, on our own clock; 0 for the first.
-    started_anew_at: Nanos,
-    /// Since when it takes nothing new.
+    /// When its address or start time last changed, by our own clock; 0 if never.
+    restarted_at: Nanos,
+    /// Since when it accepts no new requests: drained or removed from the list.
     closed_at: Option<Nanos>,
-    /// Oldest first: the newest is used first, so that the others can age and close.
+    /// Oldest first. The newest is reused first, so that surplus connections age and are closed.
     idle: Vec<IdleConnection>,
 }
 
-/// The servers that the list has named, by the identity under which the module knows them.
+/// The listed servers by id, with their idle connections.
 pub struct ServerTable {
-    upstreams: BTreeMap<ServerId, ServerState>,
-    /// When connections rest before they are used again.
-    rests: ReuseDelay,
-    /// When a server last said more than it was asked for.
+    servers: BTreeMap<ServerId, ServerState>,
+    reuse_delay: ReuseDelay,
+    /// When a server last sent bytes that no request asked for.
     surplus_at: Option<Nanos>,
     pub(super) idle_lifetime: IdleLifetime,
 }
 
-/// When a connection rests before it is used again. Some servers answer twice, the second time some milliseconds later: it would be
-/// taken for the answer to the next request on that connection. One that has rested is found to have spoken. A request waits for one
-/// that rests: a new one costs the server more, and may not come up.
+/// When a connection must be idle for a minimum time before it is reused.
+///
+/// Some servers answer a request twice, a few milliseconds apart. The second answer would be taken for the
+/// answer to the next request on the connection; after the delay it is found as unread bytes instead. A
+/// request waits for such a connection, because a new one costs the server more and may fail to open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReuseDelay {
-    /// Always, where servers are known to do so: the first such answer must not be another client's either.
+    /// Always: for servers that are known to answer twice.
     Always,
-    /// For a while after a server has done so. Where requests come without a pause, a rest would cost a connection for each.
+    /// For [`SURPLUS_MEMORY`] after a server has sent surplus bytes. Under steady load the delay costs
+    /// additional connections.
     AfterSurplusBytes,
 }
 
-/// For so long after it has been seen.
-const SPOKEN: Nanos = 60_000_000_000;
-const REST: Nanos = 10_000_000;
+/// How long the delay applies after surplus bytes were seen.
+const SURPLUS_MEMORY: Nanos = 60_000_000_000;
+const MIN_IDLE_BEFORE_REUSE: Nanos = 10_000_000;
 
-/// Part of the idle time after which a server may close that its connections are kept.
-const IDLE_PART: f64 = 0.6;
+/// Connections are reused for this fraction of the server's idle timeout, so that the server does not close
+/// them first.
+const IDLE_TIMEOUT_FRACTION: f64 = 0.6;
 
-fn identity(host: &str, round: u8) -> ServerId {
+/// Hashes a server's name to its id; the salt separates names whose hashes collide.
+fn hash_server_id(host: &str, salt: u8) -> ServerId {
     let mut name = host.as_bytes().to_vec();
-    name.extend((round > 0).then_some(round));
+    name.extend((salt > 0).then_some(salt));
     ServerId(corkhollow_plan::mix(&name))
 }
 
 impl ServerTable {
-    pub fn new(conn_idle: Nanos, rests: ReuseDelay) -> Self {
+    pub fn new(server_idle_timeout: Nanos, reuse_delay: ReuseDelay) -> Self {
         ServerTable {
-            upstreams: BTreeMap::new(),
-            rests,
+            servers: BTreeMap::new(),
+            reuse_delay,
             surplus_at: None,
-            idle_lifetime: IdleLifetime::new(Self::keep(conn_idle)),
+            idle_lifetime: IdleLifetime::new(Self::idle_limit(server_idle_timeout)),
         }
     }
 
-    fn keep(conn_idle: Nanos) -> Nanos {
-        (conn_idle as f64 * IDLE_PART) as Nanos
+    fn idle_limit(server_idle_timeout: Nanos) -> Nanos {
+        (server_idle_timeout as f64 * IDLE_TIMEOUT_FRACTION) as Nanos
     }
 
-    /// Servers may close connections that have stood idle for this long, from here on.
-    pub(super) fn set_server_idle_timeout(&mut self, conn_idle: Nanos) {
-        self.idle_lifetime.set_upper_limit(Self::keep(conn_idle));
+    /// Sets the idle time after which servers may close connections.
+    pub(super) fn set_server_idle_timeout(&mut self, server_idle_timeout: Nanos) {
+        self.idle_lifetime.set_upper_limit(Self::idle_limit(server_idle_timeout));
     }
 
-    fn id(&self, host: &str) -> ServerId {
-        let free = |id: &ServerId| self.upstreams.get(id).is_none_or(|u| &*u.host == host);
-        (0..=u8::MAX).map(|round| identity(host, round)).find(free).unwrap_or(identity(host, 0))
+    fn id_for_host(&self, host: &str) -> ServerId {
+        let is_unclaimed = |id: &ServerId| self.servers.get(id).is_none_or(|u| &*u.host == host);
+        (0..=u8::MAX)
+            .map(|salt| hash_server_id(host, salt))
+            .find(is_unclaimed)
+            .unwrap_or(hash_server_id(host, 0))
     }
 
-    /// Takes over a list or changes to it, and puts it into the module's words.
+    /// Applies a list or changes to one, and returns the entries with their ids, as the decision module takes
+    /// them.
     pub fn apply_list(&mut self, now: Nanos, kind: ListKind, entries: Vec<ListedServer>) -> Vec<Server> {
         let mut servers = Vec::with_capacity(entries.len());
         for entry in entries {
-            let id = self.id(&entry.host);
+            let id = self.id_for_host(&entry.host);
             let (address, started_at) = (entry.address, entry.server.started_at);
-            let upstream = self.upstreams.entry(id).or_insert_with(|| ServerState {
+            let state = self.servers.entry(id).or_insert_with(|| ServerState {
                 host: entry.host.into(),
                 address,
                 started_at,
-                started_anew_at: 0,
+                restarted_at: 0,
                 closed_at: None,
                 idle: Vec::new(),
             });
-            if upstream.address != address || upstream.started_at != started_at {
-                (upstream.address, upstream.started_at) = (address, started_at);
-                upstream.started_anew_at = now;
-                upstream.idle.clear();
+            if state.address != address || state.started_at != started_at {
+                (state.address, state.started_at) = (address, started_at);
+                state.restarted_at = now;
+                state.idle.clear();
             }
             if entry.server.phase == Phase::Ready {
-                upstream.closed_at = None;
+                state.closed_at = None;
             } else {
-                upstream.close(now);
+                state.close(now);
             }
             servers.push(Server { id, ..entry.server });
         }
         if matches!(kind, ListKind::Full | ListKind::Cached) {
             let listed: BTreeSet<_> = servers.iter().map(|s| s.id).collect();
-            self.upstreams.iter_mut().filter(|(id, _)| !listed.contains(id)).for_each(|(_, u)| u.close(now));
+            self.servers.iter_mut().filter(|(id, _)| !listed.contains(id)).for_each(|(_, u)| u.close(now));
         }
-        self.upstreams.retain(|_, u| u.closed_at.is_none_or(|at| now.saturating_sub(at) < MEMORY));
+        self.servers
+            .retain(|_, u| u.closed_at.is_none_or(|at| now.saturating_sub(at) < REMOVED_SERVER_RETENTION));
         servers
     }
 
-    /// The name by which lists know it.
+    /// The server's name in the list.
     pub(super) fn name(&self, server: ServerId) -> Option<Arc<str>> {
-        self.upstreams.get(&server).map(|u| u.host.clone())
+        self.servers.get(&server).map(|u| u.host.clone())
     }
 
+    /// The address to connect to; `None` if the server accepts no new requests.
     pub(super) fn address(&self, server: ServerId) -> Option<SocketAddr> {
-        self.upstreams.get(&server).filter(|u| u.closed_at.is_none()).map(|u| u.address)
+        self.servers.get(&server).filter(|u| u.closed_at.is_none()).map(|u| u.address)
     }
 
+    /// Takes the newest idle connection that can be reused now, and closes those that can no longer be.
     pub(super) fn checkout(&mut self, server: ServerId, now: Nanos) -> Option<IdleConnection> {
         let oldest = now.saturating_sub(self.idle_lifetime.max_idle);
-        let newest = now.saturating_sub(self.rest(now));
-        let upstream = self.upstreams.get_mut(&server)?;
-        while let Some(at) = upstream.idle.iter().rposition(|idle| idle.idle_since <= newest) {
-            let idle = upstream.idle.remove(at);
-            // What has come since it was kept (a close, a second copy of the last answer, noise) would be taken
-            // for the next request's end or answer. The kernel knows; the runtime may not yet.
+        let newest = now.saturating_sub(self.reuse_delay(now));
+        let state = self.servers.get_mut(&server)?;
+        while let Some(at) = state.idle.iter().rposition(|idle| idle.idle_since <= newest) {
+            let idle = state.idle.remove(at);
+            // Unread bytes would be taken for the next request's answer, and a close would lose that request.
+            // The check asks the kernel, because the runtime may not have been notified yet.
             if idle.idle_since >= oldest && idle.connection.socket.is_quiet() {
                 return Some(idle);
             }
@@ -153,41 +164,42 @@
         None
     }
 
-    /// How long connections rest before they are used again.
-    fn rest(&self, now: Nanos) -> Nanos {
-        let spoken = self.surplus_at.is_some_and(|at| now.saturating_sub(at) < SPOKEN);
-        match self.rests {
-            ReuseDelay::Always => REST,
-            ReuseDelay::AfterSurplusBytes if spoken => REST,
+    /// How long a connection must have been idle before it is reused.
+    fn reuse_delay(&self, now: Nanos) -> Nanos {
+        let seen_recently = self.surplus_at.is_some_and(|at| now.saturating_sub(at) < SURPLUS_MEMORY);
+        match self.reuse_delay {
+            ReuseDelay::Always => MIN_IDLE_BEFORE_REUSE,
+            ReuseDelay::AfterSurplusBytes if seen_recently => MIN_IDLE_BEFORE_REUSE,
             ReuseDelay::AfterSurplusBytes => 0,
         }
     }
 
-    /// When a connection to this server that rests may be used; none where none does.
+    /// When the oldest idle connection to the server may be reused; `None` if none waits for that.
     pub(super) fn reusable_at(&self, server: ServerId, now: Nanos) -> Option<Nanos> {
-        let oldest = self.upstreams.get(&server)?.idle.first()?;
-        Some(oldest.idle_since + self.rest(now)).filter(|at| *at > now)
+        let oldest = self.servers.get(&server)?.idle.first()?;
+        Some(oldest.idle_since + self.reuse_delay(now)).filter(|at| *at > now)
     }
 
-    /// A server has said more than it was asked for.
+    /// Records that a server sent bytes that no request asked for.
     pub(super) fn record_surplus(&mut self, now: Nanos) {
         self.surplus_at = Some(now);
     }
 
+    /// Keeps a connection for reuse, unless its server was closed, moved or restarted since it was opened.
     pub(super) fn checkin(&mut self, server: ServerId, address: SocketAddr, idle: IdleConnection) {
-        if let Some(u) = self.upstreams.get_mut(&server) {
-            if u.closed_at.is_none() && u.address == address && u.started_anew_at <= idle.opened_at {
+        if let Some(u) = self.servers.get_mut(&server) {
+            if u.closed_at.is_none() && u.address == address && u.restarted_at <= idle.opened_at {
                 u.idle.push(idle);
             }
         }
     }
 
-    /// Closes what has stood idle for too long or was closed by its server.
+    /// Closes connections that have been idle for too long, were closed by their server or have unread bytes.
     pub fn sweep(&mut self, now: Nanos) {
         let oldest = now.saturating_sub(self.idle_lifetime.max_idle);
         let mut surplus = false;
-        for upstream in self.upstreams.values_mut() {
-            upstream.idle.retain(|i| {
+        for state in self.servers.values_mut() {
+            state.idle.retain(|i| {
                 surplus |= i.connection.socket.has_unread_bytes();
                 i.idle_since >= oldest && i.connection.socket.is_quiet()
             });
@@ -195,14 +207,16 @@
         self.surplus_at = surplus.then_some(now).or(self.surplus_at);
     }
 
+    /// Closes the connection that has been idle for longest; false if there is none.
     pub(super) fn close_oldest_idle(&mut self) -> bool {
         let since = |u: &ServerState| u.idle.first().map(|i| i.idle_since);
-        let upstreams = self.upstreams.values_mut().filter(|u| !u.idle.is_empty());
-        upstreams.min_by_key(|u| since(u)).map(|u| u.idle.remove(0)).is_some()
+        let idle_servers = self.servers.values_mut().filter(|u| !u.idle.is_empty());
+        idle_servers.min_by_key(|u| since(u)).map(|u| u.idle.remove(0)).is_some()
     }
 }
 
 impl ServerState {
+    /// Stops new requests to the server and closes its idle connections.
     fn close(&mut self, now: Nanos) {
         self.closed_at.get_or_insert(now);
         self.idle.clear();
@@ -237,50 +251,61 @@
             interim_answers: Default::default(),
             has_surplus_bytes: false,
             _slot: Budget::new(100, 100).server().unwrap(),
-            _permit: super::super::upstreams::ConnectionPermit::free(),
+            _permit: super::super::upstreams::ConnectionPermit::unlimited(),
         };
         (connection, peer, address)
     }
 
-    /// Where servers have been interim_answers to say more than they were asked for, and there alone, connections rest.
     #[tokio::test]
-    async fn connections_rest_where_servers_speak_unasked() {
+    async fn reuse_is_delayed_only_while_surplus_bytes_are_recent() {
         let (connection, _peer, address) = connection().await;
         let mut table = ServerTable::new(10_000 * MS, ReuseDelay::AfterSurplusBytes);
         let entry = ListedServer { host: "s-0".into(), address, server: Server::warm(ServerId(0)) };
         let server = table.apply_list(0, ListKind::Full, vec![entry])[0].id;
-        let put_back = 100 * MS;
-        table.checkin(server, address, IdleConnection { connection, opened_at: 0, idle_since: put_back });
-        assert_eq!(table.reusable_at(server, put_back), None);
-        let idle = table.checkout(server, put_back).expect("it is used at once");
-        table.record_surplus(put_back);
-        table.checkin(server, address, IdleConnection { idle_since: put_back, ..idle });
-        assert!(table.checkout(server, put_back + REST - 1).is_none());
-        assert_eq!(table.reusable_at(server, put_back + REST - 1), Some(put_back + REST));
-        let idle = table.checkout(server, put_back + REST).expect("it has rested");
-        let later = put_back + SPOKEN;
+        let checked_in_at = 100 * MS;
+        table.checkin(
+            server,
+            address,
+            IdleConnection { connection, opened_at: 0, idle_since: checked_in_at },
+        );
+        assert_eq!(table.reusable_at(server, checked_in_at), None);
+        let idle = table.checkout(server, checked_in_at).expect("it is reused without a delay");
+        table.record_surplus(checked_in_at);
+        table.checkin(server, address, IdleConnection { idle_since: checked_in_at, ..idle });
+        assert!(table.checkout(server, checked_in_at + MIN_IDLE_BEFORE_REUSE - 1).is_none());
+        assert_eq!(
+            table.reusable_at(server, checked_in_at + MIN_IDLE_BEFORE_REUSE - 1),
+            Some(checked_in_at + MIN_IDLE_BEFORE_REUSE)
+        );
+        let idle = table
+            .checkout(server, checked_in_at + MIN_IDLE_BEFORE_REUSE)
+            .expect("it is reused after the delay");
+        let later = checked_in_at + SURPLUS_MEMORY;
         table.checkin(server, address, IdleConnection { idle_since: later, ..idle });
-        assert!(table.checkout(server, later).is_some(), "that is long ago");
+        assert!(table.checkout(server, later).is_some(), "the surplus bytes are forgotten");
     }
 
-    /// Where servers are known to answer twice, connections rest whether or not one of them has done so yet.
     #[tokio::test]
-    async fn connections_rest_from_the_start_where_servers_answer_twice() {
+    async fn reuse_is_delayed_from_the_start_for_servers_that_answer_twice() {
         let (connection, _peer, address) = connection().await;
         let mut table = ServerTable::new(10_000 * MS, ReuseDelay::Always);
         let entry = ListedServer { host: "s-0".into(), address, server: Server::warm(ServerId(0)) };
         let server = table.apply_list(0, ListKind::Full, vec![entry])[0].id;
-        let put_back = 100 * MS;
-        table.checkin(server, address, IdleConnection { connection, opened_at: 0, idle_since: put_back });
-        assert!(table.checkout(server, put_back + REST - 1).is_none());
-        assert_eq!(table.reusable_at(server, put_back), Some(put_back + REST));
-        assert!(table.checkout(server, put_back + REST).is_some());
+        let checked_in_at = 100 * MS;
+        table.checkin(
+            server,
+            address,
+            IdleConnection { connection, opened_at: 0, idle_since: checked_in_at },
+        );
+        assert!(table.checkout(server, checked_in_at + MIN_IDLE_BEFORE_REUSE - 1).is_none());
+        assert_eq!(table.reusable_at(server, checked_in_at), Some(checked_in_at + MIN_IDLE_BEFORE_REUSE));
+        assert!(table.checkout(server, checked_in_at + MIN_IDLE_BEFORE_REUSE).is_some());
     }
 
-    /// A start is listed by another machine's clock, which may be ahead: connections are kept all the same. Those from before another
-    /// start was listed are not.
+    /// Start times come from another machine's clock, which may be ahead. Only a change of the start time
+    /// closes connections.
     #[tokio::test]
-    async fn connections_are_kept_whatever_clock_dates_a_start() {
+    async fn connections_are_reused_unless_the_listed_start_time_changes() {
         let far_ahead = 3_600_000 * MS;
         let mut table = ServerTable::new(10_000 * MS, ReuseDelay::AfterSurplusBytes);
         let (first, _peer, address) = connection().await;
@@ -294,10 +319,10 @@
             address,
             IdleConnection { connection: first, opened_at: 200 * MS, idle_since: 200 * MS },
         );
-        let kept = table.checkout(server, 200 * MS).expect("it is kept");
+        let idle = table.checkout(server, 200 * MS).expect("it is reused");
         table.apply_list(300 * MS, ListKind::Changes, list(far_ahead - MS));
-        table.checkin(server, address, kept);
-        assert!(table.checkout(server, 300 * MS).is_none(), "it led to the process before");
+        table.checkin(server, address, idle);
+        assert!(table.checkout(server, 300 * MS).is_none(), "it was opened to the previous process");
         let (second, _peer, _) = connection().await;
         table.checkin(
             server,
@@ -307,43 +332,43 @@
         assert!(table.checkout(server, 400 * MS).is_some());
     }
 
-    /// What has come on a connection while it was kept is not the answer to the next request, and a close there
-    /// would lose it. The runtime may not have been told of either yet.
+    /// Unread bytes would be taken for the answer to the next request, and a close would lose that request.
+    /// The runtime may not have been notified of either yet.
     #[tokio::test]
-    async fn a_kept_connection_that_has_spoken_is_not_used() {
-        for word in [&b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"[..], b""] {
+    async fn an_idle_connection_with_unread_bytes_or_a_close_is_not_reused() {
+        for bytes in [&b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"[..], b""] {
             let (connection, mut peer, address) = connection().await;
             let socket = connection.socket.clone();
             let mut table = ServerTable::new(10_000 * MS, ReuseDelay::AfterSurplusBytes);
             let entry = ListedServer { host: "s-0".into(), address, server: Server::warm(ServerId(0)) };
             let server = table.apply_list(0, ListKind::Full, vec![entry])[0].id;
             table.checkin(server, address, IdleConnection { connection, opened_at: 0, idle_since: 0 });
-            let idle = table.checkout(server, 0).expect("a quiet one is used");
+            let idle = table.checkout(server, 0).expect("a quiet connection is reused");
             table.checkin(server, address, idle);
-            peer.write_all(word).unwrap();
+            peer.write_all(bytes).unwrap();
             drop(peer);
             let start = std::time::Instant::now();
             while socket.is_quiet() {
-                assert!(start.elapsed().as_secs() < 20, "nothing came");
+                assert!(start.elapsed().as_secs() < 20, "neither bytes nor a close arrived");
             }
-            assert!(table.checkout(server, 0).is_none(), "{} bytes and a close", word.len());
+            assert!(table.checkout(server, 0).is_none(), "{} bytes and a close", bytes.len());
         }
     }
 
-    /// All nodes must agree on the order of servers: the address under which one is reached has no say.
+    /// All nodes must derive the same ids, and a server's address may differ between nodes.
     #[test]
-    fn identity_comes_from_the_name() {
-        let list = |dials: [&str; 2]| {
+    fn server_ids_depend_on_the_name_and_not_on_the_address() {
+        let list = |addresses: [&str; 2]| {
             let entry = |(k, address): (usize, &&str)| ListedServer {
                 host: format!("s-{k}"),
                 address: address.parse().unwrap(),
                 server: Server::warm(ServerId(0)),
             };
-            let entries = dials.iter().enumerate().map(entry).collect();
+            let entries = addresses.iter().enumerate().map(entry).collect();
             ServerTable::new(1, ReuseDelay::Always).apply_list(0, ListKind::Full, entries)
         };
-        let (a, b) = (list(["127.0.0.1:1", "127.0.0.1:2"]), list(["127.0.0.2:9", "127.0.0.1:1"]));
-        assert_eq!(a, b);
-        assert_ne!(a[0].id, a[1].id);
+        let (first, second) = (list(["127.0.0.1:1", "127.0.0.1:2"]), list(["127.0.0.2:9", "127.0.0.1:1"]));
+        assert_eq!(first, second);
+        assert_ne!(first[0].id, first[1].id);
     }
 }
--- a/crates/proxy/src/upstream/upstreams.rs
+++ b/crates/proxy/src/upstream/upstreams.rs
@@ -58,7 +58,7 @@
 impl ConnectionPermit {
     /// A place in no pool.
     #[cfg(test)]
-    pub(super) fn free() -> Self {
+    pub(super) fn unlimited() -> Self {
         ConnectionPermit(None)
     }
 }
