--- a/crates/engine/src/body.rs
+++ b/crates/engine/src/body.rs
@@ -1,9 +1,9 @@
-//! Bodies as they are held.
+//! Message bodies held in memory.
 
 use bytes::Bytes;
 use corkhollow_plan::limits::Lease;
 
-/// A whole body, in the pieces in which it came: it can be sent again without a copy.
+/// A complete body in the chunks in which it was received, so that it can be sent again without copying.
 #[derive(Debug)]
 pub struct BufferedBody {
     chunks: Vec<Bytes>,
@@ -12,12 +12,12 @@
 }
 
 impl BufferedBody {
-    /// Nothing yet; what comes is counted against the lease.
+    /// An empty body whose chunks are charged to `lease`.
     pub fn new(lease: Lease) -> Self {
         BufferedBody { chunks: Vec::new(), len: 0, lease }
     }
 
-    /// Adds a piece; false, with nothing added, where the budget has no room for it.
+    /// Appends a chunk. Returns false and appends nothing if the memory budget has no room for it.
     pub fn push(&mut self, chunk: Bytes) -> bool {
         let fits = chunk.is_empty() || self.lease.grow(chunk.len());
         if fits && !chunk.is_empty() {
@@ -27,22 +27,22 @@
         fits
     }
 
-    /// Bytes in all.
+    /// Length in bytes.
     pub fn len(&self) -> u64 {
         self.len
     }
 
-    /// Whether there is no byte.
+    /// Whether the body has no bytes.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// One of the pieces, in the order in which they came.
+    /// The chunk at `index`, in the order of arrival.
     pub fn chunk(&self, index: usize) -> Option<&Bytes> {
         self.chunks.get(index)
     }
 
-    /// The pieces, and what holds their bytes in the budget.
+    /// The chunks, and the lease that accounts for them in the memory budget.
     pub fn into_parts(self) -> (Vec<Bytes>, Lease) {
         (self.chunks, self.lease)
     }
--- a/crates/engine/src/clock.rs
+++ b/crates/engine/src/clock.rs
@@ -1,29 +1,29 @@
-//! The node's one clock: nanoseconds since the Unix epoch, so that a server's start time compares with it.
+//! The node's clock: nanoseconds since the Unix epoch, comparable with the start times in server lists.
 
 use corkhollow_balance::interface::Nanos;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The system's clock is read once; from then on time only goes forward.
+/// A monotonic clock that reads the wall clock once, at its start.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    epoch: Nanos,
-    start: Instant,
+    unix_start: Nanos,
+    monotonic_start: Instant,
 }
 
 impl Clock {
-    /// Reads the system's clock.
+    /// Starts at the present time of the wall clock.
     pub fn start() -> Self {
-        let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { epoch: since.as_nanos() as Nanos, start: Instant::now() }
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        Clock { unix_start: since_epoch.as_nanos() as Nanos, monotonic_start: Instant::now() }
     }
 
-    /// The present time.
+    /// Nanoseconds since the Unix epoch.
     pub fn now(&self) -> Nanos {
-        self.epoch + self.start.elapsed().as_nanos() as Nanos
+        self.unix_start + self.monotonic_start.elapsed().as_nanos() as Nanos
     }
 
-    /// The instant of a point in time, for timers.
+    /// Converts a time of this clock to an instant for timers.
     pub fn instant(&self, at: Nanos) -> tokio::time::Instant {
-        (self.start + Duration::from_nanos(at.saturating_sub(self.epoch))).into()
+        (self.monotonic_start + Duration::from_nanos(at.saturating_sub(self.unix_start))).into()
     }
 }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -1,7 +1,8 @@
-//! The shell around [`Requests`]: gives it the time, carries out what it writes down, and wakes it.
+//! Connects [`Requests`] to a [`Transport`]: passes it the time and events, executes its commands, and fires
+//! its timers.
 //!
-//! Everything runs on one thread. The state is borrowed only while it takes an event, never across an await and not
-//! while its commands are carried out.
+//! Everything runs on one thread. The state is borrowed only while it handles an event, never across an await
+//! or while its commands are executed.
 
 use crate::body::BufferedBody;
 use crate::clock::Clock;
@@ -22,10 +23,11 @@
 use std::sync::Arc;
 use tokio::sync::{oneshot, Notify};
 
-/// The side that holds the connections to servers. It is called while the engine is at work and must not call back
-/// before it returns.
+/// The connections to servers and to discovery. Its methods are called while the engine executes commands,
+/// and must not call back into the engine before they return.
 pub trait Transport {
-    /// Begins an attempt. How it goes is told by [`Engine::on_buffered_answer`], [`Engine::on_answer`] or [`Engine::on_attempt_ended`].
+    /// Starts an attempt. Its result is reported through [`Engine::on_buffered_answer`],
+    /// [`Engine::on_answer`], [`Engine::on_error_answer`] or [`Engine::on_attempt_ended`].
     fn send(
         &self,
         engine: &Rc<Engine>,
@@ -34,22 +36,24 @@
         message: Rc<Message>,
     ) -> Box<dyn RunningAttempt>;
 
-    /// Asks discovery.
+    /// Calls discovery.
     fn call_discovery(&self, call: DiscoveryCall);
 
-    /// The name by which lists know this server.
+    /// The name of a server in the server lists.
     fn server_name(&self, server: ServerId) -> Option<Arc<str>>;
 
-    /// Writes a line of the module's, about this server.
+    /// Logs a message of the balancer, about `server` if given.
     fn log(&self, server: Option<ServerId>, text: &str);
 }
 
-/// An attempt that is under way.
+/// A handle on an attempt in progress.
 pub trait RunningAttempt {
-    /// Nobody waits for it any longer.
+    /// Stops the attempt, whose result is no longer needed; it may continue for a while to keep its
+    /// connection reusable.
     fn abandon(self: Box<Self>);
 
-    /// Calls it off, unless the last byte of its request is written; whether it has.
+    /// Cancels the attempt unless the last byte of its request has been written. Returns whether it was
+    /// cancelled.
     fn cancel_if_unsent(&self) -> bool;
 }
 
@@ -58,42 +62,45 @@
         Message::is_body_consumed(self)
     }
 
-    fn deadline(&self, patience: Nanos) -> Option<Nanos> {
+    fn deadline(&self, timeout: Nanos) -> Option<Nanos> {
         let UploadProgress { ended_at, last_progress_at, stall_timeout, .. } = &*self.upload()?.progress;
         Some(match ended_at.get() {
-            Some(at) => at.saturating_add(patience),
-            // A server may take a connection and read nothing from it.
+            Some(at) => at.saturating_add(timeout),
+            // Bounded, as a server may accept the connection and never read from it.
             None if self.is_body_consumed() => {
-                last_progress_at.get().saturating_add(patience.max(*stall_timeout))
+                last_progress_at.get().saturating_add(timeout.max(*stall_timeout))
             }
-            // It still waits for a connection.
-            None => last_progress_at.get().saturating_add(patience),
+            // No attempt has a connection yet.
+            None => last_progress_at.get().saturating_add(timeout),
         })
     }
 }
 
-type Told = Command<Rc<Message>, Answer>;
-type Pool = Requests<HeaderValue, Rc<Message>, Answer>;
+type PoolCommand = Command<Rc<Message>, Answer>;
+type PoolRequests = Requests<HeaderValue, Rc<Message>, Answer>;
 
-/// See the module's documentation.
+/// The requests of one pool, driven by sockets and timers: see the module's documentation.
 pub struct Engine {
     clock: Clock,
     transport: Rc<dyn Transport>,
     figures: PoolFigures,
-    requests: RefCell<Pool>,
-    /// Clients that wait.
-    replies: RefCell<HashMap<RequestId, oneshot::Sender<Answer>>>,
-    /// Attempts that are out.
-    running: RefCell<HashMap<AttemptId, Box<dyn RunningAttempt>>>,
-    /// Empty between events: its memory serves the next one.
-    commands: RefCell<Vec<Told>>,
-    /// When the timers' task wakes.
-    armed: Cell<Nanos>,
-    timer: Notify,
+    requests: RefCell<PoolRequests>,
+    /// Where the final answers go.
+    waiting_clients: RefCell<HashMap<RequestId, oneshot::Sender<Answer>>>,
+    running_attempts: RefCell<HashMap<AttemptId, Box<dyn RunningAttempt>>>,
+    /// A reused buffer, empty between events.
+    commands: RefCell<Vec<PoolCommand>>,
+    /// When the timer task wakes next.
+    next_wake_at: Cell<Nanos>,
+    /// Signals an earlier `next_wake_at` to the timer task.
+    wake_changed: Notify,
 }
 
 impl Engine {
-    /// An engine without any servers yet. The seed settles its balancer's random draws.
+    /// Creates an engine without servers. `seed` seeds the balancer's random number generator.
+    ///
+    /// # Errors
+    /// If the settings are invalid.
     pub fn new(
         settings: Settings,
         seed: u64,
@@ -106,11 +113,11 @@
             clock,
             transport,
             figures,
-            replies: RefCell::default(),
-            running: RefCell::default(),
+            waiting_clients: RefCell::default(),
+            running_attempts: RefCell::default(),
             commands: RefCell::default(),
-            armed: Cell::new(Nanos::MAX),
-            timer: Notify::new(),
+            next_wake_at: Cell::new(Nanos::MAX),
+            wake_changed: Notify::new(),
         }))
     }
 
@@ -119,41 +126,44 @@
         self.clock
     }
 
-    /// Has the state take something, and carries out what follows.
-    fn step<R>(self: &Rc<Self>, take: impl FnOnce(&mut Pool, Nanos, &mut Vec<Told>) -> R) -> R {
+    /// Applies an event to the state and executes the resulting commands.
+    fn step<R>(
+        self: &Rc<Self>,
+        apply: impl FnOnce(&mut PoolRequests, Nanos, &mut Vec<PoolCommand>) -> R,
+    ) -> R {
         let mut commands = self.commands.take();
-        let result = take(&mut self.requests.borrow_mut(), self.clock.now(), &mut commands);
+        let result = apply(&mut self.requests.borrow_mut(), self.clock.now(), &mut commands);
         for command in commands.drain(..) {
-            self.carry_out(command);
+            self.execute(command);
         }
         self.commands.replace(commands);
         let next = self.requests.borrow().next_timer().unwrap_or(Nanos::MAX);
-        if next < self.armed.get() {
-            self.armed.set(next);
-            self.timer.notify_one();
+        if next < self.next_wake_at.get() {
+            self.next_wake_at.set(next);
+            self.wake_changed.notify_one();
         }
         result
     }
 
-    fn carry_out(self: &Rc<Self>, command: Told) {
+    fn execute(self: &Rc<Self>, command: PoolCommand) {
         match command {
             Command::Send { id, server, message, hedge } => {
                 if let Some(server) = self.transport.server_name(server) {
                     self.record(id.request, Event::AttemptSent { attempt: id.number, server, hedge });
                 }
                 let running = self.transport.send(self, id, server, message);
-                self.running.borrow_mut().insert(id, running);
+                self.running_attempts.borrow_mut().insert(id, running);
             }
             Command::Abandon(id) => {
-                let running = self.running.borrow_mut().remove(&id);
+                let running = self.running_attempts.borrow_mut().remove(&id);
                 if let Some(running) = running {
                     running.abandon();
                 }
             }
             Command::CancelUnsent(id) => {
-                let unwritten =
-                    self.running.borrow().get(&id).is_some_and(|running| running.cancel_if_unsent());
-                if unwritten {
+                let was_cancelled =
+                    self.running_attempts.borrow().get(&id).is_some_and(|running| running.cancel_if_unsent());
+                if was_cancelled {
                     self.on_attempt_ended(id, Ending::NotSent);
                 }
             }
@@ -167,7 +177,7 @@
                     }
                     FinalAnswer::Failed { timed_out } => Answer::Failed { timed_out },
                 };
-                if let Some(reply) = self.replies.borrow_mut().remove(&request) {
+                if let Some(reply) = self.waiting_clients.borrow_mut().remove(&request) {
                     let _ = reply.send(client_answer);
                 }
             }
@@ -177,52 +187,56 @@
                 self.figures.ended(ending);
                 self.record(id.request, Event::AttemptEnded { attempt: id.number, ending });
             }
-            Command::ProposalDenied { request, denial } => self.denied(request, Proposed::Send, denial),
+            Command::ProposalDenied { request, denial } => {
+                self.report_denial(request, Proposed::Send, denial)
+            }
             Command::AttemptRepeated { after: None } => self.figures.hedges.inc(),
             Command::AttemptRepeated { after: Some(ending) } => self.figures.retried(ending),
         }
     }
 
-    /// Takes a request; the ticket brings its answer. Dropped without one, the client has left. None where it has a
-    /// name and another one of that name is live.
+    /// Accepts a request. Dropping the returned handle before the answer signals that the client has left.
+    /// Returns `None` if another active request has the same `client_request_id`.
     pub fn submit(
         self: &Rc<Self>,
-        name: Option<HeaderValue>,
+        client_request_id: Option<HeaderValue>,
         request: Request,
         message: Message,
     ) -> Option<PendingAnswer> {
         let (reply, answer) = oneshot::channel();
-        let client_id = name.as_ref().map_or(ClientId::new(b"-"), |id| ClientId::new(id.as_bytes()));
-        // It may be answered before the step is over.
+        let client_id =
+            client_request_id.as_ref().map_or(ClientId::new(b"-"), |id| ClientId::new(id.as_bytes()));
+        // Registered first, since the request may be answered within `submit`.
         let id = self.requests.borrow().next_id();
-        self.replies.borrow_mut().insert(id, reply);
+        self.waiting_clients.borrow_mut().insert(id, reply);
         let request = Request { give_up_at: message.deadline, ..request };
         self.record(id, Event::Taken(client_id));
-        let taken = self.step(|all, now, sink| all.submit(now, name, request, Rc::new(message), sink));
-        if taken.is_none() {
-            self.replies.borrow_mut().remove(&id);
+        let accepted = self.step(|requests, now, commands| {
+            requests.submit(now, client_request_id, request, Rc::new(message), commands)
+        });
+        if accepted.is_none() {
+            self.waiting_clients.borrow_mut().remove(&id);
         }
-        taken.map(|id| PendingAnswer { engine: self.clone(), id, answer, owed: true })
+        accepted.map(|id| PendingAnswer { engine: self.clone(), id, answer, is_pending: true })
     }
 
-    /// An attempt has come to an end without an answer for the client.
+    /// Handles an attempt that ended without an answer for the client.
     pub fn on_attempt_ended(self: &Rc<Self>, id: AttemptId, ending: Ending) {
-        self.running.borrow_mut().remove(&id);
-        self.step(|all, now, sink| all.on_attempt_ended(now, id, ending, sink));
+        self.running_attempts.borrow_mut().remove(&id);
+        self.step(|requests, now, commands| requests.on_attempt_ended(now, id, ending, commands));
     }
 
-    /// A server has the last byte of a request that went on as it came.
+    /// Handles the last byte of a streamed request having been written to a server.
     pub fn on_request_written(self: &Rc<Self>, id: AttemptId) {
-        self.step(|all, now, sink| all.on_request_written(now, id, sink));
+        self.step(|requests, now, commands| requests.on_request_written(now, id, commands));
     }
 
-    /// The head of an answer has come, so long after the request's last byte went. That tells how busy the server is;
-    /// how long the bodies take on their way, slow peers that they are, does not.
-    pub fn on_answer_head(&self, id: AttemptId, took: Nanos) {
-        self.requests.borrow_mut().on_answer_head(id, took);
+    /// Records the arrival of an answer's head: see [`Requests::on_answer_head`].
+    pub fn on_answer_head(&self, id: AttemptId, latency: Nanos) {
+        self.requests.borrow_mut().on_answer_head(id, latency);
     }
 
-    /// An attempt has brought a whole answer: the first one is the client's.
+    /// Handles a complete answer; the client gets the first one.
     pub fn on_buffered_answer(
         self: &Rc<Self>,
         id: AttemptId,
@@ -233,19 +247,19 @@
         self.on_answer(id, Answer::Buffered { status, headers, body });
     }
 
-    /// An attempt brings a long answer. False where it comes too late to be anybody's.
+    /// Handles an answer, complete or streamed. Returns false if no client awaits it any longer.
     pub fn on_answer(self: &Rc<Self>, id: AttemptId, answer: Answer) -> bool {
-        self.running.borrow_mut().remove(&id);
-        self.step(|all, now, sink| all.on_answer(now, id, answer, sink))
+        self.running_attempts.borrow_mut().remove(&id);
+        self.step(|requests, now, commands| requests.on_answer(now, id, answer, commands))
     }
 
-    /// An attempt has brought an answer that tells of a failure. It goes to the client if nothing better comes.
+    /// Handles an error answer. The client gets it unless a later attempt yields a better one.
     pub fn on_error_answer(self: &Rc<Self>, id: AttemptId, ending: Ending, answer: Answer) {
-        self.running.borrow_mut().remove(&id);
-        self.step(|all, now, sink| all.on_error_answer(now, id, ending, answer, sink));
+        self.running_attempts.borrow_mut().remove(&id);
+        self.step(|requests, now, commands| requests.on_error_answer(now, id, ending, answer, commands));
     }
 
-    /// An attempt has brought an interim answer: the client's, as long as it waits for the final one.
+    /// Forwards an interim answer to the client while it awaits the final one.
     pub fn on_interim_answer(&self, id: AttemptId, status: StatusCode, headers: HeaderMap) {
         let handler =
             self.requests.borrow().awaited_message(id).and_then(|message| message.interim_handler.clone());
@@ -258,18 +272,20 @@
     pub fn may_begin(&self, id: AttemptId) -> bool {
         let allowed = self.requests.borrow().may_begin(self.clock.now(), id);
         if let Err(denial) = allowed {
-            self.denied(id.request, Proposed::Begin, denial);
+            self.report_denial(id.request, Proposed::Begin, denial);
         }
         allowed.is_ok()
     }
 
-    /// Counts what the rules have denied. A proposal of the decision module that would have broken a rule is a fault of the program:
-    /// it goes into the log.
-    fn denied(&self, request: RequestId, proposed: Proposed, denial: Denial) {
+    /// Counts a denial. Logs one that a correct balancer could not have caused.
+    fn report_denial(&self, request: RequestId, proposed: Proposed, denial: Denial) {
         self.figures.denied(proposed, denial.name());
         self.record(request, Event::Denied(denial.name()));
         if proposed == Proposed::Send && !denial.is_expected() {
-            log(format_args!("request {request}: proposed and denied: {}; this is a fault", denial.name()));
+            log(format_args!(
+                "request {request}: the rules denied an action proposed by the balancer: {}; this is a fault",
+                denial.name()
+            ));
         }
     }
 
@@ -280,24 +296,25 @@
 
     fn on_client_left(self: &Rc<Self>, request: RequestId) {
         self.record(request, Event::ClientLeft);
-        self.replies.borrow_mut().remove(&request);
-        self.step(|all, now, sink| all.on_client_left(now, request, sink));
+        self.waiting_clients.borrow_mut().remove(&request);
+        self.step(|requests, now, commands| requests.on_client_left(now, request, commands));
     }
 
-    /// Discovery has spoken. The transport must have been told before: what the module then sends must find it.
+    /// Handles a message from discovery. The transport must know the servers first, as attempts may be sent
+    /// at once.
     pub fn on_server_list(self: &Rc<Self>, kind: ListKind, servers: Vec<Server>) {
-        self.step(|all, now, sink| all.on_server_list(now, kind, servers, sink));
+        self.step(|requests, now, commands| requests.on_server_list(now, kind, servers, commands));
     }
 
-    /// Discovery has sent a list or a heartbeat: see [`Requests::observe_discovery`].
+    /// Records that discovery sent a list or a heartbeat: see [`Requests::observe_discovery`].
     pub fn observe_discovery(&self) {
         self.requests.borrow_mut().observe_discovery(self.clock.now());
     }
 
-    /// Other settings take over: see [`Requests::retune`].
+    /// Applies new settings: see [`Requests::retune`].
     ///
     /// # Errors
-    /// Where no node could act on the settings; the old ones stay in force.
+    /// If the settings are invalid; the old ones stay in force.
     pub fn retune(
         &self,
         settings: Settings,
@@ -306,92 +323,95 @@
         self.requests.borrow_mut().retune(self.clock.now(), settings, predecessors)
     }
 
-    /// Counts as this node of so many from here on: see [`Balancer::count_as`](corkhollow_balance::Balancer::count_as).
+    /// Sets this node's number and the size of its group: see
+    /// [`Balancer::count_as`](corkhollow_balance::Balancer::count_as).
     ///
     /// # Errors
-    /// Where there is no such number in such a group; nothing is changed then.
+    /// If `ordinal` is not below `group_size`; nothing changes then.
     pub fn count_as(&self, ordinal: u32, group_size: u32) -> Result<(), SettingsError> {
         self.requests.borrow_mut().count_as(self.clock.now(), ordinal, group_size)
     }
 
-    /// Goes by other shares of tenants: see [`Balancer::keep_quotas`](corkhollow_balance::Balancer::keep_quotas).
+    /// Replaces the tenants' quotas: see
+    /// [`Balancer::keep_quotas`](corkhollow_balance::Balancer::keep_quotas).
     ///
     /// # Errors
-    /// Where a share is no rate; the old ones stay in force.
+    /// If a quota is not a valid rate; the old quotas stay in force.
     pub fn keep_quotas(&self, quotas: Quotas) -> Result<(), SettingsError> {
         self.requests.borrow_mut().keep_quotas(quotas)
     }
 
-    /// What the module goes by now, and the servers in its list.
+    /// The balancer's current settings and server list.
     pub fn settings_and_servers(&self) -> (Settings, Vec<Server>) {
         let requests = self.requests.borrow();
         let (settings, servers) = requests.settings_and_servers();
         (settings.clone(), servers)
     }
 
-    /// Forgets tenants that have been idle for long.
+    /// Removes the state of tenants that have been idle for long.
     pub fn forget_idle(&self) {
         self.requests.borrow_mut().forget_idle(self.clock.now());
     }
 
-    /// What the module has learnt; of classes, those at these places.
-    pub fn knowledge(&self, places: &[u16]) -> Knowledge {
-        self.requests.borrow_mut().knowledge(self.clock.now(), places)
+    /// What the balancer has learnt about servers and about the classes at `class_places`.
+    pub fn knowledge(&self, class_places: &[u16]) -> Knowledge {
+        self.requests.borrow_mut().knowledge(self.clock.now(), class_places)
     }
 
-    /// Takes over what another process's module has learnt: see [`Requests::recall`].
+    /// Restores what the balancer of another process has learnt: see [`Requests::recall`].
     pub fn recall(&self, known: &Knowledge, successors: &[Option<u16>]) -> Option<usize> {
         self.requests.borrow_mut().recall(self.clock.now(), known, successors)
     }
 
-    /// Answers all that is under way by then: see [`Requests::set_shutdown_deadline`].
+    /// Sets when the node shuts down: see [`Requests::set_shutdown_deadline`].
     pub fn set_shutdown_deadline(self: &Rc<Self>, at: Nanos) {
-        self.step(|all, _, _| all.set_shutdown_deadline(at));
+        self.step(|requests, _, _| requests.set_shutdown_deadline(at));
     }
 
-    /// Servers in the list, and how many of them the module has ejected for now; brings the list's age up to date.
+    /// Number of listed servers and how many of them are ejected. Also updates the metric of the list's age.
     pub fn census(&self) -> (usize, usize) {
         let (listed, ejected, age) = self.requests.borrow().census(self.clock.now());
         self.figures.list_age.set(age as f64 / 1e9);
         (listed, ejected)
     }
 
-    /// Waits for timers and tells the module of them, until the engine is retired and its last request is over.
+    /// Fires timers until the engine is retired and its last request is over. Wakes at least once a second to
+    /// notice that.
     pub async fn run_timers(self: Rc<Self>, retired: Rc<Cell<bool>>) {
         while !(retired.get() && self.requests.borrow().is_empty()) {
             let next = self.requests.borrow().next_timer().unwrap_or(Nanos::MAX);
-            self.armed.set(next);
+            self.next_wake_at.set(next);
             let sleep =
                 tokio::time::sleep_until(self.clock.instant(next.min(self.clock.now() + 1_000_000_000)));
             tokio::select! {
                 _ = sleep => {}
-                _ = self.timer.notified() => {}
+                _ = self.wake_changed.notified() => {}
             }
-            self.step(|all, now, sink| all.fire_timers(now, sink));
+            self.step(|requests, now, commands| requests.fire_timers(now, commands));
         }
     }
 }
 
-/// A client's claim to one answer.
+/// The pending answer to a submitted request. Dropping it before the answer cancels the request.
 pub struct PendingAnswer {
     engine: Rc<Engine>,
     id: RequestId,
     answer: oneshot::Receiver<Answer>,
-    owed: bool,
+    is_pending: bool,
 }
 
 impl PendingAnswer {
     /// Waits for the answer.
     pub async fn answer(&mut self) -> Answer {
         let answer = (&mut self.answer).await;
-        self.owed = false;
+        self.is_pending = false;
         answer.unwrap_or(Answer::Failed { timed_out: true })
     }
 }
 
 impl Drop for PendingAnswer {
     fn drop(&mut self) {
-        if self.owed {
+        if self.is_pending {
             self.engine.on_client_left(self.id);
         }
     }
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,8 +1,8 @@
-//! Requests under way. What happens on the sockets becomes an event for the decision module; what the module wants
-//! is carried out, in order; each request gets one final answer.
+//! The lifecycle of proxied requests: socket activity becomes events for the balancer, and the balancer's
+//! actions are executed in order. Each request gets exactly one final answer.
 //!
-//! The engine knows no connection. The sides that hold them sit above it: fronts hand requests in
-//! ([`Engine::submit`]), and a [`Transport`] takes attempts to servers and tells how they went.
+//! The engine holds no connections. The client side submits requests ([`Engine::submit`]); a [`Transport`]
+//! sends attempts to servers and reports their results.
 
 mod body;
 mod clock;
--- a/crates/engine/src/message.rs
+++ b/crates/engine/src/message.rs
@@ -1,4 +1,5 @@
-//! What a request and its answer are made of between a front and the servers.
+//! The request and answer types that pass between the client side, the engine and the
+//! [`Transport`](crate::Transport).
 
 use crate::body::BufferedBody;
 use bytes::Bytes;
@@ -10,29 +11,29 @@
 use std::rc::Rc;
 use tokio::sync::mpsc;
 
-/// A client's request as every attempt sends it.
+/// A client's request in the form in which each attempt sends it.
 #[derive(Debug)]
 pub struct Message {
-    /// The method.
+    /// The request method.
     pub method: Method,
     /// Path and query.
     pub uri: Uri,
-    /// Headers of the message, none of the connection.
+    /// The end-to-end headers; hop-by-hop headers are removed.
     pub headers: HeaderMap,
-    /// The body.
+    /// The request body.
     pub payload: Payload,
-    /// When the client abandons it.
+    /// When the client gives up waiting.
     pub deadline: Nanos,
-    /// Where servers' interim answers go; none where the client's side cannot take them.
+    /// Receives interim (1xx) answers; `None` if the client cannot be sent any.
     pub interim_handler: Option<InterimHandler>,
 }
 
-/// What takes servers' interim answers (1xx) to a client that waits (RFC 9110, 15.2).
+/// A callback that forwards a server's interim (1xx) answers to the waiting client (RFC 9110, section 15.2).
 #[derive(Clone)]
 pub struct InterimHandler(Rc<dyn Fn(StatusCode, HeaderMap)>);
 
 impl InterimHandler {
-    /// Calls this with each.
+    /// Calls `handler` with the status and headers of each interim answer.
     pub fn new(handler: impl Fn(StatusCode, HeaderMap) + 'static) -> Self {
         InterimHandler(Rc::new(handler))
     }
@@ -51,19 +52,19 @@
 /// The body of a request.
 #[derive(Debug)]
 pub enum Payload {
-    /// All of it is here: it can be sent more than once.
+    /// Received completely; it can be sent more than once.
     Buffered(Rc<BufferedBody>),
-    /// It is still coming, and can be sent once.
+    /// Still being received; it can be sent only once.
     Stream(Rc<Upload>),
 }
 
 impl Message {
-    /// The body has gone, in whole or in part, and is not there for another attempt.
+    /// Whether an attempt has taken the streamed body, which leaves none for another attempt.
     pub fn is_body_consumed(&self) -> bool {
         matches!(&self.payload, Payload::Stream(upload) if upload.body.borrow().is_none())
     }
 
-    /// The body as it comes, where it is still coming.
+    /// The streamed body, if the body is not buffered.
     pub fn upload(&self) -> Option<&Rc<Upload>> {
         match &self.payload {
             Payload::Buffered(_) => None,
@@ -72,31 +73,32 @@
     }
 }
 
-/// A body as it comes from a client.
+/// A request body that is read from the client's connection.
 pub type ClientBody = Pin<Box<dyn Body<Data = Bytes, Error = IncompleteBody>>>;
 
-/// The body of a request that is passed on while it comes.
+/// A request body that is forwarded while it is received.
 pub struct Upload {
     body: RefCell<Option<ClientBody>>,
-    /// How far it is.
+    /// How far the body has been received.
     pub progress: Rc<UploadProgress>,
 }
 
-/// How far a body has come.
+/// The progress of a streamed request body.
 #[derive(Debug)]
 pub struct UploadProgress {
-    /// When a piece of it last went on towards a server; at first when it began.
+    /// When a frame was last passed on towards a server; initially, when the body began.
     pub last_progress_at: Cell<Nanos>,
-    /// How long it may stand still on its way, no less than whoever reads it gives the client for its next piece.
+    /// How long forwarding may stall. At least the time that the reader allows the client for its next frame.
     pub stall_timeout: Nanos,
-    /// When its last byte came, or it broke off.
+    /// When the last byte arrived or the body was cut off.
     pub ended_at: Cell<Option<Nanos>>,
-    /// The client's side has failed: what follows from that says nothing of the server.
+    /// The client failed to deliver the body; a failure of the attempt then does not count against the
+    /// server.
     pub client_failed: Cell<bool>,
 }
 
 impl UploadProgress {
-    /// Of a body that begins now.
+    /// The progress of a body that begins at `now`.
     pub fn new(now: Nanos, stall_timeout: Nanos) -> Self {
         UploadProgress {
             last_progress_at: Cell::new(now),
@@ -108,17 +110,17 @@
 }
 
 impl Upload {
-    /// The body of one request; whoever reads it from the client notes its progress.
+    /// Wraps a body whose reader updates `progress`.
     pub fn new(body: ClientBody, progress: Rc<UploadProgress>) -> Rc<Self> {
         Rc::new(Upload { body: RefCell::new(Some(body)), progress })
     }
 
-    /// The body, for an attempt; none where another has it.
+    /// Takes the body for an attempt; `None` if another attempt has it.
     pub fn take_body(&self) -> Option<ClientBody> {
         self.body.borrow_mut().take()
     }
 
-    /// Gives back a body of which nothing has been read.
+    /// Returns a body from which nothing has been read, so that another attempt can take it.
     pub fn put_back(&self, body: ClientBody) {
         *self.body.borrow_mut() = Some(body);
     }
@@ -130,61 +132,62 @@
     }
 }
 
-/// A piece of an answer's body, or word that the rest will not come.
+/// A frame of a message body, or the error that the rest of the body will not arrive.
 pub type BodyFrame = Result<Frame<Bytes>, IncompleteBody>;
 
 /// The one final answer to a request.
 #[derive(Debug)]
 pub enum Answer {
-    /// A server's answer, read to its end.
+    /// A server's complete answer.
     Buffered {
-        /// Its status.
+        /// The status code.
         status: StatusCode,
-        /// Its headers, none of the connection.
+        /// The end-to-end headers.
         headers: HeaderMap,
-        /// Its body.
+        /// The complete body.
         body: BufferedBody,
     },
-    /// A server's answer of which the rest is still to come.
+    /// A server's answer whose body is still being received.
     Stream {
-        /// Its status.
+        /// The status code.
         status: StatusCode,
-        /// Its headers, none of the connection.
+        /// The end-to-end headers.
         headers: HeaderMap,
-        /// The length of its body, where told.
+        /// The length of the body in bytes, if the server declared it.
         length: Option<u64>,
-        /// Its body, piece by piece.
+        /// The frames of the body as they arrive.
         frames: mpsc::Receiver<BodyFrame>,
     },
-    /// Turned away; a repeat is harmless.
+    /// Refused without effect; the client may safely retry.
     Refused {
-        /// When to come back; 0 for no advice.
+        /// Advised delay before a retry (`Retry-After`); 0 for none.
         retry_after: Nanos,
     },
-    /// Failed, with no word on its effect.
+    /// Failed; the request may or may not have taken effect.
     Failed {
-        /// Its time was up.
+        /// The request's deadline passed.
         timed_out: bool,
     },
 }
 
-/// The rest of a body will not come: whoever reads it has to see that it is cut.
+/// The error that a body ended early. Readers must report the truncation instead of treating the body as
+/// complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct IncompleteBody;
 
 impl std::fmt::Display for IncompleteBody {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("the body broke off")
+        f.write_str("body ended before it was complete")
     }
 }
 
 impl std::error::Error for IncompleteBody {}
 
-/// What an attempt is known by.
+/// Identifies one attempt of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct AttemptId {
-    /// The request.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
-    /// Its number among the request's attempts, from 0.
+    /// The attempt's number within the request, starting at 0.
     pub number: u8,
 }
--- a/crates/engine/src/requests.rs
+++ b/crates/engine/src/requests.rs
@@ -1,5 +1,6 @@
-//! Requests under way, as a state machine without input or output: it is given the time and what has happened, and
-//! writes down what is to be done. The shell around it carries that out on sockets, a test on a simulated network.
+//! The lifecycle of requests as a state machine without I/O: it receives the time and an event, and appends
+//! the commands that follow from it. [`Engine`](crate::Engine) executes them on sockets, a test on a
+//! simulated network.
 
 use crate::message::AttemptId;
 use crate::rules::{self, AttemptState, Denial, RequestState, RetryPolicy, SentAttempt};
@@ -12,46 +13,46 @@
 use std::collections::{BinaryHeap, HashMap, HashSet};
 use std::hash::Hash;
 
-/// What discovery is asked to do, where the list has to be asked for.
+/// A call to discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryCall {
-    /// Open a watch.
+    /// Open a watch on the server list.
     Subscribe,
-    /// Fetch the list once.
+    /// Fetch the server list once.
     Fetch,
 }
 
-/// What is carried to servers for a request: a handle that is cheap to clone.
+/// A request as attempts send it: a handle that is cheap to clone.
 pub trait RequestMessage: Clone {
-    /// It has gone, in whole or in part, and is not there for another attempt.
+    /// Whether an attempt has consumed the body, which leaves none for another attempt.
     fn is_body_consumed(&self) -> bool;
 
-    /// When the request's time is up, as far as it is known by now, where that depends on how far its body has come. The
-    /// patience is how long it may take from the end of its body.
-    fn deadline(&self, patience: Nanos) -> Option<Nanos>;
+    /// The present deadline if it depends on the progress of the request body; it may move later. `timeout`
+    /// counts from the end of the body.
+    fn deadline(&self, timeout: Nanos) -> Option<Nanos>;
 }
 
-/// The one final answer.
+/// The final answer to a request; there is exactly one.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FinalAnswer<A> {
-    /// A server's.
+    /// A server's answer.
     FromServer(A),
-    /// Turned away; a repeat is harmless.
+    /// Refused without effect; the client may safely retry.
     Refused {
-        /// When to come back; 0 for no advice.
+        /// Advised delay before a retry (`Retry-After`); 0 for none.
         retry_after: Nanos,
-        /// Why.
+        /// The reason for the refusal.
         reason: Refusal,
     },
-    /// Failed, with no word on its effect.
+    /// Failed; the request may or may not have taken effect.
     Failed {
-        /// Its time was up.
+        /// The request's deadline passed.
         timed_out: bool,
     },
 }
 
 impl<A> FinalAnswer<A> {
-    /// Its name in events, with the reason where there was a choice.
+    /// The name used on the events page; for a refusal, its reason.
     pub fn name(&self) -> &'static str {
         match self {
             FinalAnswer::FromServer(_) => "by-server",
@@ -62,142 +63,147 @@
     }
 }
 
-/// What is to be done, in the order in which it is written down.
+/// A command for the executor. Commands are executed in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command<M, A> {
-    /// Begin an attempt.
+    /// Start an attempt.
     Send {
-        /// Which one.
+        /// The attempt.
         id: AttemptId,
-        /// Where to.
+        /// The server to send to.
         server: ServerId,
-        /// What is carried.
+        /// The request to send.
         message: M,
-        /// It goes out beside another attempt of its request.
+        /// Whether another attempt of the request is still open.
         hedge: bool,
     },
-    /// Nobody waits for the attempt any longer.
+    /// The attempt's result is no longer needed.
     Abandon(AttemptId),
-    /// The attempt's request is over. Where its last byte has not been written, it must not be: then it is called off, and
-    /// has [`Ending::NotSent`]. One that is written goes on to its end.
+    /// The request is over. An attempt whose last byte has not been written is cancelled and ends with
+    /// [`Ending::NotSent`]; one that has been written continues.
     CancelUnsent(AttemptId),
-    /// Give the client its final answer. Comes once for each request, unless its client leaves before.
+    /// Give the client its final answer. Issued once per request, unless the client disconnects first.
     Answer {
-        /// Whose.
+        /// The request.
         request: RequestId,
-        /// The answer.
+        /// The final answer.
         answer: FinalAnswer<A>,
     },
-    /// Ask discovery.
+    /// Call discovery.
     CallDiscovery(DiscoveryCall),
-    /// Write a line of the module's, about this server.
+    /// Write a line to the log.
     Log {
-        /// The server, where it is about one.
+        /// The server that the line is about, if any.
         server: Option<ServerId>,
-        /// The line.
+        /// The text of the line.
         text: String,
     },
-    /// For the figures: an attempt has ended.
+    /// For metrics: an attempt has ended.
     AttemptEnded {
-        /// Which one.
+        /// The attempt.
         id: AttemptId,
-        /// How.
+        /// How it ended.
         ending: Ending,
     },
-    /// For the figures: an attempt follows on another one of its request.
+    /// For metrics: a request gets another attempt, as a retry or a hedge.
     AttemptRepeated {
-        /// How the one before has ended; none where it is open and this one is a hedge.
+        /// How the previous attempt ended; `None` for a hedge.
         after: Option<Ending>,
     },
-    /// For the figures: the decision module has proposed what the rules deny, and it is not done.
+    /// For metrics: the rules denied an action of the balancer, and it was not carried out.
     ProposalDenied {
-        /// Of this request.
+        /// The request.
         request: RequestId,
-        /// Why.
+        /// The reason.
         denial: Denial,
     },
 }
 
 struct Attempt {
     record: SentAttempt,
-    /// How long its server took to answer, once the answer's head is there.
-    took: Option<Nanos>,
-    sent: bool,
+    /// Time from the request's last byte to the head of the answer, once that has arrived.
+    latency: Option<Nanos>,
+    /// False if the rules denied the attempt.
+    was_sent: bool,
 }
 
-struct Live<N, M, A> {
-    /// Its client's id, held in `names`, where the front wants it to be the only one.
-    name: Option<N>,
+struct ActiveRequest<C, M, A> {
+    /// The client's own request ID, also in [`Requests::client_request_ids`], if it must be unique among
+    /// active requests.
+    client_request_id: Option<C>,
     message: M,
     give_up_at: Nanos,
-    /// How long it may take from the end of its body.
-    patience: Nanos,
-    /// The client waits for an answer.
-    owed: bool,
+    /// Time allowed from the end of the request body.
+    timeout: Nanos,
+    /// Whether the client is still waiting for its final answer.
+    is_awaited: bool,
     attempts: Vec<Attempt>,
-    /// What the settings allowed for it when it was taken.
+    /// The policy in force when the request was accepted; `None` if its class was unknown.
     policy: Option<RetryPolicy>,
-    /// A server's own answer that tells of a failure: the client's, unless a later attempt brings a better one.
+    /// A server's error answer, given to the client unless a later attempt yields a better one.
     fallback: Option<A>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Wake {
-    Module(u32),
+enum Timer {
+    /// A timer of the balancer, by its token.
+    Balancer(u32),
     Deadline(RequestId),
     AttemptTimeout(RequestId, u8),
 }
 
-/// The requests of one pool, its balancer and its timers. `N` names requests, `M` is what is carried, `A` a server's answer.
-/// Equal settings, seed, times and events give equal commands.
-pub struct Requests<N, M, A> {
+/// The requests, balancer and timers of one pool. `C` is the type of clients' request IDs, `M` of messages to
+/// servers, `A` of servers' answers. Deterministic: equal settings, seed, times and events yield equal
+/// commands.
+pub struct Requests<C, M, A> {
     balancer: Balancer,
-    /// Bounded by the clients' connections: each carries one request, and attempts outlive it by a deadline.
-    live: HashMap<RequestId, Live<N, M, A>>,
-    /// The clients' ids of all that is live: a second request under one of them would be a second copy.
-    names: HashSet<N>,
-    /// Bounded by the rate of requests times the longest give-up time: an entry stays until it is due.
-    timers: BinaryHeap<Reverse<(Nanos, Wake)>>,
-    /// Empty between events: its memory serves the next one.
+    /// Bounded by the number of client connections, each with one request; attempts outlive it until its
+    /// deadline at most.
+    active: HashMap<RequestId, ActiveRequest<C, M, A>>,
+    /// The clients' IDs of the active requests; a second request with the same ID would be a duplicate.
+    client_request_ids: HashSet<C>,
+    /// Bounded by the request rate times the longest timeout, as entries stay until they are due.
+    timers: BinaryHeap<Reverse<(Nanos, Timer)>>,
+    /// A reused buffer, empty between events.
     actions: Vec<Action>,
     next_id: RequestId,
-    /// When discovery last told of servers.
-    listed_at: Nanos,
-    /// The node leaves: all is answered by then.
-    ends_at: Nanos,
+    /// When discovery last sent a full list or changes.
+    last_list_at: Nanos,
+    /// When the node shuts down; every request is answered by then.
+    shutdown_at: Nanos,
 }
 
-impl<N: Clone + Eq + Hash, M: RequestMessage, A> Requests<N, M, A> {
-    /// None yet, and no servers. The seed settles the balancer's random draws.
+impl<C: Clone + Eq + Hash, M: RequestMessage, A> Requests<C, M, A> {
+    /// Starts without requests and servers. `seed` seeds the balancer's random number generator.
     ///
     /// # Errors
-    /// Where no node could act on the settings.
+    /// If the settings are invalid.
     pub fn new(now: Nanos, settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         Ok(Requests {
             balancer: Balancer::new(settings, seed)?,
-            live: HashMap::new(),
-            names: HashSet::new(),
+            active: HashMap::new(),
+            client_request_ids: HashSet::new(),
             timers: BinaryHeap::new(),
             actions: Vec::new(),
             next_id: 0,
-            listed_at: now,
-            ends_at: Nanos::MAX,
+            last_list_at: now,
+            shutdown_at: Nanos::MAX,
         })
     }
 
-    /// The number that the next request gets.
+    /// The ID that the next request will get.
     pub fn next_id(&self) -> RequestId {
         self.next_id
     }
 
-    /// How many are under way, those with them that are answered and have an attempt out.
+    /// Number of active requests, including answered ones with an open attempt.
     pub fn len(&self) -> usize {
-        self.live.len()
+        self.active.len()
     }
 
-    /// Whether none is under way.
+    /// Whether no request is active.
     pub fn is_empty(&self) -> bool {
-        self.live.is_empty()
+        self.active.is_empty()
     }
 
     /// When [`Requests::fire_timers`] is due next.
@@ -205,186 +211,204 @@
         self.timers.peek().map(|Reverse((at, _))| *at)
     }
 
-    /// Takes a request, which gets one answer by `give_up_at`. None, with nothing taken, where it has a name and another
-    /// one of that name is live.
+    /// Accepts a request, which will get one answer by `give_up_at`. Returns `None` and accepts nothing if
+    /// another active request has the same `client_request_id`.
     pub fn submit(
         &mut self,
         now: Nanos,
-        name: Option<N>,
+        client_request_id: Option<C>,
         request: Request,
         message: M,
-        sink: &mut Vec<Command<M, A>>,
+        commands: &mut Vec<Command<M, A>>,
     ) -> Option<RequestId> {
-        if name.as_ref().is_some_and(|name| !self.names.insert(name.clone())) {
+        if client_request_id
+            .as_ref()
+            .is_some_and(|client_request_id| !self.client_request_ids.insert(client_request_id.clone()))
+        {
             return None;
         }
-        let (id, give_up_at) = (self.next_id, request.give_up_at.min(self.ends_at));
+        let (id, give_up_at) = (self.next_id, request.give_up_at.min(self.shutdown_at));
         self.next_id = id.wrapping_add(1);
         let settings = self.balancer.settings();
         let class = settings.classes.get(usize::from(request.class));
-        let live = Live {
-            name,
+        let entry = ActiveRequest {
+            client_request_id,
             message,
             give_up_at,
-            patience: give_up_at.saturating_sub(now),
-            owed: true,
+            timeout: give_up_at.saturating_sub(now),
+            is_awaited: true,
             attempts: Vec::new(),
             policy: class.map(|class| RetryPolicy::for_class(class, settings)),
             fallback: None,
         };
-        self.live.insert(id, live);
-        self.timers.push(Reverse((give_up_at, Wake::Deadline(id))));
-        self.handle(now, Event::Request(Request { id, give_up_at, ..request }), sink);
+        self.active.insert(id, entry);
+        self.timers.push(Reverse((give_up_at, Timer::Deadline(id))));
+        self.handle_event(now, Event::Request(Request { id, give_up_at, ..request }), commands);
         Some(id)
     }
 
-    /// An attempt has come to an end without an answer for the client.
+    /// Handles an attempt that ended without an answer for the client.
     pub fn on_attempt_ended(
         &mut self,
         now: Nanos,
         id: AttemptId,
         ending: Ending,
-        sink: &mut Vec<Command<M, A>>,
+        commands: &mut Vec<Command<M, A>>,
     ) {
-        self.conclude(now, id, ending, sink);
+        self.end_attempt(now, id, ending, commands);
     }
 
-    /// A server has the last byte of a request that went on as it came.
-    pub fn on_request_written(&mut self, now: Nanos, id: AttemptId, sink: &mut Vec<Command<M, A>>) {
-        self.handle(now, Event::Written { request: id.request, attempt: id.number }, sink);
+    /// Handles the last byte of a streamed request having been written to a server.
+    pub fn on_request_written(&mut self, now: Nanos, id: AttemptId, commands: &mut Vec<Command<M, A>>) {
+        self.handle_event(now, Event::Written { request: id.request, attempt: id.number }, commands);
     }
 
-    /// The head of an answer has come, so long after the request's last byte went. That tells how busy the server is;
-    /// how long the bodies take on their way, slow peers that they are, does not.
-    pub fn on_answer_head(&mut self, id: AttemptId, took: Nanos) {
-        let attempts = self.live.get_mut(&id.request).map(|live| &mut live.attempts);
+    /// Records the arrival of an answer's head, `latency` after the request's last byte. Unlike the transfer
+    /// times of the bodies, which depend on slow peers, this reflects the load of the server.
+    pub fn on_answer_head(&mut self, id: AttemptId, latency: Nanos) {
+        let attempts = self.active.get_mut(&id.request).map(|entry| &mut entry.attempts);
         if let Some(attempt) = attempts.and_then(|all| all.get_mut(usize::from(id.number))) {
-            attempt.took = Some(took);
+            attempt.latency = Some(latency);
         }
     }
 
     fn is_open(&self, id: AttemptId) -> bool {
-        let attempt = self.live.get(&id.request).and_then(|l| l.attempts.get(usize::from(id.number)));
-        attempt.is_some_and(|a| a.record.is_open())
+        let attempt =
+            self.active.get(&id.request).and_then(|entry| entry.attempts.get(usize::from(id.number)));
+        attempt.is_some_and(|attempt| attempt.record.is_open())
     }
 
-    /// An attempt has brought the client's answer, or the beginning of it. False where it comes too late to be
-    /// anybody's.
+    /// Handles an answer for the client, or the beginning of a streamed one. Returns false if no client
+    /// awaits it any longer.
     ///
-    /// The module hears that it is served, now: a long answer's time is that of its first bytes. Told at the end,
-    /// it would take a server whose answer a slow client reads for a hung one, and leave it out. (The classes
-    /// that the settings call streams are another thing; this site has none.)
-    pub fn on_answer(&mut self, now: Nanos, id: AttemptId, answer: A, sink: &mut Vec<Command<M, A>>) -> bool {
+    /// The balancer is told of the success now, not at the end of a streamed body; otherwise a client that
+    /// reads slowly would make the server look hung. [`Event::StreamStarted`] is not used.
+    pub fn on_answer(
+        &mut self,
+        now: Nanos,
+        id: AttemptId,
+        answer: A,
+        commands: &mut Vec<Command<M, A>>,
+    ) -> bool {
         if !self.is_open(id) {
             return false;
         }
-        let live = self.live.get_mut(&id.request).expect("an open attempt has its request");
-        let owed = std::mem::take(&mut live.owed);
-        if owed {
-            sink.push(Command::Answer { request: id.request, answer: FinalAnswer::FromServer(answer) });
+        let entry = self.active.get_mut(&id.request).expect("an open attempt has its request");
+        let was_awaited = std::mem::take(&mut entry.is_awaited);
+        if was_awaited {
+            commands.push(Command::Answer { request: id.request, answer: FinalAnswer::FromServer(answer) });
         }
-        self.conclude(now, id, Ending::Ok, sink);
-        if owed {
-            self.cancel_unsent(id.request, sink);
+        self.end_attempt(now, id, Ending::Ok, commands);
+        if was_awaited {
+            self.cancel_unsent(id.request, commands);
         }
-        owed
+        was_awaited
     }
 
-    /// An attempt has brought an answer that tells of a failure. It goes to the client if nothing better comes.
+    /// Handles an error answer. The client gets it unless a later attempt yields a better one.
     pub fn on_error_answer(
         &mut self,
         now: Nanos,
         id: AttemptId,
         ending: Ending,
         answer: A,
-        sink: &mut Vec<Command<M, A>>,
+        commands: &mut Vec<Command<M, A>>,
     ) {
         if self.is_open(id) {
-            if let Some(live) = self.live.get_mut(&id.request) {
-                live.fallback = Some(answer);
+            if let Some(entry) = self.active.get_mut(&id.request) {
+                entry.fallback = Some(answer);
             }
-            self.conclude(now, id, ending, sink);
+            self.end_attempt(now, id, ending, commands);
         }
     }
 
-    /// What is carried for an attempt's request, while the attempt is out and a client waits for its answer.
+    /// The message of an attempt, while the attempt is open and the client awaits its answer.
     pub fn awaited_message(&self, id: AttemptId) -> Option<&M> {
-        self.live.get(&id.request).filter(|live| live.owed && self.is_open(id)).map(|live| &live.message)
+        self.active
+            .get(&id.request)
+            .filter(|entry| entry.is_awaited && self.is_open(id))
+            .map(|entry| &entry.message)
     }
 
-    /// Whether an attempt may still be written. To be asked right before its first byte goes: opening a connection takes
-    /// time, in which its client may leave, its request be answered, its server be told to drain, or what must not run
-    /// twice be forgotten by those who would have known it again.
+    /// Whether an attempt may still be written; to be checked right before its first byte. While the
+    /// connection was being established, the client may have left, the request may have been answered, the
+    /// server may have started to drain, or the idempotency window may have passed.
     ///
     /// # Errors
-    /// Why it may not.
+    /// The reason why it may not.
     pub fn may_begin(&self, now: Nanos, id: AttemptId) -> Result<(), Denial> {
         let number = usize::from(id.number);
-        let live = self.live.get(&id.request).ok_or(Denial::RequestOver)?;
-        let attempt = live.attempts.get(number).filter(|attempt| attempt.record.is_open());
+        let entry = self.active.get(&id.request).ok_or(Denial::RequestOver)?;
+        let attempt = entry.attempts.get(number).filter(|attempt| attempt.record.is_open());
         let attempt = attempt.ok_or(Denial::RequestOver)?;
-        let others = live.attempts.iter().enumerate().filter(|(at, _)| *at != number);
+        let others = entry.attempts.iter().enumerate().filter(|(index, _)| *index != number);
         let others = others.map(|(_, other)| &other.record);
         let server = self.balancer.server(attempt.record.server.id);
-        rules::may_send(now, self.facts(live)?, others, server)
+        rules::may_send(now, self.state_of(entry)?, others, server)
     }
 
-    fn facts(&self, live: &Live<N, M, A>) -> Result<RequestState, Denial> {
-        let policy = live.policy.ok_or(Denial::RequestOver)?;
-        Ok(RequestState { policy, is_awaited: live.owed, deadline: self.due(live) })
+    fn state_of(&self, entry: &ActiveRequest<C, M, A>) -> Result<RequestState, Denial> {
+        let policy = entry.policy.ok_or(Denial::RequestOver)?;
+        Ok(RequestState { policy, is_awaited: entry.is_awaited, deadline: self.deadline_of(entry) })
     }
 
-    /// Whether the attempt that the decision module proposes may be sent.
-    fn may_send(&self, now: Nanos, live: &Live<N, M, A>, server: ServerId) -> Result<(), Denial> {
-        let earlier = live.attempts.iter().map(|attempt| &attempt.record);
-        rules::may_send(now, self.facts(live)?, earlier, self.balancer.server(server))?;
-        match live.message.is_body_consumed() {
+    /// Whether the rules allow the attempt that the balancer proposes.
+    fn may_send(&self, now: Nanos, entry: &ActiveRequest<C, M, A>, server: ServerId) -> Result<(), Denial> {
+        let others = entry.attempts.iter().map(|attempt| &attempt.record);
+        rules::may_send(now, self.state_of(entry)?, others, self.balancer.server(server))?;
+        match entry.message.is_body_consumed() {
             true => Err(Denial::BodySpent),
             false => Ok(()),
         }
     }
 
-    /// The client is gone: nothing more is owed.
-    pub fn on_client_left(&mut self, now: Nanos, request: RequestId, sink: &mut Vec<Command<M, A>>) {
-        let owed = self.live.get_mut(&request).is_some_and(|live| std::mem::take(&mut live.owed));
-        if owed {
-            self.handle(now, Event::ClientGone { request }, sink);
-            self.cancel_unsent(request, sink);
-            self.forget(request);
+    /// Handles the disconnection of a client, who needs no answer any longer.
+    pub fn on_client_left(&mut self, now: Nanos, request: RequestId, commands: &mut Vec<Command<M, A>>) {
+        let was_awaited =
+            self.active.get_mut(&request).is_some_and(|entry| std::mem::take(&mut entry.is_awaited));
+        if was_awaited {
+            self.handle_event(now, Event::ClientGone { request }, commands);
+            self.cancel_unsent(request, commands);
+            self.remove_if_over(request);
         }
     }
 
-    /// Calls off what has not been written of a request that is over, whatever the settings say of cancelling.
-    fn cancel_unsent(&self, request: RequestId, sink: &mut Vec<Command<M, A>>) {
-        let attempts = self.live.get(&request).map_or(&[][..], |live| &live.attempts);
+    /// Cancels the unwritten attempts of a request that is over, even if the settings do not allow
+    /// cancelling.
+    fn cancel_unsent(&self, request: RequestId, commands: &mut Vec<Command<M, A>>) {
+        let attempts = self.active.get(&request).map_or(&[][..], |entry| &entry.attempts);
         let open = attempts.iter().enumerate().filter(|(_, attempt)| attempt.record.is_open());
-        sink.extend(open.map(|(k, _)| Command::CancelUnsent(AttemptId { request, number: k as u8 })));
+        commands.extend(
+            open.map(|(number, _)| Command::CancelUnsent(AttemptId { request, number: number as u8 })),
+        );
     }
 
-    /// Discovery has spoken. Whoever carries attempts must have been told before: what is then sent must find it.
+    /// Handles a message from discovery. The transport must know the servers first, as attempts may be sent
+    /// at once.
     pub fn on_server_list(
         &mut self,
         now: Nanos,
         kind: ListKind,
         servers: Vec<Server>,
-        sink: &mut Vec<Command<M, A>>,
+        commands: &mut Vec<Command<M, A>>,
     ) {
         if matches!(kind, ListKind::Changes | ListKind::Full) {
-            self.listed_at = now;
+            self.last_list_at = now;
         }
-        self.handle(now, Event::List { kind, servers }, sink);
+        self.handle_event(now, Event::List { kind, servers }, commands);
     }
 
-    /// Discovery has sent a list, which has been taken in, or a heartbeat: see [`Balancer::observe_discovery`].
+    /// Records that discovery sent a list, which has been applied, or a heartbeat: see
+    /// [`Balancer::observe_discovery`].
     pub fn observe_discovery(&mut self, now: Nanos) {
         self.balancer.observe_discovery(now);
     }
 
-    /// Other settings take over; requests that are open keep the rules under which they were taken. `predecessors` and what
-    /// this returns: see [`Balancer::retune`].
+    /// Applies new settings; active requests keep the policy under which they were accepted. For
+    /// `predecessors` and the returned value see [`Balancer::retune`].
     ///
     /// # Errors
-    /// Where no node could act on the settings; the old ones stay in force.
+    /// If the settings are invalid; the old ones stay in force.
     pub fn retune(
         &mut self,
         now: Nanos,
@@ -394,219 +418,237 @@
         self.balancer.retune(now, settings, predecessors)
     }
 
-    /// Counts as this node of so many from here on: see [`Balancer::count_as`].
+    /// Sets this node's number and the size of its group: see [`Balancer::count_as`].
     ///
     /// # Errors
-    /// Where there is no such number in such a group; nothing is changed then.
+    /// If `ordinal` is not below `group_size`; nothing changes then.
     pub fn count_as(&mut self, now: Nanos, ordinal: u32, group_size: u32) -> Result<(), SettingsError> {
         self.balancer.count_as(now, ordinal, group_size)
     }
 
-    /// Goes by other shares of tenants: see [`Balancer::keep_quotas`].
+    /// Replaces the tenants' quotas: see [`Balancer::keep_quotas`].
     ///
     /// # Errors
-    /// Where a share is no rate; the old ones stay in force.
+    /// If a quota is not a valid rate; the old quotas stay in force.
     pub fn keep_quotas(&mut self, quotas: Quotas) -> Result<(), SettingsError> {
         self.balancer.keep_quotas(quotas)
     }
 
-    /// What the module goes by now, and the servers in its list.
+    /// The balancer's current settings and server list.
     pub fn settings_and_servers(&self) -> (&Settings, Vec<Server>) {
         (self.balancer.settings(), self.balancer.listed())
     }
 
-    /// Forgets tenants that have been idle for long: see [`Balancer::forget_idle`].
+    /// Removes the state of tenants that have been idle for long: see [`Balancer::forget_idle`].
     pub fn forget_idle(&mut self, now: Nanos) {
         self.balancer.forget_idle(now);
     }
 
-    /// What the module has learnt; of classes, those at these places.
+    /// What the balancer has learnt about servers and about the classes at `places`.
     pub fn knowledge(&mut self, now: Nanos, places: &[u16]) -> Knowledge {
         self.balancer.knowledge(now, places)
     }
 
-    /// Takes over what another process's module has learnt: see [`Balancer::recall`].
+    /// Restores what the balancer of another process has learnt: see [`Balancer::recall`].
     pub fn recall(&mut self, now: Nanos, known: &Knowledge, successors: &[Option<u16>]) -> Option<usize> {
         self.balancer.recall(now, known, successors)
     }
 
-    /// Servers in the list, how many of them the module has ejected for now, and how old the list is.
+    /// Number of listed servers, how many of them are ejected, and the age of the list.
     pub fn census(&self, now: Nanos) -> (usize, usize, Nanos) {
         let (listed, ejected) = self.balancer.census(now);
-        (listed, ejected, now.saturating_sub(self.listed_at))
+        (listed, ejected, now.saturating_sub(self.last_list_at))
     }
 
-    /// Tells of all timers that are due.
-    pub fn fire_timers(&mut self, now: Nanos, sink: &mut Vec<Command<M, A>>) {
-        while let Some(&Reverse((_, wake))) = self.timers.peek().filter(|t| t.0 .0 <= now) {
+    /// Fires all timers that are due.
+    pub fn fire_timers(&mut self, now: Nanos, commands: &mut Vec<Command<M, A>>) {
+        while let Some(&Reverse((_, timer))) = self.timers.peek().filter(|next| next.0 .0 <= now) {
             self.timers.pop();
-            match wake {
-                Wake::Module(token) => self.handle(now, Event::Timer { token }, sink),
-                Wake::Deadline(id) => self.deadline(now, id, sink),
-                Wake::AttemptTimeout(request, number) => {
-                    self.conclude(now, AttemptId { request, number }, Ending::TimedOut, sink);
+            match timer {
+                Timer::Balancer(token) => self.handle_event(now, Event::Timer { token }, commands),
+                Timer::Deadline(id) => self.expire(now, id, commands),
+                Timer::AttemptTimeout(request, number) => {
+                    self.end_attempt(now, AttemptId { request, number }, Ending::TimedOut, commands);
                 }
             }
         }
     }
 
-    /// Nobody will be there to answer after this: what is under way then has failed, and so has what comes and would wait
-    /// longer.
+    /// Sets when the node shuts down: requests still active then fail, and new requests get no later
+    /// deadline.
     pub fn set_shutdown_deadline(&mut self, at: Nanos) {
-        self.ends_at = at;
-        let late = self.live.iter().filter(|(_, live)| live.owed);
-        self.timers.extend(late.map(|(id, _)| Reverse((at, Wake::Deadline(*id)))));
+        self.shutdown_at = at;
+        let awaited = self.active.iter().filter(|(_, entry)| entry.is_awaited);
+        self.timers.extend(awaited.map(|(id, _)| Reverse((at, Timer::Deadline(*id)))));
     }
 
-    /// When a request's time is up. Where its body is still coming that counts from the body's end.
-    fn due(&self, live: &Live<N, M, A>) -> Nanos {
-        live.message.deadline(live.patience).unwrap_or(live.give_up_at).min(self.ends_at)
+    /// The deadline of a request. For a streamed request body it depends on the body's progress.
+    fn deadline_of(&self, entry: &ActiveRequest<C, M, A>) -> Nanos {
+        entry.message.deadline(entry.timeout).unwrap_or(entry.give_up_at).min(self.shutdown_at)
     }
 
-    /// The client waits no longer: all that is out has timed out.
-    fn deadline(&mut self, now: Nanos, request: RequestId, sink: &mut Vec<Command<M, A>>) {
-        let Some(live) = self.live.get(&request) else { return };
-        let due = self.due(live);
-        if live.owed && due > now {
-            return self.timers.push(Reverse((due, Wake::Deadline(request))));
+    /// Ends a request at its deadline, and its open attempts as timed out.
+    fn expire(&mut self, now: Nanos, request: RequestId, commands: &mut Vec<Command<M, A>>) {
+        let Some(entry) = self.active.get(&request) else { return };
+        let deadline = self.deadline_of(entry);
+        if entry.is_awaited && deadline > now {
+            return self.timers.push(Reverse((deadline, Timer::Deadline(request))));
         }
-        // The answer first: where the node leaves, the module knows of more time, and would use it.
-        let (owed, attempts) = (live.owed, live.attempts.len() as u8);
-        self.answer(request, FinalAnswer::Failed { timed_out: true }, sink);
-        for number in 0..attempts {
-            self.conclude(now, AttemptId { request, number }, Ending::TimedOut, sink);
+        // Answered before the attempts end: at a shutdown the balancer still assumes the original deadline
+        // and would retry.
+        let (was_awaited, attempt_count) = (entry.is_awaited, entry.attempts.len() as u8);
+        self.answer_client(request, FinalAnswer::Failed { timed_out: true }, commands);
+        for number in 0..attempt_count {
+            self.end_attempt(now, AttemptId { request, number }, Ending::TimedOut, commands);
         }
-        if owed {
-            self.handle(now, Event::ClientGone { request }, sink);
+        if was_awaited {
+            self.handle_event(now, Event::ClientGone { request }, commands);
         }
-        self.forget(request);
+        self.remove_if_over(request);
     }
 
-    fn conclude(&mut self, now: Nanos, id: AttemptId, ending: Ending, sink: &mut Vec<Command<M, A>>) {
-        let Some(live) = self.live.get_mut(&id.request) else { return };
-        let Some(attempt) = live.attempts.get_mut(usize::from(id.number)).filter(|a| a.record.is_open())
+    fn end_attempt(&mut self, now: Nanos, id: AttemptId, ending: Ending, commands: &mut Vec<Command<M, A>>) {
+        let Some(entry) = self.active.get_mut(&id.request) else { return };
+        let Some(attempt) =
+            entry.attempts.get_mut(usize::from(id.number)).filter(|attempt| attempt.record.is_open())
         else {
             return;
         };
         attempt.record.state = AttemptState::Ended(ending);
-        sink.push(Command::AttemptEnded { id, ending });
+        commands.push(Command::AttemptEnded { id, ending });
         let event = Event::Outcome {
             request: id.request,
             server: attempt.record.server.id,
             attempt: id.number,
-            finished: !live.owed,
-            took: attempt.took.unwrap_or(now.saturating_sub(attempt.record.sent_at)),
+            finished: !entry.is_awaited,
+            took: attempt.latency.unwrap_or(now.saturating_sub(attempt.record.sent_at)),
             ending,
-            spent: live.message.is_body_consumed(),
+            spent: entry.message.is_body_consumed(),
             report: None,
         };
-        if attempt.sent && matches!(ending, Ending::TimedOut | Ending::Cancelled) {
-            sink.push(Command::Abandon(id));
+        if attempt.was_sent && matches!(ending, Ending::TimedOut | Ending::Cancelled) {
+            commands.push(Command::Abandon(id));
         }
-        self.handle(now, event, sink);
-        self.forget(id.request);
+        self.handle_event(now, event, commands);
+        self.remove_if_over(id.request);
     }
 
-    /// Drops a request that is answered and has no attempt out.
-    fn forget(&mut self, request: RequestId) {
-        let over = |l: &Live<N, M, A>| !l.owed && l.attempts.iter().all(|a| !a.record.is_open());
-        if self.live.get(&request).is_some_and(over) {
-            if let Some(name) = self.live.remove(&request).and_then(|live| live.name) {
-                self.names.remove(&name);
+    /// Removes a request that no client awaits and that has no open attempt.
+    fn remove_if_over(&mut self, request: RequestId) {
+        let is_over = |entry: &ActiveRequest<C, M, A>| {
+            !entry.is_awaited && entry.attempts.iter().all(|attempt| !attempt.record.is_open())
+        };
+        if self.active.get(&request).is_some_and(is_over) {
+            if let Some(client_request_id) =
+                self.active.remove(&request).and_then(|entry| entry.client_request_id)
+            {
+                self.client_request_ids.remove(&client_request_id);
             }
         }
     }
 
-    fn handle(&mut self, now: Nanos, event: Event, sink: &mut Vec<Command<M, A>>) {
+    fn handle_event(&mut self, now: Nanos, event: Event, commands: &mut Vec<Command<M, A>>) {
         let mut actions = std::mem::take(&mut self.actions);
         self.balancer.handle(now, event, &mut actions);
         for action in actions.drain(..) {
-            self.carry_out(now, action, sink);
+            self.execute(now, action, commands);
         }
         self.actions = actions;
     }
 
-    fn carry_out(&mut self, now: Nanos, action: Action, sink: &mut Vec<Command<M, A>>) {
+    fn execute(&mut self, now: Nanos, action: Action, commands: &mut Vec<Command<M, A>>) {
         match action {
-            Action::Send { request, server, timeout } => self.send(now, request, server, timeout, sink),
+            Action::Send { request, server, timeout } => {
+                self.send_attempt(now, request, server, timeout, commands)
+            }
             Action::Refuse { request, retry_after, reason } => {
-                self.refuse(request, FinalAnswer::Refused { retry_after, reason }, sink);
+                self.refuse_or_fail(request, FinalAnswer::Refused { retry_after, reason }, commands);
             }
             Action::Fail { request } => {
-                let timed_out = self.live.get(&request).is_some_and(|live| live.give_up_at <= now);
-                self.answer(request, FinalAnswer::Failed { timed_out }, sink);
+                let timed_out = self.active.get(&request).is_some_and(|entry| entry.give_up_at <= now);
+                self.answer_client(request, FinalAnswer::Failed { timed_out }, commands);
             }
             Action::Cancel { request, attempt } => {
-                self.conclude(now, AttemptId { request, number: attempt }, Ending::Cancelled, sink);
+                self.end_attempt(now, AttemptId { request, number: attempt }, Ending::Cancelled, commands);
             }
             Action::StartTimer { after, token } => {
-                self.timers.push(Reverse((now.saturating_add(after), Wake::Module(token))));
+                self.timers.push(Reverse((now.saturating_add(after), Timer::Balancer(token))));
             }
-            Action::Subscribe => sink.push(Command::CallDiscovery(DiscoveryCall::Subscribe)),
-            Action::FetchList => sink.push(Command::CallDiscovery(DiscoveryCall::Fetch)),
-            Action::Log { server, text } => sink.push(Command::Log { server, text }),
-            // The site allows neither, and the module asks for neither.
+            Action::Subscribe => commands.push(Command::CallDiscovery(DiscoveryCall::Subscribe)),
+            Action::FetchList => commands.push(Command::CallDiscovery(DiscoveryCall::Fetch)),
+            Action::Log { server, text } => commands.push(Command::Log { server, text }),
+            // Probes and peer messages are not supported here; the balancer does not request them.
             Action::Probe { .. } | Action::Tell { .. } => {}
         }
     }
 
-    fn send(
+    fn send_attempt(
         &mut self,
         now: Nanos,
         request: RequestId,
         server: ServerId,
         timeout: Nanos,
-        sink: &mut Vec<Command<M, A>>,
+        commands: &mut Vec<Command<M, A>>,
     ) {
-        let Some(live) = self.live.get(&request) else { return };
-        let allowed = self.may_send(now, live, server);
+        let Some(entry) = self.active.get(&request) else { return };
+        let allowed = self.may_send(now, entry, server);
         let listed = self.balancer.server(server).copied().unwrap_or(Server::warm(server));
-        let Some(live) = self.live.get_mut(&request) else { return };
-        let id = AttemptId { request, number: live.attempts.len() as u8 };
-        live.fallback = None;
-        let hedge = live.attempts.iter().any(|attempt| attempt.record.is_open());
-        if let Some(last) = live.attempts.last() {
+        let Some(entry) = self.active.get_mut(&request) else { return };
+        let id = AttemptId { request, number: entry.attempts.len() as u8 };
+        entry.fallback = None;
+        let hedge = entry.attempts.iter().any(|attempt| attempt.record.is_open());
+        if let Some(last) = entry.attempts.last() {
             let after = match last.record.state {
                 AttemptState::Ended(ending) if !hedge => Some(ending),
                 _ => None,
             };
-            sink.push(Command::AttemptRepeated { after });
+            commands.push(Command::AttemptRepeated { after });
         }
         let record = SentAttempt { server: listed, sent_at: now, state: AttemptState::Open };
-        live.attempts.push(Attempt { record, took: None, sent: allowed.is_ok() });
+        entry.attempts.push(Attempt { record, latency: None, was_sent: allowed.is_ok() });
         if let Err(denial) = allowed {
-            sink.push(Command::ProposalDenied { request, denial });
-            return self.conclude(now, id, Ending::NotSent, sink);
+            commands.push(Command::ProposalDenied { request, denial });
+            return self.end_attempt(now, id, Ending::NotSent, commands);
         }
-        sink.push(Command::Send { id, server, message: live.message.clone(), hedge });
+        commands.push(Command::Send { id, server, message: entry.message.clone(), hedge });
         if timeout > 0 {
-            let wake = Wake::AttemptTimeout(request, id.number);
-            self.timers.push(Reverse((now.saturating_add(timeout), wake)));
+            let timer = Timer::AttemptTimeout(request, id.number);
+            self.timers.push(Reverse((now.saturating_add(timeout), timer)));
         }
     }
 
-    /// Refuses a request, or fails it where a repeat might do harm.
-    fn refuse(&mut self, request: RequestId, refused: FinalAnswer<A>, sink: &mut Vec<Command<M, A>>) {
-        let attempts = |live: &Live<N, M, A>| {
-            live.policy.is_none_or(|policy| {
-                rules::may_refuse(policy, live.attempts.iter().map(|attempt| &attempt.record))
+    /// Refuses a request, or fails it if a retry by the client could run it twice.
+    fn refuse_or_fail(
+        &mut self,
+        request: RequestId,
+        refusal: FinalAnswer<A>,
+        commands: &mut Vec<Command<M, A>>,
+    ) {
+        let may_refuse = |entry: &ActiveRequest<C, M, A>| {
+            entry.policy.is_none_or(|policy| {
+                rules::may_refuse(policy, entry.attempts.iter().map(|attempt| &attempt.record))
             })
         };
-        if self.live.get(&request).is_none_or(attempts) {
-            return self.answer(request, refused, sink);
+        if self.active.get(&request).is_none_or(may_refuse) {
+            return self.answer_client(request, refusal, commands);
         }
-        sink.push(Command::ProposalDenied { request, denial: Denial::RefusalNotHarmless });
-        self.answer(request, FinalAnswer::Failed { timed_out: false }, sink);
+        commands.push(Command::ProposalDenied { request, denial: Denial::RefusalNotHarmless });
+        self.answer_client(request, FinalAnswer::Failed { timed_out: false }, commands);
     }
 
-    fn answer(&mut self, request: RequestId, answer: FinalAnswer<A>, sink: &mut Vec<Command<M, A>>) {
-        if let Some(live) = self.live.get_mut(&request) {
-            let answer = live.fallback.take().map_or(answer, FinalAnswer::FromServer);
-            if std::mem::take(&mut live.owed) {
-                sink.push(Command::Answer { request, answer });
-                self.cancel_unsent(request, sink);
+    fn answer_client(
+        &mut self,
+        request: RequestId,
+        answer: FinalAnswer<A>,
+        commands: &mut Vec<Command<M, A>>,
+    ) {
+        if let Some(entry) = self.active.get_mut(&request) {
+            let answer = entry.fallback.take().map_or(answer, FinalAnswer::FromServer);
+            if std::mem::take(&mut entry.is_awaited) {
+                commands.push(Command::Answer { request, answer });
+                self.cancel_unsent(request, commands);
             }
         }
-        self.forget(request);
+        self.remove_if_over(request);
     }
 }
--- a/crates/engine/src/rules.rs
+++ b/crates/engine/src/rules.rs
@@ -1,25 +1,26 @@
-//! The rules on requests under way, in one place: whether an attempt may be sent, repeated or begun now, and whether a request may be
-//! refused. The decision module proposes; what these functions deny is not done, and is counted.
+//! The rules for active requests: whether an attempt may be sent, repeated or written now, and whether a
+//! request may be refused. The balancer proposes; what these functions deny is not carried out, and is
+//! counted.
 
 use corkhollow_balance::interface::{Class, Effect, Ending, Group, Nanos, Phase, Server, Settings};
 
-/// What the settings in force when a request was taken allow for it; later settings do not change it.
+/// The retry and hedging policy of a request, fixed by the settings in force when it was accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RetryPolicy {
-    /// How far it may be repeated.
+    /// Whether the request may run more than once.
     pub effect: Effect,
-    /// For keyed requests: which servers recognise a repeat.
+    /// For keyed requests: the servers that recognise a repeated key.
     pub group: Group,
-    /// For keyed requests: for how long, from the first attempt that may have run.
+    /// For keyed requests: how long the servers remember a key, from the first attempt that may have run.
     pub window: Nanos,
-    /// Two of its attempts may be open at once.
+    /// Whether two attempts may be open at once.
     pub hedging: bool,
-    /// The most attempts that it may have.
+    /// The most attempts per request, hedges included.
     pub max_attempts: usize,
 }
 
 impl RetryPolicy {
-    /// The terms of a class.
+    /// The policy for requests of `class`.
     pub fn for_class(class: &Class, settings: &Settings) -> Self {
         RetryPolicy {
             effect: class.effect,
@@ -31,33 +32,33 @@
     }
 }
 
-/// How an attempt stands.
+/// The state of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptState {
-    /// It has not ended: it may run, or may have run.
+    /// Not ended; the server may be running the request or may have run it.
     Open,
-    /// It has ended so.
+    /// Ended in this way.
     Ended(Ending),
 }
 
-/// An attempt that has been sent.
+/// An attempt that was decided on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SentAttempt {
-    /// Its server as the list had it.
+    /// The server as listed when the attempt was decided on.
     pub server: Server,
-    /// When it was decided on, which is no later than its first byte.
+    /// When the attempt was decided on, no later than its first byte was written.
     pub sent_at: Nanos,
-    /// How it stands.
+    /// Whether it is open or has ended.
     pub state: AttemptState,
 }
 
 impl SentAttempt {
-    /// Whether it is open.
+    /// Whether the attempt has not ended.
     pub fn is_open(&self) -> bool {
         self.state == AttemptState::Open
     }
 
-    /// Whether its server may have run the request.
+    /// Whether the server may have run the request.
     pub fn may_have_run(&self) -> bool {
         match self.state {
             AttemptState::Open => true,
@@ -66,33 +67,33 @@
     }
 }
 
-/// Why something is denied.
+/// Why the rules deny an action.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Denial {
-    /// The request has its final answer, or its client has left.
+    /// The request has its final answer, or its client has disconnected.
     RequestOver,
-    /// The request's time is up.
+    /// The request's deadline has passed.
     OutOfTime,
-    /// The request has had all the attempts that it may have.
+    /// The request has reached its maximum number of attempts.
     TooManyAttempts,
-    /// The request's body has gone to another server and is not there for a repeat.
+    /// The request's body was streamed to another server and cannot be sent again.
     BodySpent,
-    /// Another attempt is open, and the settings allow no hedging.
+    /// Another attempt is open, and the settings do not allow hedging.
     AnotherAttemptOpen,
-    /// An attempt may have run, and the request must not run twice.
+    /// An attempt may have run, and the request is not idempotent.
     MayHaveRun,
-    /// An attempt may have run, and servers have forgotten its key.
+    /// An attempt may have run, and the servers no longer remember its key.
     WindowOver,
     /// An attempt may have run, and this server does not recognise its key.
     OtherGroup,
-    /// The server drains, has left the list or is not known.
+    /// The server is draining, no longer listed or unknown.
     ServerNotReady,
-    /// A refusal would invite a repeat of what may have run.
+    /// A refusal would invite the client to retry a request that may have run.
     RefusalNotHarmless,
 }
 
 impl Denial {
-    /// All there are, in the order of their numbers.
+    /// All denials, in the order of their discriminants.
     pub const ALL: [Denial; 10] = [
         Denial::RequestOver,
         Denial::OutOfTime,
@@ -106,7 +107,7 @@
         Denial::RefusalNotHarmless,
     ];
 
-    /// Its name in metrics and events.
+    /// The name used in metrics and on the events page.
     pub fn name(self) -> &'static str {
         match self {
             Denial::RequestOver => "request-over",
@@ -122,29 +123,30 @@
         }
     }
 
-    /// Whether a decision module that works could have proposed what is denied so. Any other denial has kept a rule from being broken
-    /// by a fault of the program.
+    /// Whether a correct balancer may propose an action that is denied for this reason. Any other denial
+    /// indicates a bug.
     pub fn is_expected(self) -> bool {
         matches!(self, Denial::RequestOver | Denial::OutOfTime | Denial::TooManyAttempts | Denial::BodySpent)
     }
 }
 
-/// What has to be known of a request for a decision about it.
+/// The state of a request on which the rules decide.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestState {
-    /// What the settings allow for it.
+    /// The request's policy.
     pub policy: RetryPolicy,
-    /// Its client waits for the final answer.
+    /// Whether the client still waits for the final answer.
     pub is_awaited: bool,
-    /// When its time is up.
+    /// When the request times out.
     pub deadline: Nanos,
 }
 
-/// Whether one more attempt, or the first one, may go to this server now; `others` are the request's other attempts, the first of
-/// them first. Asked when an attempt is decided on and again right before its first byte is written, as connecting takes time.
+/// Whether an attempt may be sent to `server` now; `others` are the request's other attempts in order.
+/// Checked when an attempt is decided on, and again right before its first byte is written, since connecting
+/// takes time.
 ///
 /// # Errors
-/// Why it may not.
+/// The reason why it may not.
 pub fn may_send<'a>(
     now: Nanos,
     request: RequestState,
@@ -165,28 +167,28 @@
         return Err(Denial::AnotherAttemptOpen);
     }
     let server = server.filter(|server| server.phase == Phase::Ready).ok_or(Denial::ServerNotReady)?;
-    let first_run = others.clone().find(|attempt| attempt.may_have_run());
-    first_run.map_or(Ok(()), |first| may_repeat(now, policy, first, server))
+    let first_possible_run = others.clone().find(|attempt| attempt.may_have_run());
+    first_possible_run.map_or(Ok(()), |first| may_repeat(now, policy, first, server))
 }
 
-/// Whether a request of which this attempt may have run may go to this server now.
+/// Whether a request may be repeated at `server` now, given the first attempt that may have run.
 fn may_repeat(now: Nanos, policy: RetryPolicy, first: &SentAttempt, server: &Server) -> Result<(), Denial> {
     match policy.effect {
         Effect::Safe => Ok(()),
         Effect::Unsafe => Err(Denial::MayHaveRun),
         Effect::Keyed if now >= first.sent_at.saturating_add(policy.window) => Err(Denial::WindowOver),
         Effect::Keyed => {
-            let same = match policy.group {
+            let recognises_key = match policy.group {
                 Group::All => true,
                 Group::Zone => first.server.zone == server.zone,
                 Group::Cell => first.server.cell == server.cell,
             };
-            same.then_some(()).ok_or(Denial::OtherGroup)
+            recognises_key.then_some(()).ok_or(Denial::OtherGroup)
         }
     }
 }
 
-/// Whether a request with these attempts may be refused, which promises its client that a repeat does no harm.
+/// Whether a request with these attempts may be refused, which tells the client that it can safely retry.
 pub fn may_refuse<'a>(policy: RetryPolicy, mut attempts: impl Iterator<Item = &'a SentAttempt>) -> bool {
     match policy.effect {
         Effect::Safe => true,
--- a/crates/engine/tests/rules.rs
+++ b/crates/engine/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The rules on requests under way, case by case.
+//! Each rule on sending, repeating and refusing requests.
 
 use corkhollow_balance::interface::{Effect, Ending, Group, Nanos, Phase, Server, ServerId};
 use corkhollow_engine::rules::{
@@ -12,7 +12,7 @@
     RetryPolicy { effect, group, window: 500 * MS, hedging: false, max_attempts: 3 }
 }
 
-fn facts(policy: RetryPolicy) -> RequestState {
+fn request_state(policy: RetryPolicy) -> RequestState {
     RequestState { policy, is_awaited: true, deadline: NOW + 1 }
 }
 
@@ -25,42 +25,42 @@
 }
 
 #[test]
-fn a_request_that_is_over_or_out_of_time_gets_no_attempt() {
-    let facts = facts(policy(Effect::Safe, Group::All));
-    let ask = |facts| may_send(NOW, facts, [].iter(), Some(&server(1, 0)));
-    assert_eq!(ask(facts), Ok(()));
-    assert_eq!(ask(RequestState { is_awaited: false, ..facts }), Err(Denial::RequestOver));
-    assert_eq!(ask(RequestState { deadline: NOW, ..facts }), Err(Denial::OutOfTime));
+fn a_request_that_is_answered_or_past_its_deadline_gets_no_attempt() {
+    let state = request_state(policy(Effect::Safe, Group::All));
+    let check = |state| may_send(NOW, state, [].iter(), Some(&server(1, 0)));
+    assert_eq!(check(state), Ok(()));
+    assert_eq!(check(RequestState { is_awaited: false, ..state }), Err(Denial::RequestOver));
+    assert_eq!(check(RequestState { deadline: NOW, ..state }), Err(Denial::OutOfTime));
 }
 
 #[test]
-fn servers_that_drain_or_are_unknown_get_nothing() {
-    let facts = facts(policy(Effect::Safe, Group::All));
+fn draining_gone_and_unknown_servers_get_no_attempt() {
+    let state = request_state(policy(Effect::Safe, Group::All));
     for phase in [Phase::Draining, Phase::Gone] {
         let server = Server { phase, ..server(1, 0) };
-        assert_eq!(may_send(NOW, facts, [].iter(), Some(&server)), Err(Denial::ServerNotReady));
+        assert_eq!(may_send(NOW, state, [].iter(), Some(&server)), Err(Denial::ServerNotReady));
     }
-    assert_eq!(may_send(NOW, facts, [].iter(), None), Err(Denial::ServerNotReady));
+    assert_eq!(may_send(NOW, state, [].iter(), None), Err(Denial::ServerNotReady));
 }
 
 #[test]
-fn attempts_are_bounded_and_open_one_at_a_time_without_hedging() {
-    let facts = facts(policy(Effect::Safe, Group::All));
+fn attempts_are_limited_and_only_hedging_allows_two_open_ones() {
+    let state = request_state(policy(Effect::Safe, Group::All));
     let failed = ended_attempt(Ending::ConnectFailed, NOW);
     let open = SentAttempt { state: AttemptState::Open, ..failed };
-    let ask = |facts, others: &[SentAttempt]| may_send(NOW, facts, others.iter(), Some(&server(1, 0)));
-    assert_eq!(ask(facts, &[failed; 2]), Ok(()));
-    assert_eq!(ask(facts, &[failed; 3]), Err(Denial::TooManyAttempts));
-    assert_eq!(ask(facts, &[open]), Err(Denial::AnotherAttemptOpen));
-    let hedging = RequestState { policy: RetryPolicy { hedging: true, ..facts.policy }, ..facts };
-    assert_eq!(ask(hedging, &[open]), Ok(()));
+    let check = |state, others: &[SentAttempt]| may_send(NOW, state, others.iter(), Some(&server(1, 0)));
+    assert_eq!(check(state, &[failed; 2]), Ok(()));
+    assert_eq!(check(state, &[failed; 3]), Err(Denial::TooManyAttempts));
+    assert_eq!(check(state, &[open]), Err(Denial::AnotherAttemptOpen));
+    let hedging = RequestState { policy: RetryPolicy { hedging: true, ..state.policy }, ..state };
+    assert_eq!(check(hedging, &[open]), Ok(()));
 }
 
-/// All endings that do not prove otherwise may have run, and so may what is open.
+/// Guards against running a request twice: only three endings prove that the server did not run it.
 #[test]
-fn what_may_have_run_is_repeated_as_its_effect_allows_only() {
-    let near = server(1, 0);
-    for (ending, ran) in [
+fn a_request_that_may_have_run_is_repeated_only_if_its_effect_allows() {
+    let same_zone = server(1, 0);
+    for (ending, may_have_run) in [
         (Ending::Ok, true),
         (Ending::Error, true),
         (Ending::Rejected, true),
@@ -72,32 +72,50 @@
         (Ending::NotSent, false),
     ] {
         let others = [ended_attempt(ending, NOW - MS)];
-        let ask = |effect| may_send(NOW, facts(policy(effect, Group::All)), others.iter(), Some(&near));
-        assert_eq!(ask(Effect::Safe), Ok(()));
-        assert_eq!(ask(Effect::Keyed), Ok(()));
-        assert_eq!(ask(Effect::Unsafe), if ran { Err(Denial::MayHaveRun) } else { Ok(()) }, "{ending:?}");
-        assert_eq!(may_refuse(policy(Effect::Unsafe, Group::All), others.iter()), !ran, "{ending:?}");
-        assert_eq!(may_refuse(policy(Effect::Keyed, Group::Zone), others.iter()), !ran, "{ending:?}");
+        let check = |effect| {
+            may_send(NOW, request_state(policy(effect, Group::All)), others.iter(), Some(&same_zone))
+        };
+        assert_eq!(check(Effect::Safe), Ok(()));
+        assert_eq!(check(Effect::Keyed), Ok(()));
+        assert_eq!(
+            check(Effect::Unsafe),
+            if may_have_run { Err(Denial::MayHaveRun) } else { Ok(()) },
+            "{ending:?}"
+        );
+        assert_eq!(
+            may_refuse(policy(Effect::Unsafe, Group::All), others.iter()),
+            !may_have_run,
+            "{ending:?}"
+        );
+        assert_eq!(
+            may_refuse(policy(Effect::Keyed, Group::Zone), others.iter()),
+            !may_have_run,
+            "{ending:?}"
+        );
         assert!(may_refuse(policy(Effect::Keyed, Group::All), others.iter()));
         assert!(may_refuse(policy(Effect::Safe, Group::All), others.iter()));
     }
 }
 
-/// The window counts from the first attempt that may have run, and so does the group.
+/// Both the group and the window are those of the first attempt that may have run.
 #[test]
-fn keyed_requests_stay_in_their_group_and_window() {
-    let ask = |group, now, others: &[SentAttempt], to: &Server| {
-        let facts = RequestState { deadline: Nanos::MAX, ..facts(policy(Effect::Keyed, group)) };
-        may_send(now, facts, others.iter(), Some(to))
+fn keyed_requests_are_repeated_only_within_their_group_and_window() {
+    let check = |group, now, others: &[SentAttempt], to: &Server| {
+        let state = RequestState { deadline: Nanos::MAX, ..request_state(policy(Effect::Keyed, group)) };
+        may_send(now, state, others.iter(), Some(to))
     };
-    let (near, far) = (server(1, 0), server(2, 1));
+    let (same_zone, other_zone) = (server(1, 0), server(2, 1));
     let others = [ended_attempt(Ending::ConnectFailed, NOW - 90 * MS), ended_attempt(Ending::Reset, NOW)];
-    for (group, elsewhere) in
+    for (group, in_other_zone) in
         [(Group::All, Ok(())), (Group::Zone, Err(Denial::OtherGroup)), (Group::Cell, Err(Denial::OtherGroup))]
     {
-        assert_eq!(ask(group, NOW + 499 * MS, &others, &near), Ok(()));
-        assert_eq!(ask(group, NOW + 499 * MS, &others, &far), elsewhere);
-        assert_eq!(ask(group, NOW + 500 * MS, &others, &near), Err(Denial::WindowOver));
+        assert_eq!(check(group, NOW + 499 * MS, &others, &same_zone), Ok(()));
+        assert_eq!(check(group, NOW + 499 * MS, &others, &other_zone), in_other_zone);
+        assert_eq!(check(group, NOW + 500 * MS, &others, &same_zone), Err(Denial::WindowOver));
     }
-    assert_eq!(ask(Group::Zone, NOW + 900 * MS, &others[..1], &far), Ok(()), "none may have run");
+    assert_eq!(
+        check(Group::Zone, NOW + 900 * MS, &others[..1], &other_zone),
+        Ok(()),
+        "no attempt may have run"
+    );
 }
