--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -1,5 +1,6 @@
-//! Hosts many balancers on the simulator's wire: framing, settings and the table of instances. It decides
-//! nothing. Input that is malformed ends it with a message on standard error and a non-zero exit.
+//! Runs balancer instances for a simulator: reads frames of events from standard input and writes frames of
+//! the balancers' actions to standard output. Malformed input ends the program with an error message and a
+//! non-zero status.
 
 mod wire;
 
@@ -13,34 +14,41 @@
 
 struct Instance {
     balancer: Balancer,
-    fields: Vec<ReportField>,
+    report_fields: Vec<ReportField>,
 }
 
 #[derive(Default)]
-struct Host {
+struct AdapterState {
     instances: BTreeMap<u32, Instance>,
     actions: Vec<Action>,
     reply: Reply,
 }
 
-impl Host {
-    fn batch(&mut self, bytes: &[u8]) -> Result<Vec<u8>, WireError> {
+impl AdapterState {
+    fn handle_batch(&mut self, bytes: &[u8]) -> Result<Vec<u8>, WireError> {
         let frame = Frame::new(bytes)?;
-        for k in 0..frame.len() {
-            let (id, record) = frame.record(k)?;
-            self.record(frame.clock, k, id, record)?;
+        for index in 0..frame.record_count() {
+            let (id, record) = frame.decode_record(index)?;
+            self.handle_record(frame.time, index, id, record)?;
         }
-        Ok(self.reply.take())
+        Ok(self.reply.take_bytes())
     }
 
-    fn record(&mut self, now: u64, k: usize, id: u32, record: Record<'_>) -> Result<(), WireError> {
+    fn handle_record(
+        &mut self,
+        now: u64,
+        index: usize,
+        id: u32,
+        record: Record<'_>,
+    ) -> Result<(), WireError> {
         let event = match record {
             Record::Start { seed, settings } => {
-                let fail = |message| WireError::Settings { record: k, message };
-                let pairs = Pairs::from_lines(settings).map_err(fail)?;
-                let (settings, fields) = settings::parse(&pairs).map_err(fail)?;
-                let balancer = Balancer::new(settings, seed).map_err(|e| fail(e.to_string()))?;
-                self.instances.insert(id, Instance { balancer, fields });
+                let settings_error = |message| WireError::Settings { record: index, message };
+                let pairs = Pairs::from_lines(settings).map_err(settings_error)?;
+                let (settings, report_fields) = settings::parse(&pairs).map_err(settings_error)?;
+                let balancer =
+                    Balancer::new(settings, seed).map_err(|error| settings_error(error.to_string()))?;
+                self.instances.insert(id, Instance { balancer, report_fields });
                 return Ok(());
             }
             Record::Stop => {
@@ -52,11 +60,17 @@
             Record::Message { from, bytes } => Event::Message { from, bytes: bytes.to_vec() },
             Record::ClientGone { request } => Event::ClientGone { request },
             Record::Probed { server, ending, took, report } => {
-                let report = self.instances.get(&id).and_then(|i| report.named(&i.fields));
+                let report = self
+                    .instances
+                    .get(&id)
+                    .and_then(|instance| report.assign_fields(&instance.report_fields));
                 Event::Probed { server, ending, took, report }
             }
             Record::Outcome { request, server, attempt, finished, took, ending, report } => {
-                let report = self.instances.get(&id).and_then(|i| report.named(&i.fields));
+                let report = self
+                    .instances
+                    .get(&id)
+                    .and_then(|instance| report.assign_fields(&instance.report_fields));
                 Event::Outcome { request, server, attempt, finished, took, ending, spent: false, report }
             }
             Record::StreamStarted { request, attempt, server, took } => {
@@ -64,7 +78,7 @@
             }
             Record::Timer { token } => Event::Timer { token },
         };
-        // What is on its way to an instance that has just been killed falls on deaf ears.
+        // Events for an instance that has been stopped are dropped.
         if let Some(instance) = self.instances.get_mut(&id) {
             instance.balancer.handle(now, event, &mut self.actions);
             for action in self.actions.drain(..) {
@@ -76,35 +90,35 @@
 }
 
 #[derive(Debug, thiserror::Error)]
-enum HostError {
+enum AdapterError {
     #[error("batch {batch}: {error}")]
     Wire { batch: u64, error: WireError },
     #[error("standard input or output: {0}")]
     Io(#[from] io::Error),
 }
 
-/// Reads until the buffer holds `want` bytes or the input ends.
-fn fill(input: &mut impl Read, buffer: &mut Vec<u8>, want: usize) -> io::Result<()> {
+/// Reads until `buffer` holds `want` bytes or the input ends.
+fn read_up_to(input: &mut impl Read, buffer: &mut Vec<u8>, want: usize) -> io::Result<()> {
     let missing = want.saturating_sub(buffer.len()) as u64;
     input.take(missing).read_to_end(buffer).map(|_| ())
 }
 
-fn serve(mut input: impl Read, mut output: impl Write) -> Result<(), HostError> {
-    let mut host = Host::default();
+fn serve(mut input: impl Read, mut output: impl Write) -> Result<(), AdapterError> {
+    let mut state = AdapterState::default();
     let mut buffer = Vec::new();
     for batch in 0.. {
-        let wire = |error| HostError::Wire { batch, error };
+        let wire_error = |error| AdapterError::Wire { batch, error };
         buffer.clear();
-        fill(&mut input, &mut buffer, wire::HEADER)?;
+        read_up_to(&mut input, &mut buffer, wire::FRAME_HEADER_BYTES)?;
         if buffer.is_empty() {
             break;
         }
-        let Ok(header) = <[u8; wire::HEADER]>::try_from(buffer.as_slice()) else {
-            let (have, want) = (buffer.len(), wire::HEADER);
-            return Err(wire(WireError::Truncated { what: "frame header", have, want }));
+        let Ok(header) = <[u8; wire::FRAME_HEADER_BYTES]>::try_from(buffer.as_slice()) else {
+            let (have, want) = (buffer.len(), wire::FRAME_HEADER_BYTES);
+            return Err(wire_error(WireError::Truncated { what: "frame header", have, want }));
         };
-        fill(&mut input, &mut buffer, Frame::claimed(&header).map_err(wire)?)?;
-        output.write_all(&host.batch(&buffer).map_err(wire)?)?;
+        read_up_to(&mut input, &mut buffer, Frame::declared_length(&header).map_err(wire_error)?)?;
+        output.write_all(&state.handle_batch(&buffer).map_err(wire_error)?)?;
         output.flush()?;
     }
     Ok(())
