--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -71,7 +71,16 @@
                     .instances
                     .get(&id)
                     .and_then(|instance| report.assign_fields(&instance.report_fields));
-                Event::Outcome { request, server, attempt, finished, took, ending, spent: false, report }
+                Event::Outcome {
+                    request,
+                    server,
+                    attempt,
+                    finished,
+                    took,
+                    ending,
+                    body_consumed: false,
+                    report,
+                }
             }
             Record::StreamStarted { request, attempt, server, took } => {
                 Event::StreamStarted { request, attempt, server, took }
--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -210,7 +210,7 @@
                     kind: u16_at(entry, 7),
                     cell: u16_at(entry, 9),
                     phase: match entry[11] {
-                        0 => Phase::Gone,
+                        0 => Phase::Removed,
                         1 => Phase::Ready,
                         2 => Phase::Draining,
                         value => {
@@ -349,7 +349,7 @@
                 record[0] = 30;
                 put_server(&mut record, 5, to);
             }
-            Action::Tell { to, bytes } => {
+            Action::SendMessage { to, bytes } => {
                 record[0] = 60;
                 put(&mut record, 5, &to.unwrap_or(u32::MAX).to_be_bytes());
                 self.append_to_tail(&mut record, 9, bytes);
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -14,7 +14,7 @@
     Ending, ListKind, Nanos, Quotas, Request, RequestId, Server, ServerId, Settings, SettingsError,
 };
 use corkhollow_balance::Knowledge;
-use corkhollow_operate::{ClientId, Event, PoolFigures, Proposed, Subject};
+use corkhollow_operate::{ClientRequestId, DenialPoint, Event, PoolMetrics, Subject};
 use http::header::{HeaderMap, HeaderValue};
 use http::StatusCode;
 use std::cell::{Cell, RefCell};
@@ -83,7 +83,7 @@
 pub struct Engine {
     clock: Clock,
     transport: Rc<dyn Transport>,
-    figures: PoolFigures,
+    figures: PoolMetrics,
     requests: RefCell<PoolRequests>,
     /// Where the final answers go.
     waiting_clients: RefCell<HashMap<RequestId, oneshot::Sender<Answer>>>,
@@ -106,7 +106,7 @@
         seed: u64,
         clock: Clock,
         transport: Rc<dyn Transport>,
-        figures: PoolFigures,
+        figures: PoolMetrics,
     ) -> Result<Rc<Self>, SettingsError> {
         Ok(Rc::new(Engine {
             requests: RefCell::new(Requests::new(clock.now(), settings, seed)?),
@@ -188,7 +188,7 @@
                 self.record(id.request, Event::AttemptEnded { attempt: id.number, ending });
             }
             Command::ProposalDenied { request, denial } => {
-                self.report_denial(request, Proposed::Send, denial)
+                self.report_denial(request, DenialPoint::Send, denial)
             }
             Command::AttemptRepeated { after: None } => self.figures.hedges.inc(),
             Command::AttemptRepeated { after: Some(ending) } => self.figures.retried(ending),
@@ -204,8 +204,9 @@
         message: Message,
     ) -> Option<PendingAnswer> {
         let (reply, answer) = oneshot::channel();
-        let client_id =
-            client_request_id.as_ref().map_or(ClientId::new(b"-"), |id| ClientId::new(id.as_bytes()));
+        let client_id = client_request_id
+            .as_ref()
+            .map_or(ClientRequestId::new(b"-"), |id| ClientRequestId::new(id.as_bytes()));
         // Registered first, since the request may be answered within `submit`.
         let id = self.requests.borrow().next_id();
         self.waiting_clients.borrow_mut().insert(id, reply);
@@ -272,16 +273,16 @@
     pub fn may_begin(&self, id: AttemptId) -> bool {
         let allowed = self.requests.borrow().may_begin(self.clock.now(), id);
         if let Err(denial) = allowed {
-            self.report_denial(id.request, Proposed::Begin, denial);
+            self.report_denial(id.request, DenialPoint::Begin, denial);
         }
         allowed.is_ok()
     }
 
     /// Counts a denial. Logs one that a correct balancer could not have caused.
-    fn report_denial(&self, request: RequestId, proposed: Proposed, denial: Denial) {
+    fn report_denial(&self, request: RequestId, proposed: DenialPoint, denial: Denial) {
         self.figures.denied(proposed, denial.name());
         self.record(request, Event::Denied(denial.name()));
-        if proposed == Proposed::Send && !denial.is_expected() {
+        if proposed == DenialPoint::Send && !denial.is_expected() {
             log(format_args!(
                 "request {request}: the rules denied an action proposed by the balancer: {}; this is a fault",
                 denial.name()
@@ -324,7 +325,7 @@
     }
 
     /// Sets this node's number and the size of its group: see
-    /// [`Balancer::count_as`](corkhollow_balance::Balancer::count_as).
+    /// [`Balancer::set_group_position`](corkhollow_balance::Balancer::set_group_position).
     ///
     /// # Errors
     /// If `ordinal` is not below `group_size`; nothing changes then.
@@ -333,7 +334,7 @@
     }
 
     /// Replaces the tenants' quotas: see
-    /// [`Balancer::keep_quotas`](corkhollow_balance::Balancer::keep_quotas).
+    /// [`Balancer::set_tenant_quotas`](corkhollow_balance::Balancer::set_tenant_quotas).
     ///
     /// # Errors
     /// If a quota is not a valid rate; the old quotas stay in force.
--- a/crates/engine/src/requests.rs
+++ b/crates/engine/src/requests.rs
@@ -260,7 +260,7 @@
 
     /// Handles the last byte of a streamed request having been written to a server.
     pub fn on_request_written(&mut self, now: Nanos, id: AttemptId, commands: &mut Vec<Command<M, A>>) {
-        self.handle_event(now, Event::Written { request: id.request, attempt: id.number }, commands);
+        self.handle_event(now, Event::BodyWritten { request: id.request, attempt: id.number }, commands);
     }
 
     /// Records the arrival of an answer's head, `latency` after the request's last byte. Unlike the transfer
@@ -405,7 +405,7 @@
     }
 
     /// Applies new settings; active requests keep the policy under which they were accepted. For
-    /// `predecessors` and the returned value see [`Balancer::retune`].
+    /// `predecessors` and the returned value see [`Balancer::update_settings`].
     ///
     /// # Errors
     /// If the settings are invalid; the old ones stay in force.
@@ -415,48 +415,48 @@
         settings: Settings,
         predecessors: &[Option<u16>],
     ) -> Result<Vec<u16>, SettingsError> {
-        self.balancer.retune(now, settings, predecessors)
+        self.balancer.update_settings(now, settings, predecessors)
     }
 
-    /// Sets this node's number and the size of its group: see [`Balancer::count_as`].
+    /// Sets this node's number and the size of its group: see [`Balancer::set_group_position`].
     ///
     /// # Errors
     /// If `ordinal` is not below `group_size`; nothing changes then.
     pub fn count_as(&mut self, now: Nanos, ordinal: u32, group_size: u32) -> Result<(), SettingsError> {
-        self.balancer.count_as(now, ordinal, group_size)
+        self.balancer.set_group_position(now, ordinal, group_size)
     }
 
-    /// Replaces the tenants' quotas: see [`Balancer::keep_quotas`].
+    /// Replaces the tenants' quotas: see [`Balancer::set_tenant_quotas`].
     ///
     /// # Errors
     /// If a quota is not a valid rate; the old quotas stay in force.
     pub fn keep_quotas(&mut self, quotas: Quotas) -> Result<(), SettingsError> {
-        self.balancer.keep_quotas(quotas)
+        self.balancer.set_tenant_quotas(quotas)
     }
 
     /// The balancer's current settings and server list.
     pub fn settings_and_servers(&self) -> (&Settings, Vec<Server>) {
-        (self.balancer.settings(), self.balancer.listed())
+        (self.balancer.settings(), self.balancer.listed_servers())
     }
 
-    /// Removes the state of tenants that have been idle for long: see [`Balancer::forget_idle`].
+    /// Removes the state of tenants that have been idle for long: see [`Balancer::forget_idle_tenants`].
     pub fn forget_idle(&mut self, now: Nanos) {
-        self.balancer.forget_idle(now);
+        self.balancer.forget_idle_tenants(now);
     }
 
     /// What the balancer has learnt about servers and about the classes at `places`.
     pub fn knowledge(&mut self, now: Nanos, places: &[u16]) -> Knowledge {
-        self.balancer.knowledge(now, places)
+        self.balancer.export_knowledge(now, places)
     }
 
-    /// Restores what the balancer of another process has learnt: see [`Balancer::recall`].
+    /// Restores what the balancer of another process has learnt: see [`Balancer::import_knowledge`].
     pub fn recall(&mut self, now: Nanos, known: &Knowledge, successors: &[Option<u16>]) -> Option<usize> {
-        self.balancer.recall(now, known, successors)
+        self.balancer.import_knowledge(now, known, successors)
     }
 
     /// Number of listed servers, how many of them are ejected, and the age of the list.
     pub fn census(&self, now: Nanos) -> (usize, usize, Nanos) {
-        let (listed, ejected) = self.balancer.census(now);
+        let (listed, ejected) = self.balancer.server_counts(now);
         (listed, ejected, now.saturating_sub(self.last_list_at))
     }
 
@@ -523,7 +523,7 @@
             finished: !entry.is_awaited,
             took: attempt.latency.unwrap_or(now.saturating_sub(attempt.record.sent_at)),
             ending,
-            spent: entry.message.is_body_consumed(),
+            body_consumed: entry.message.is_body_consumed(),
             report: None,
         };
         if attempt.was_sent && matches!(ending, Ending::TimedOut | Ending::Cancelled) {
@@ -578,7 +578,7 @@
             Action::FetchList => commands.push(Command::CallDiscovery(DiscoveryCall::Fetch)),
             Action::Log { server, text } => commands.push(Command::Log { server, text }),
             // Probes and peer messages are not supported here; the balancer does not request them.
-            Action::Probe { .. } | Action::Tell { .. } => {}
+            Action::Probe { .. } | Action::SendMessage { .. } => {}
         }
     }
 
--- a/crates/engine/tests/rules.rs
+++ b/crates/engine/tests/rules.rs
@@ -36,7 +36,7 @@
 #[test]
 fn draining_gone_and_unknown_servers_get_no_attempt() {
     let state = request_state(policy(Effect::Safe, Group::All));
-    for phase in [Phase::Draining, Phase::Gone] {
+    for phase in [Phase::Draining, Phase::Removed] {
         let server = Server { phase, ..server(1, 0) };
         assert_eq!(may_send(NOW, state, [].iter(), Some(&server)), Err(Denial::ServerNotReady));
     }
--- a/crates/proxy/tests/closing.rs
+++ b/crates/proxy/tests/closing.rs
@@ -1,11 +1,11 @@
 //! Closes of clients' connections, chosen at one moment and carried out at another, with bytes that come in between.
 
 use corkhollow_engine::Clock;
-use corkhollow_operate::{Control, Figures};
-use corkhollow_plan::file::read;
+use corkhollow_operate::{Metrics, SharedLifecycle};
+use corkhollow_plan::config::parse_config;
 use corkhollow_plan::limits::Budget;
+use corkhollow_proxy::active_plan::{ActivePlan, CurrentPlan};
 use corkhollow_proxy::http1::{Clients, Service};
-use corkhollow_proxy::site::{Current, Site};
 use corkhollow_proxy::upstream::{Engines, Shared};
 use std::cell::Cell;
 use std::io::{ErrorKind, Read, Write};
@@ -31,19 +31,19 @@
 
 impl TestClients {
     async fn new() -> Self {
-        let plan = read(FILE, Path::new("")).unwrap_or_else(|faults| panic!("{}", faults[0])).plan;
+        let plan = parse_config(FILE, Path::new("")).unwrap_or_else(|faults| panic!("{}", faults[0])).plan;
         let shared = Shared {
             clock: Clock::start(),
             budget: Budget::new(1_000, 64 << 20),
-            figures: Figures::new().unwrap(),
+            figures: Metrics::new().unwrap(),
             engines: Engines::default(),
         };
-        let site = Site::start(plan, &shared, 7, None).unwrap();
+        let site = ActivePlan::start(plan, &shared, 7, None).unwrap();
         let service = Rc::new(Service {
-            site: Current::new(site),
+            site: CurrentPlan::new(site),
             clock: shared.clock,
             budget: shared.budget,
-            control: Control::default(),
+            control: SharedLifecycle::default(),
             ids: Cell::new(1),
             figures: shared.figures,
         });
