--- a/crates/corkhollow/src/commands/run.rs
+++ b/crates/corkhollow/src/commands/run.rs
@@ -529,7 +529,7 @@
         current.get().pools.iter().for_each(|p| p.upstreams.sweep());
         if forgotten.elapsed() > FORGET {
             forgotten = tokio::time::Instant::now();
-            current.get().pools.iter().for_each(|p| p.engine.forget_idle());
+            current.get().pools.iter().for_each(|p| p.engine.forget_idle_tenants());
         }
     }
 }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -312,16 +312,16 @@
         self.requests.borrow_mut().observe_discovery(self.clock.now());
     }
 
-    /// Applies new settings: see [`Requests::retune`].
+    /// Applies new settings: see [`Requests::update_settings`].
     ///
     /// # Errors
     /// If the settings are invalid; the old ones stay in force.
-    pub fn retune(
+    pub fn update_settings(
         &self,
         settings: Settings,
         predecessors: &[Option<u16>],
     ) -> Result<Vec<u16>, SettingsError> {
-        self.requests.borrow_mut().retune(self.clock.now(), settings, predecessors)
+        self.requests.borrow_mut().update_settings(self.clock.now(), settings, predecessors)
     }
 
     /// Sets this node's number and the size of its group: see
@@ -329,8 +329,8 @@
     ///
     /// # Errors
     /// If `ordinal` is not below `group_size`; nothing changes then.
-    pub fn count_as(&self, ordinal: u32, group_size: u32) -> Result<(), SettingsError> {
-        self.requests.borrow_mut().count_as(self.clock.now(), ordinal, group_size)
+    pub fn set_group_position(&self, ordinal: u32, group_size: u32) -> Result<(), SettingsError> {
+        self.requests.borrow_mut().set_group_position(self.clock.now(), ordinal, group_size)
     }
 
     /// Replaces the tenants' quotas: see
@@ -338,8 +338,8 @@
     ///
     /// # Errors
     /// If a quota is not a valid rate; the old quotas stay in force.
-    pub fn keep_quotas(&self, quotas: Quotas) -> Result<(), SettingsError> {
-        self.requests.borrow_mut().keep_quotas(quotas)
+    pub fn set_tenant_quotas(&self, quotas: Quotas) -> Result<(), SettingsError> {
+        self.requests.borrow_mut().set_tenant_quotas(quotas)
     }
 
     /// The balancer's current settings and server list.
@@ -350,18 +350,18 @@
     }
 
     /// Removes the state of tenants that have been idle for long.
-    pub fn forget_idle(&self) {
-        self.requests.borrow_mut().forget_idle(self.clock.now());
+    pub fn forget_idle_tenants(&self) {
+        self.requests.borrow_mut().forget_idle_tenants(self.clock.now());
     }
 
-    /// What the balancer has learnt about servers and about the classes at `class_places`.
-    pub fn knowledge(&self, class_places: &[u16]) -> Knowledge {
-        self.requests.borrow_mut().knowledge(self.clock.now(), class_places)
+    /// What the balancer has learnt about servers and about the classes at `class_indexes`.
+    pub fn export_knowledge(&self, class_indexes: &[u16]) -> Knowledge {
+        self.requests.borrow_mut().export_knowledge(self.clock.now(), class_indexes)
     }
 
-    /// Restores what the balancer of another process has learnt: see [`Requests::recall`].
-    pub fn recall(&self, known: &Knowledge, successors: &[Option<u16>]) -> Option<usize> {
-        self.requests.borrow_mut().recall(self.clock.now(), known, successors)
+    /// Imports what the balancer of another process has learnt: see [`Requests::import_knowledge`].
+    pub fn import_knowledge(&self, known: &Knowledge, successors: &[Option<u16>]) -> Option<usize> {
+        self.requests.borrow_mut().import_knowledge(self.clock.now(), known, successors)
     }
 
     /// Sets when the node shuts down: see [`Requests::set_shutdown_deadline`].
@@ -370,8 +370,8 @@
     }
 
     /// Number of listed servers and how many of them are ejected. Also updates the metric of the list's age.
-    pub fn census(&self) -> (usize, usize) {
-        let (listed, ejected, age) = self.requests.borrow().census(self.clock.now());
+    pub fn server_counts(&self) -> (usize, usize) {
+        let (listed, ejected, age) = self.requests.borrow().server_counts(self.clock.now());
         self.figures.list_age.set(age as f64 / 1e9);
         (listed, ejected)
     }
--- a/crates/engine/src/requests.rs
+++ b/crates/engine/src/requests.rs
@@ -409,7 +409,7 @@
     ///
     /// # Errors
     /// If the settings are invalid; the old ones stay in force.
-    pub fn retune(
+    pub fn update_settings(
         &mut self,
         now: Nanos,
         settings: Settings,
@@ -422,7 +422,12 @@
     ///
     /// # Errors
     /// If `ordinal` is not below `group_size`; nothing changes then.
-    pub fn count_as(&mut self, now: Nanos, ordinal: u32, group_size: u32) -> Result<(), SettingsError> {
+    pub fn set_group_position(
+        &mut self,
+        now: Nanos,
+        ordinal: u32,
+        group_size: u32,
+    ) -> Result<(), SettingsError> {
         self.balancer.set_group_position(now, ordinal, group_size)
     }
 
@@ -430,7 +435,7 @@
     ///
     /// # Errors
     /// If a quota is not a valid rate; the old quotas stay in force.
-    pub fn keep_quotas(&mut self, quotas: Quotas) -> Result<(), SettingsError> {
+    pub fn set_tenant_quotas(&mut self, quotas: Quotas) -> Result<(), SettingsError> {
         self.balancer.set_tenant_quotas(quotas)
     }
 
@@ -440,22 +445,27 @@
     }
 
     /// Removes the state of tenants that have been idle for long: see [`Balancer::forget_idle_tenants`].
-    pub fn forget_idle(&mut self, now: Nanos) {
+    pub fn forget_idle_tenants(&mut self, now: Nanos) {
         self.balancer.forget_idle_tenants(now);
     }
 
-    /// What the balancer has learnt about servers and about the classes at `places`.
-    pub fn knowledge(&mut self, now: Nanos, places: &[u16]) -> Knowledge {
-        self.balancer.export_knowledge(now, places)
+    /// What the balancer has learnt about servers and about the classes at `class_indexes`.
+    pub fn export_knowledge(&mut self, now: Nanos, class_indexes: &[u16]) -> Knowledge {
+        self.balancer.export_knowledge(now, class_indexes)
     }
 
-    /// Restores what the balancer of another process has learnt: see [`Balancer::import_knowledge`].
-    pub fn recall(&mut self, now: Nanos, known: &Knowledge, successors: &[Option<u16>]) -> Option<usize> {
+    /// Imports what the balancer of another process has learnt: see [`Balancer::import_knowledge`].
+    pub fn import_knowledge(
+        &mut self,
+        now: Nanos,
+        known: &Knowledge,
+        successors: &[Option<u16>],
+    ) -> Option<usize> {
         self.balancer.import_knowledge(now, known, successors)
     }
 
     /// Number of listed servers, how many of them are ejected, and the age of the list.
-    pub fn census(&self, now: Nanos) -> (usize, usize, Nanos) {
+    pub fn server_counts(&self, now: Nanos) -> (usize, usize, Nanos) {
         let (listed, ejected) = self.balancer.server_counts(now);
         (listed, ejected, now.saturating_sub(self.last_list_at))
     }
--- a/crates/proxy/src/active_plan.rs
+++ b/crates/proxy/src/active_plan.rs
@@ -140,7 +140,7 @@
 
     /// Servers in the lists of all pools, and how many of them are ejected.
     pub fn server_counts(&self) -> (usize, usize) {
-        let counts = self.pools.iter().map(|p| p.engine.census());
+        let counts = self.pools.iter().map(|p| p.engine.server_counts());
         counts.fold((0, 0), |sum, (listed, ejected)| (sum.0 + listed, sum.1 + ejected))
     }
 
@@ -149,7 +149,7 @@
         let pool = |(at, pool): (usize, &Rc<Pool>)| PoolHandover {
             name: self.plan.pools[at].name.clone(),
             classes: self.plan.classes.iter().map(|class| class.name.clone()).collect(),
-            knowledge: pool.engine.knowledge(&self.class_indexes[at]),
+            knowledge: pool.engine.export_knowledge(&self.class_indexes[at]),
         };
         Handover { drains, fleet: None, pools: self.pools.iter().enumerate().map(pool).collect() }
     }
@@ -163,7 +163,7 @@
             let names = &self.plan.classes;
             let successor = |name: &String| names.iter().position(|c| c.name == *name).map(|at| places[at]);
             let successors: Vec<_> = from.classes.iter().map(successor).collect();
-            known += pool.engine.recall(&from.knowledge, &successors).unwrap_or(0);
+            known += pool.engine.import_knowledge(&from.knowledge, &successors).unwrap_or(0);
         }
         known
     }
@@ -175,7 +175,7 @@
     /// Where a pool turns that down; those before it go by it.
     pub async fn set_group(&self, group: Group) -> Result<(), PoolError> {
         for (at, pool) in self.pools.iter().enumerate() {
-            let told = pool.engine.count_as(group.ordinal, group.size.max(group.ordinal + 1));
+            let told = pool.engine.set_group_position(group.ordinal, group.size.max(group.ordinal + 1));
             told.map_err(|error| PoolError { pool: self.plan.pools[at].name.clone(), error })?;
             tokio::task::yield_now().await;
         }
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -202,9 +202,9 @@
         let told = &plan.pools[at];
         let mut places = None;
         if differs.settings {
-            places = Some(self.engine.retune(terms.settings(told), &predecessors())?);
+            places = Some(self.engine.update_settings(terms.settings(told), &predecessors())?);
         } else if quotas {
-            self.engine.keep_quotas(terms.quotas.clone())?;
+            self.engine.set_tenant_quotas(terms.quotas.clone())?;
         }
         if differs.times {
             self.upstreams.keep_times(told);
