--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -83,7 +83,7 @@
 pub struct Engine {
     clock: Clock,
     transport: Rc<dyn Transport>,
-    figures: PoolMetrics,
+    metrics: PoolMetrics,
     requests: RefCell<PoolRequests>,
     /// Where the final answers go.
     waiting_clients: RefCell<HashMap<RequestId, oneshot::Sender<Answer>>>,
@@ -106,13 +106,13 @@
         seed: u64,
         clock: Clock,
         transport: Rc<dyn Transport>,
-        figures: PoolMetrics,
+        metrics: PoolMetrics,
     ) -> Result<Rc<Self>, SettingsError> {
         Ok(Rc::new(Engine {
             requests: RefCell::new(Requests::new(clock.now(), settings, seed)?),
             clock,
             transport,
-            figures,
+            metrics,
             waiting_clients: RefCell::default(),
             running_attempts: RefCell::default(),
             commands: RefCell::default(),
@@ -172,7 +172,7 @@
                 let client_answer = match answer {
                     FinalAnswer::FromServer(server_answer) => server_answer,
                     FinalAnswer::Refused { retry_after, reason } => {
-                        self.figures.refused(reason);
+                        self.metrics.refused(reason);
                         Answer::Refused { retry_after }
                     }
                     FinalAnswer::Failed { timed_out } => Answer::Failed { timed_out },
@@ -184,14 +184,14 @@
             Command::CallDiscovery(call) => self.transport.call_discovery(call),
             Command::Log { server, text } => self.transport.log(server, &text),
             Command::AttemptEnded { id, ending } => {
-                self.figures.ended(ending);
+                self.metrics.ended(ending);
                 self.record(id.request, Event::AttemptEnded { attempt: id.number, ending });
             }
             Command::ProposalDenied { request, denial } => {
                 self.report_denial(request, DenialPoint::Send, denial)
             }
-            Command::AttemptRepeated { after: None } => self.figures.hedges.inc(),
-            Command::AttemptRepeated { after: Some(ending) } => self.figures.retried(ending),
+            Command::AttemptRepeated { after: None } => self.metrics.hedges.inc(),
+            Command::AttemptRepeated { after: Some(ending) } => self.metrics.retried(ending),
         }
     }
 
@@ -280,7 +280,7 @@
 
     /// Counts a denial. Logs one that a correct balancer could not have caused.
     fn report_denial(&self, request: RequestId, proposed: DenialPoint, denial: Denial) {
-        self.figures.denied(proposed, denial.name());
+        self.metrics.denied(proposed, denial.name());
         self.record(request, Event::Denied(denial.name()));
         if proposed == DenialPoint::Send && !denial.is_expected() {
             log(format_args!(
@@ -291,8 +291,8 @@
     }
 
     fn record(&self, request: RequestId, event: Event) {
-        let subject = Subject::Request { pool: self.figures.pool.clone(), number: request };
-        self.figures.recorder.record(self.clock.now(), subject, event);
+        let subject = Subject::Request { pool: self.metrics.pool.clone(), number: request };
+        self.metrics.recorder.record(self.clock.now(), subject, event);
     }
 
     fn on_client_left(self: &Rc<Self>, request: RequestId) {
@@ -372,7 +372,7 @@
     /// Number of listed servers and how many of them are ejected. Also updates the metric of the list's age.
     pub fn server_counts(&self) -> (usize, usize) {
         let (listed, ejected, age) = self.requests.borrow().server_counts(self.clock.now());
-        self.figures.list_age.set(age as f64 / 1e9);
+        self.metrics.list_age.set(age as f64 / 1e9);
         (listed, ejected)
     }
 
