--- a/crates/balance/src/balancer/attempts.rs
+++ b/crates/balance/src/balancer/attempts.rs
@@ -1,51 +1,56 @@
-//! Attempts: sent, ended, sent again, copied, called off.
+//! Attempts: sending, ending, retries, hedges and cancellation.
 
-use super::slow_start::EARLY;
+use super::slow_start::MAX_CATCH_UP_WINDOWS;
 use super::{Attempt, Balancer, Sink};
 use crate::interface::{Action, Effect, Ending, Group, Nanos, Refusal, RequestId};
 
 impl Balancer {
-    pub(super) fn send(&mut self, now: Nanos, id: RequestId, i: usize, sink: Sink) {
-        let credit = self.increment(now);
-        self.sent.add(now, self.settings.ramp as f64, 1.0);
-        self.begun = self.begun.min(now);
-        let weight = self.pending.get(&id).map_or(1.0, |p| self.weight(&p.request));
-        let from = self.due(now, i).max(now as f64 - EARLY * self.settings.overload_window as f64);
-        (self.nodes[i].paced_from, self.nodes[i].jitter) = (from, 1.0);
-        self.credit(i, credit);
-        let alone = self.nodes[i].out == 0;
-        let working = self.pending.get(&id).is_some_and(|p| !p.request.has_streaming_body);
+    pub(super) fn send_attempt(&mut self, now: Nanos, id: RequestId, index: usize, sink: Sink) {
+        let credit = self.score_unit(now);
+        self.recent_sends.add(now, self.settings.ramp as f64, 1.0);
+        self.first_send_at = self.first_send_at.min(now);
+        let weight = self.pending.get(&id).map_or(1.0, |pending| self.request_weight(&pending.request));
+        let pacing_start = self
+            .next_send_due(now, index)
+            .max(now as f64 - MAX_CATCH_UP_WINDOWS * self.settings.overload_window as f64);
+        (self.servers[index].pacing_start, self.servers[index].pacing_jitter) = (pacing_start, 1.0);
+        self.add_score(index, credit);
+        let alone = self.servers[index].outstanding == 0;
+        let working = self.pending.get(&id).is_some_and(|pending| !pending.request.has_streaming_body);
         if working {
-            self.works(now, i, weight);
+            self.begin_work(now, index, weight);
         }
-        if let Some(p) = self.pending.get_mut(&id) {
-            let attempt = Attempt { node: i, at: now, credit, weight, open: true, working, alone, took: 0 };
-            p.attempts.push(attempt);
-            sink.push(Action::Send { request: id, server: self.nodes[i].server.id, timeout: 0 });
+        if let Some(pending) = self.pending.get_mut(&id) {
+            let attempt =
+                Attempt { server: index, sent_at: now, credit, weight, open: true, working, alone, took: 0 };
+            pending.attempts.push(attempt);
+            sink.push(Action::Send { request: id, server: self.servers[index].entry.id, timeout: 0 });
         }
     }
 
-    /// A server begins with a request's last byte: what is still coming is no work, its silence says nothing.
-    fn works(&mut self, now: Nanos, i: usize, weight: f64) {
-        let node = &mut self.nodes[i];
-        if node.out == 0 {
-            node.silent_since = now;
+    /// Counts an attempt as outstanding once the server has the whole request: before that the server cannot
+    /// answer, and its silence does not count against it.
+    fn begin_work(&mut self, now: Nanos, index: usize, weight: f64) {
+        let state = &mut self.servers[index];
+        if state.outstanding == 0 {
+            state.silent_since = now;
         }
-        node.out += 1;
-        node.load += weight;
-        node.sent_since += weight;
+        state.outstanding += 1;
+        state.outstanding_weight += weight;
+        state.weight_since_report += weight;
     }
 
-    pub(super) fn written(&mut self, now: Nanos, id: RequestId, attempt: u8) {
-        let attempt = self.pending.get_mut(&id).and_then(|p| p.attempts.get_mut(usize::from(attempt)));
-        if let Some(a) = attempt.filter(|a| a.open && !a.working) {
-            a.working = true;
-            let (i, weight) = (a.node, a.weight);
-            self.works(now, i, weight);
+    pub(super) fn body_written(&mut self, now: Nanos, id: RequestId, attempt: u8) {
+        let attempt =
+            self.pending.get_mut(&id).and_then(|pending| pending.attempts.get_mut(usize::from(attempt)));
+        if let Some(attempt) = attempt.filter(|attempt| attempt.open && !attempt.working) {
+            attempt.working = true;
+            let (index, weight) = (attempt.server, attempt.weight);
+            self.begin_work(now, index, weight);
         }
     }
 
-    pub(super) fn outcome(
+    pub(super) fn end_attempt(
         &mut self,
         now: Nanos,
         (id, attempt): (RequestId, u8),
@@ -54,88 +59,97 @@
         (ending, body_consumed): (Ending, bool),
         sink: Sink,
     ) {
-        let Some(p) = self.pending.get_mut(&id) else { return };
-        let Some(a) = p.attempts.get_mut(usize::from(attempt)).filter(|a| a.open) else { return };
-        (a.open, a.took) = (false, took);
-        let (a, request) = (*a, p.request);
+        let Some(pending) = self.pending.get_mut(&id) else { return };
+        let Some(attempt) = pending.attempts.get_mut(usize::from(attempt)).filter(|attempt| attempt.open)
+        else {
+            return;
+        };
+        (attempt.open, attempt.took) = (false, took);
+        let (attempt, request) = (*attempt, pending.request);
         let window = self.settings.classes[usize::from(request.class)].window;
-        if !ending.never_ran() && p.fence.is_none() {
-            p.fence = Some((self.nodes[a.node].server, a.at + window));
+        if !ending.never_ran() && pending.first_run.is_none() {
+            pending.first_run = Some((self.servers[attempt.server].entry, attempt.sent_at + window));
         }
-        if a.working {
-            self.rests(a.node, a.weight);
+        if attempt.working {
+            self.end_work(attempt.server, attempt.weight);
         }
-        self.judge(now, a, &request, ending, sink);
+        self.record_ending(now, attempt, &request, ending, sink);
         match self.pending.get(&id) {
-            Some(p) if finished || p.answered => self.close(id, sink),
-            Some(p) if p.open() > 0 && now < p.request.give_up_at => {}
-            _ => self.again(now, id, (ending, body_consumed), sink),
+            Some(pending) if finished || pending.closed => self.close(id, sink),
+            Some(pending) if pending.open_attempts() > 0 && now < pending.request.give_up_at => {}
+            _ => self.retry_or_end(now, id, (ending, body_consumed), sink),
         }
     }
 
-    /// Sends a request again whose attempts have all ended without an answer, or ends it.
-    pub(super) fn again(
+    /// Retries a request whose attempts have all ended without an answer, or ends it.
+    pub(super) fn retry_or_end(
         &mut self,
         now: Nanos,
         id: RequestId,
         (ending, body_consumed): (Ending, bool),
         sink: Sink,
     ) {
-        let Some(mut p) = self.pending.remove(&id) else { return };
-        let class = usize::from(p.request.class);
+        let Some(mut pending) = self.pending.remove(&id) else { return };
+        let class = usize::from(pending.request.class);
         let effect = self.settings.classes[class].effect;
-        let may_have_run = p.fence.is_some();
-        let free = ending.never_ran();
-        // One bad request must not be carried from server to server and count against each.
-        let rejected = ending == Ending::Rejected;
-        let allowed = !p.streaming
-            && !rejected
+        let may_have_run = pending.first_run.is_some();
+        let is_free = ending.never_ran();
+        // A malformed request must not go from server to server and count as a failure of each.
+        let is_rejected = ending == Ending::Rejected;
+        let may_retry = !pending.response_started
+            && !is_rejected
             && !body_consumed
-            && p.attempts.len() < p.most as usize
+            && pending.attempts.len() < pending.max_attempts as usize
             && (!may_have_run || effect != Effect::Unsafe)
-            && (free || self.budget >= 1.0)
-            && now + (self.places[class].typical_nanos / 2.0) as Nanos <= p.request.give_up_at;
-        let next = if allowed { self.choose(now, &p) } else { None };
+            && (is_free || self.retry_budget >= 1.0)
+            && now + (self.class_states[class].typical_nanos / 2.0) as Nanos <= pending.request.give_up_at;
+        let next = if may_retry { self.choose_server(now, &pending) } else { None };
         let all = self.settings.classes[class].group == Group::All;
-        let harmless = !may_have_run || effect == Effect::Safe || (effect == Effect::Keyed && all);
+        let is_repeatable = !may_have_run || effect == Effect::Safe || (effect == Effect::Keyed && all);
         if next.is_none() {
-            p.answered = true;
-            if harmless && !rejected && now < p.request.give_up_at {
-                self.refuse(id, self.places[class].typical_nanos, Refusal::AttemptsFailed, sink);
+            pending.closed = true;
+            if is_repeatable && !is_rejected && now < pending.request.give_up_at {
+                self.refuse(id, self.class_states[class].typical_nanos, Refusal::AttemptsFailed, sink);
             } else {
                 sink.push(Action::Fail { request: id });
             }
         }
-        self.pending.insert(id, p);
-        let Some((i, _)) = next else { return self.close(id, sink) };
-        self.budget -= if free { 0.0 } else { 1.0 };
-        self.send(now, id, i, sink)
+        self.pending.insert(id, pending);
+        let Some((index, _)) = next else { return self.close(id, sink) };
+        self.retry_budget -= if is_free { 0.0 } else { 1.0 };
+        self.send_attempt(now, id, index, sink)
     }
 
-    /// A second copy for a request that is slow to come back, within the budget.
+    /// Sends a second attempt of a request that is slow to be answered, if the retry budget allows it.
     pub(super) fn hedge(&mut self, now: Nanos, id: RequestId, sink: Sink) {
-        let Some(p) = self.pending.remove(&id) else { return };
-        let fits = !p.answered && p.open() == 1 && p.attempts.len() < p.most as usize;
-        let class = usize::from(p.request.class);
-        let left = (p.arrived + self.settings.classes[class].aim).saturating_sub(now) as f64;
-        let may = fits && self.budget >= 1.0 && now < p.request.give_up_at;
-        let next = may.then(|| self.choose(now, &p)).flatten().filter(|c| self.expected(class, c.1) < left);
-        self.pending.insert(id, p);
-        let Some((i, _)) = next else { return };
-        self.budget -= 1.0;
-        self.send(now, id, i, sink);
+        let Some(pending) = self.pending.remove(&id) else { return };
+        let has_one_open = !pending.closed
+            && pending.open_attempts() == 1
+            && pending.attempts.len() < pending.max_attempts as usize;
+        let class = usize::from(pending.request.class);
+        let left = (pending.arrived_at + self.settings.classes[class].aim).saturating_sub(now) as f64;
+        let may_hedge = has_one_open && self.retry_budget >= 1.0 && now < pending.request.give_up_at;
+        let next = may_hedge
+            .then(|| self.choose_server(now, &pending))
+            .flatten()
+            .filter(|choice| self.expected_latency(class, choice.1) < left);
+        self.pending.insert(id, pending);
+        let Some((index, _)) = next else { return };
+        self.retry_budget -= 1.0;
+        self.send_attempt(now, id, index, sink);
     }
 
-    /// Nothing more is owed: calls off what is still out and forgets the request once all is in.
+    /// Closes a request to which no answer is owed any longer: cancels its open attempts, and forgets it once
+    /// all of them have ended.
     pub(super) fn close(&mut self, id: RequestId, sink: Sink) {
-        let Some(p) = self.pending.get_mut(&id) else { return };
-        if !p.answered && self.settings.cancel && !p.streaming {
-            for (k, _) in p.attempts.iter().enumerate().filter(|(_, a)| a.open) {
-                sink.push(Action::Cancel { request: id, attempt: k as u8 });
+        let Some(pending) = self.pending.get_mut(&id) else { return };
+        if !pending.closed && self.settings.cancel && !pending.response_started {
+            for (number, _) in pending.attempts.iter().enumerate().filter(|(_, attempt)| attempt.open) {
+                sink.push(Action::Cancel { request: id, attempt: number as u8 });
             }
         }
-        p.answered = true;
-        if p.open() == 0 {
+        pending.closed = true;
+        if pending.open_attempts() == 0 {
             self.pending.remove(&id);
         }
     }
--- a/crates/balance/src/balancer/mod.rs
+++ b/crates/balance/src/balancer/mod.rs
@@ -1,8 +1,10 @@
-//! All decisions of one node for one pool. Types, events and actions: `src/interface.rs`.
+//! The load balancing decisions of one node for one pool. Its settings, events and actions are defined in
+//! `src/interface.rs`.
 //!
-//! One file per concern: `list` (who there is), `ranking` and `order` (accomplishment), `queue` (how long an
-//! answer takes), `choice` (JSQ-DAS), `start_times` and `cold` (servers that have just started), `health`,
-//! `admission`, `attempts`, `retune`. Constants are ratios of settings or of observations.
+//! One file per concern: `server_list` (the list of servers), `scores` and `score_order` (ranking by
+//! completed requests), `queue_estimate` (expected response times), `selection` (choice of a server),
+//! `start_times` and `slow_start` (servers that have just started), `health` (outlier ejection), `admission`,
+//! `attempts`, `settings_update`. Constants are ratios of settings or of observations.
 
 mod admission;
 mod attempts;
@@ -19,34 +21,42 @@
 use crate::interface::*;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use score_order::Order;
+use score_order::ScoreOrder;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
 type Sink<'a> = &'a mut Vec<Action>;
 
-/// The lag of a server is believed for this many give-up times.
-const LAG_MEMORY: f64 = 3.0;
-/// Without news, pressure fades by e in this many aims.
-const RELIEF: f64 = 3.0;
+/// Time constant of decaying per-server and per-tenant values, in multiples of the longest give-up time.
+const DECAY_GIVE_UPS: f64 = 3.0;
+/// Time constant of the decay of delays without new answers, in multiples of the longest aim.
+const DELAY_DECAY_AIMS: f64 = 3.0;
 
-pub(crate) struct Node {
-    pub(crate) server: Server,
+pub(crate) struct ServerState {
+    pub(crate) entry: Server,
+    /// Capacity relative to other servers; 1 where sizes cannot be compared.
     size: f64,
-    out: u32,
-    load: f64,
+    /// Attempts in progress, and the sum of their weights.
+    outstanding: u32,
+    outstanding_weight: f64,
+    /// When it last answered, or received work while it had none.
     silent_since: Nanos,
-    pub(crate) lag: Faded,
-    queued: f64,
-    report_at: Nanos,
-    sent_since: f64,
+    /// Relative response time beyond the fleet's; 0 for a server as slow as the fleet.
+    pub(crate) lag: DecayingValue,
+    reported_queue: f64,
+    reported_at: Nanos,
+    /// Weight of the attempts sent since the last report.
+    weight_since_report: f64,
     pub(crate) score: f64,
     pub(crate) ejected_until: Nanos,
     pub(crate) consecutive_failures: u32,
-    pub(crate) failure_rate: Faded,
-    paced_from: f64,
-    jitter: f64,
-    reach: f64,
+    pub(crate) failure_rate: DecayingValue,
+    /// While the server is warming up, the next attempt is due `pacing_jitter` intervals after this time.
+    pacing_start: f64,
+    pacing_jitter: f64,
+    /// Number of window positions that include this server, times the zone's mean size; see
+    /// `update_ranked_window`.
+    window_coverage: f64,
     left_at: Nanos,
     /// When its process last started; none before it has been listed as ready.
     start: Option<start_times::DatedStart>,
@@ -54,176 +64,200 @@
 
 #[derive(Clone, Copy)]
 struct Attempt {
-    node: usize,
-    at: Nanos,
+    /// Index of the server.
+    server: usize,
+    sent_at: Nanos,
+    /// Added to the server's score when the attempt was sent.
     credit: f64,
     weight: f64,
     open: bool,
+    /// The server has received the whole request, and the attempt counts as outstanding.
     working: bool,
+    /// The server had no other outstanding attempt of this node when this one was sent.
     alone: bool,
     took: Nanos,
 }
 
 struct Pending {
     request: Request,
-    arrived: Nanos,
+    arrived_at: Nanos,
     attempts: Vec<Attempt>,
-    most: u32,
-    fence: Option<(Server, Nanos)>,
-    answered: bool,
-    streaming: bool,
+    max_attempts: u32,
+    /// Server of the first attempt that may have run, and until when its group drops repeats.
+    first_run: Option<(Server, Nanos)>,
+    /// No final answer is owed any longer.
+    closed: bool,
+    /// The answer is a stream that has begun.
+    response_started: bool,
 }
 
 impl Pending {
-    fn open(&self) -> usize {
-        self.attempts.iter().filter(|a| a.open).count()
+    fn open_attempts(&self) -> usize {
+        self.attempts.iter().filter(|attempt| attempt.open).count()
     }
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Job {
+enum TimerTask {
     Hedge(RequestId),
-    Relist,
+    Resubscribe,
 }
 
-/// The decisions of one node. Equal settings, seed and events give equal actions.
+/// The decisions of one node for one pool. Equal settings, seed and events give equal actions.
 pub struct Balancer {
     pub(crate) settings: Settings,
     rng: Pcg64Mcg,
-    pub(crate) nodes: Vec<Node>,
+    pub(crate) servers: Vec<ServerState>,
     pub(crate) by_id: BTreeMap<ServerId, usize>,
-    pub(crate) ready: Vec<Vec<usize>>,
-    ranks: Vec<Order>,
-    epoch: Nanos,
+    /// Indices of the ready servers of each zone, in the order of their identities.
+    pub(crate) ready_by_zone: Vec<Vec<usize>>,
+    /// The ready servers of each zone that this node ranks, by score.
+    ranked_by_zone: Vec<ScoreOrder>,
+    /// When the score unit was last reset to 1.
+    score_epoch: Nanos,
     start_clock: start_times::StartClock,
     pending: BTreeMap<RequestId, Pending>,
-    pub(crate) places: Vec<settings_update::Place>,
-    waits: Faded,
-    sent: Faded,
-    begun: Nanos,
-    pace: f64,
-    pub(crate) tenants: BTreeMap<u32, Faded>,
-    budget: f64,
-    usual_queue: f64,
-    jobs: BinaryHeap<Reverse<(Nanos, Job)>>,
-    armed: Nanos,
+    pub(crate) class_states: Vec<settings_update::ClassState>,
+    /// Mean time by which answers exceed their class's typical time.
+    fleet_delay: DecayingValue,
+    /// Decaying count of sent attempts, over about one ramp.
+    recent_sends: DecayingValue,
+    first_send_at: Nanos,
+    /// Attempts per second that this node sends.
+    send_rate: f64,
+    /// Decaying count of the requests admitted for each tenant.
+    pub(crate) tenant_requests: BTreeMap<u32, DecayingValue>,
+    /// Retries and hedges that may be sent now.
+    retry_budget: f64,
+    /// Moving average of reported queues per unit of size.
+    typical_queue: f64,
+    timers: BinaryHeap<Reverse<(Nanos, TimerTask)>>,
+    next_wakeup: Nanos,
     list_failures: u32,
-    pub(crate) memory: f64,
-    relief: f64,
-    pub(crate) longest: Nanos,
+    /// Time constants of decaying values, in nanoseconds.
+    pub(crate) decay_nanos: f64,
+    delay_decay_nanos: f64,
+    pub(crate) max_give_up: Nanos,
 }
 
-/// A deviation from what is usual, or a sum, believed the less the longer there was no news of it.
+/// A deviation from the usual, or a sum, that decays exponentially while there are no new samples.
 #[derive(Clone, Copy, Default)]
-pub(crate) struct Faded {
+pub(crate) struct DecayingValue {
     pub(crate) value: f64,
-    pub(crate) at: Nanos,
+    pub(crate) updated_at: Nanos,
 }
 
-impl Faded {
-    fn read(&self, now: Nanos, memory: f64) -> f64 {
-        self.value * (-(now.saturating_sub(self.at) as f64) / memory).exp()
+impl DecayingValue {
+    fn value_at(&self, now: Nanos, decay_nanos: f64) -> f64 {
+        self.value * (-(now.saturating_sub(self.updated_at) as f64) / decay_nanos).exp()
     }
-    fn learn(&mut self, now: Nanos, memory: f64, seen: f64, weight: f64) {
-        self.add(now, memory, (seen - self.read(now, memory)) * weight);
+    /// Moves the decayed value towards a sample.
+    fn add_sample(&mut self, now: Nanos, decay_nanos: f64, sample: f64, weight: f64) {
+        self.add(now, decay_nanos, (sample - self.value_at(now, decay_nanos)) * weight);
     }
-    /// What is counted so is, read with the same memory, a sum over about that time.
-    fn add(&mut self, now: Nanos, memory: f64, more: f64) {
-        (self.value, self.at) = (self.read(now, memory) + more, now);
+    /// Adds to a decaying sum, which covers about the last `decay_nanos`.
+    fn add(&mut self, now: Nanos, decay_nanos: f64, amount: f64) {
+        (self.value, self.updated_at) = (self.value_at(now, decay_nanos) + amount, now);
     }
 }
 
 impl Balancer {
-    /// A balancer without any servers yet. The seed settles all its random draws.
+    /// Creates a balancer without servers. The seed determines all its random draws.
+    ///
+    /// # Errors
+    /// Where the settings are invalid.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
-        let longest = settings.classes.iter().map(|c| c.give_up).max().unwrap_or(1);
+        let max_give_up = settings.classes.iter().map(|class| class.give_up).max().unwrap_or(1);
         Ok(Balancer {
             rng: Pcg64Mcg::seed_from_u64(seed),
-            nodes: Vec::new(),
+            servers: Vec::new(),
             by_id: BTreeMap::new(),
-            ready: Vec::new(),
-            ranks: Vec::new(),
-            epoch: 0,
+            ready_by_zone: Vec::new(),
+            ranked_by_zone: Vec::new(),
+            score_epoch: 0,
             start_clock: start_times::StartClock::default(),
             pending: BTreeMap::new(),
-            places: settings.classes.iter().map(settings_update::Place::new).collect(),
-            waits: Faded::default(),
-            sent: Faded::default(),
-            begun: Nanos::MAX,
-            pace: 0.0,
-            tenants: BTreeMap::new(),
-            budget: 1.0,
-            usual_queue: 0.0,
-            jobs: BinaryHeap::new(),
-            armed: Nanos::MAX,
+            class_states: settings.classes.iter().map(settings_update::ClassState::new).collect(),
+            fleet_delay: DecayingValue::default(),
+            recent_sends: DecayingValue::default(),
+            first_send_at: Nanos::MAX,
+            send_rate: 0.0,
+            tenant_requests: BTreeMap::new(),
+            retry_budget: 1.0,
+            typical_queue: 0.0,
+            timers: BinaryHeap::new(),
+            next_wakeup: Nanos::MAX,
             list_failures: 0,
-            memory: LAG_MEMORY * longest as f64,
-            relief: RELIEF * settings.classes.iter().map(|c| c.aim).max().unwrap_or(1) as f64,
-            longest,
+            decay_nanos: DECAY_GIVE_UPS * max_give_up as f64,
+            delay_decay_nanos: DELAY_DECAY_AIMS
+                * settings.classes.iter().map(|class| class.aim).max().unwrap_or(1) as f64,
+            max_give_up,
             settings,
         })
     }
 
-    /// Takes one event at the given time and writes what is to be done about it into `sink`, in order.
+    /// Handles one event at the given time, and appends the resulting actions to `sink`, in order.
     pub fn handle(&mut self, now: Nanos, event: Event, sink: &mut Vec<Action>) {
         match event {
-            Event::List { kind, servers } => self.follow_list(now, kind, &servers, sink),
+            Event::List { kind, servers } => self.apply_list(now, kind, &servers, sink),
             Event::Request(request) => self.admit(now, request, sink),
             Event::Outcome { request, server, attempt, finished, took, ending, body_consumed, report } => {
-                self.learn(now, server, report);
-                self.outcome(now, (request, attempt), finished, took, (ending, body_consumed), sink)
+                self.record_report(now, server, report);
+                self.end_attempt(now, (request, attempt), finished, took, (ending, body_consumed), sink)
             }
-            Event::BodyWritten { request, attempt } => self.written(now, request, attempt),
+            Event::BodyWritten { request, attempt } => self.body_written(now, request, attempt),
             Event::StreamStarted { request, .. } => {
-                self.pending.entry(request).and_modify(|p| p.streaming = true);
+                self.pending.entry(request).and_modify(|pending| pending.response_started = true);
             }
             Event::ClientGone { request } => self.close(request, sink),
-            Event::Probed { server, report, .. } => self.learn(now, server, report),
+            Event::Probed { server, report, .. } => self.record_report(now, server, report),
             Event::Message { .. } => {}
             Event::Timer { .. } => {
-                self.armed = Nanos::MAX;
-                while let Some(&Reverse((_, job))) = self.jobs.peek().filter(|j| j.0 .0 <= now) {
-                    self.jobs.pop();
-                    match job {
-                        Job::Hedge(id) => self.hedge(now, id, sink),
-                        Job::Relist => sink.push(Action::Subscribe),
+                self.next_wakeup = Nanos::MAX;
+                while let Some(&Reverse((_, task))) = self.timers.peek().filter(|timer| timer.0 .0 <= now) {
+                    self.timers.pop();
+                    match task {
+                        TimerTask::Hedge(id) => self.hedge(now, id, sink),
+                        TimerTask::Resubscribe => sink.push(Action::Subscribe),
                     }
                 }
             }
         }
-        self.arm(now, sink);
+        self.start_timer(now, sink);
     }
 
-    /// A server as it was last listed, for as long as it is remembered.
+    /// The last list entry of a server, for as long as the balancer tracks it.
     pub fn server(&self, id: ServerId) -> Option<&Server> {
-        self.by_id.get(&id).map(|&i| &self.nodes[i].server)
+        self.by_id.get(&id).map(|&index| &self.servers[index].entry)
     }
 
-    /// How many servers it remembers, with those that have left.
+    /// How many servers are tracked, including those that have left the list.
     pub fn tracked_servers(&self) -> usize {
-        self.nodes.len()
+        self.servers.len()
     }
 
-    /// How many servers the list holds, and how many of these get nothing for now because of their failures.
+    /// How many servers are listed, and how many of these are ejected.
     pub fn server_counts(&self, now: Nanos) -> (usize, usize) {
-        let listed = self.nodes.iter().filter(|n| n.server.phase != Phase::Removed);
-        listed.fold((0, 0), |(all, out), n| (all + 1, out + usize::from(n.ejected_until > now)))
+        let listed = self.servers.iter().filter(|state| state.entry.phase != Phase::Removed);
+        listed
+            .fold((0, 0), |(all, ejected), state| (all + 1, ejected + usize::from(state.ejected_until > now)))
     }
 
-    fn draw(&mut self, below: usize) -> usize {
-        ((u64::from(self.rng.next_u32()) * below as u64) >> 32) as usize
+    fn random_below(&mut self, bound: usize) -> usize {
+        ((u64::from(self.rng.next_u32()) * bound as u64) >> 32) as usize
     }
 
-    fn chance(&mut self) -> f64 {
+    /// Draws a uniform number from 0 to 1.
+    fn random_fraction(&mut self) -> f64 {
         f64::from(self.rng.next_u32()) / f64::from(u32::MAX)
     }
 
-    fn arm(&mut self, now: Nanos, sink: &mut Vec<Action>) {
-        if let Some(&Reverse((at, _))) = self.jobs.peek() {
-            if at < self.armed {
-                self.armed = at;
-                sink.push(Action::StartTimer { after: at.saturating_sub(now), token: 0 });
+    fn start_timer(&mut self, now: Nanos, sink: &mut Vec<Action>) {
+        if let Some(&Reverse((due, _))) = self.timers.peek() {
+            if due < self.next_wakeup {
+                self.next_wakeup = due;
+                sink.push(Action::StartTimer { after: due.saturating_sub(now), token: 0 });
             }
         }
     }
--- a/crates/balance/src/balancer/queue_estimate.rs
+++ b/crates/balance/src/balancer/queue_estimate.rs
@@ -1,65 +1,72 @@
-//! How long an answer would take at a server, in mean responses.
+//! Estimates of how long a server takes to answer, in units of a class's typical response time.
 
 use super::Balancer;
 use crate::interface::{Nanos, Report, Request, ServerId};
 
-/// A reported queue is believed for this part of the lag's memory; usual ones average this many reports.
-const REPORT_MEMORY: f64 = 0.15;
-const USUAL_OVER: f64 = 100.0;
-/// The least answer time given to a request whose hint is light, in mean responses.
-const LIGHTEST: f64 = 0.25;
-/// Quick answers of other classes make none look quicker than this part of what is usual.
-const LEAST_PRESSURE: f64 = 0.5;
+/// Time constant of the trust in a reported queue, as a fraction of `decay_nanos`.
+const REPORT_DECAY_FRACTION: f64 = 0.15;
+/// Number of reports over which the typical queue is averaged.
+const TYPICAL_QUEUE_SAMPLES: f64 = 100.0;
+/// Least weight of a request with a work hint, in typical response times.
+const MIN_REQUEST_WEIGHT: f64 = 0.25;
+/// Lower bound of the fleet's pressure: quick answers of other classes say little about a class.
+const MIN_PRESSURE: f64 = 0.5;
 
 impl Balancer {
-    pub(super) fn learn(&mut self, now: Nanos, id: ServerId, report: Option<Report>) {
-        let (Some(&i), Some(report)) = (self.by_id.get(&id), report) else { return };
-        let node = &mut self.nodes[i];
-        node.queued = f64::from(report.queued.unwrap_or(0.0)).max(0.0);
-        node.report_at = now;
-        self.usual_queue += (node.queued / node.size - self.usual_queue) / USUAL_OVER;
-        node.sent_since = 0.0;
+    pub(super) fn record_report(&mut self, now: Nanos, id: ServerId, report: Option<Report>) {
+        let (Some(&index), Some(report)) = (self.by_id.get(&id), report) else { return };
+        let state = &mut self.servers[index];
+        state.reported_queue = f64::from(report.queued.unwrap_or(0.0)).max(0.0);
+        state.reported_at = now;
+        self.typical_queue +=
+            (state.reported_queue / state.size - self.typical_queue) / TYPICAL_QUEUE_SAMPLES;
+        state.weight_since_report = 0.0;
     }
 
-    pub(super) fn weight(&self, request: &Request) -> f64 {
+    /// The expected response time of a request in its class's typical ones, by linear regression over work
+    /// hints; 1 without a hint.
+    pub(super) fn request_weight(&self, request: &Request) -> f64 {
         let class = usize::from(request.class);
-        let [mean, spread, both] = self.places[class].hints;
+        let [mean, variance, covariance] = self.class_states[class].hint_moments;
         match request.work_hint {
-            Some(hint) if spread > 0.0 => {
-                let more = (both / spread).max(0.0) * (hint as f64 - mean) / self.places[class].typical_nanos;
-                (1.0 + more).max(LIGHTEST)
+            Some(hint) if variance > 0.0 => {
+                let extra = (covariance / variance).max(0.0) * (hint as f64 - mean)
+                    / self.class_states[class].typical_nanos;
+                (1.0 + extra).max(MIN_REQUEST_WEIGHT)
             }
             _ => 1.0,
         }
     }
 
-    /// How long an answer takes here, in the class's mean responses: recent lag, or the silence while work is
-    /// out if that is longer (a hung server must not look idle), and the work that waits per unit of size;
-    /// all of it as often as it takes until one is answered.
-    pub(super) fn queue(&self, now: Nanos, i: usize, mean: f64, weight: f64) -> f64 {
-        let node = &self.nodes[i];
-        let mut lag = (self.pressure(now, mean) + node.lag.read(now, self.memory)).max(0.0) * weight;
-        if node.out > 0 {
-            lag = lag.max(now.saturating_sub(node.silent_since) as f64 / mean);
+    /// The expected response time of a server, in the class's typical ones: its recent lag, or its silence
+    /// while it has work if that is longer (a hung server must not look idle), and the queued work per unit
+    /// of size; all of it times the expected number of attempts.
+    pub(super) fn estimated_queue(&self, now: Nanos, index: usize, mean: f64, weight: f64) -> f64 {
+        let state = &self.servers[index];
+        let mut lag =
+            (self.fleet_pressure(now, mean) + state.lag.value_at(now, self.decay_nanos)).max(0.0) * weight;
+        if state.outstanding > 0 {
+            lag = lag.max(now.saturating_sub(state.silent_since) as f64 / mean);
         }
-        let age = now.saturating_sub(node.report_at) as f64;
-        let known = (-age / (REPORT_MEMORY * self.memory)).exp();
-        let own = node.load / node.size;
-        let since = node.sent_since / node.size;
+        let age = now.saturating_sub(state.reported_at) as f64;
+        let trust = (-age / (REPORT_DECAY_FRACTION * self.decay_nanos)).exp();
+        let own = state.outstanding_weight / state.size;
+        let since = state.weight_since_report / state.size;
         let waiting =
-            (node.queued / node.size * known + since.min(own) + self.usual_queue * (1.0 - known)).max(own);
-        // The lag already holds the usual queue: only what differs from it counts.
-        (lag + waiting - self.usual_queue).max(own) * self.tries(now, i)
+            (state.reported_queue / state.size * trust + since.min(own) + self.typical_queue * (1.0 - trust))
+                .max(own);
+        // The lag already includes the typical queue: only the difference from it is added.
+        (lag + waiting - self.typical_queue).max(own) * self.expected_attempts(now, index)
     }
 
-    /// When an answer is expected that has such a queue before it.
-    pub(super) fn expected(&self, class: usize, queue: f64) -> f64 {
-        queue * self.places[class].typical_nanos / self.settings.slots
+    /// The expected response time of a class behind such a queue, in nanoseconds.
+    pub(super) fn expected_latency(&self, class: usize, queue: f64) -> f64 {
+        queue * self.class_states[class].typical_nanos / self.settings.slots
     }
 
-    /// What answers take of late as a multiple of what they usually do. All wait alike at a server: what is
-    /// many times the one class's work is next to nothing to another.
-    pub(super) fn pressure(&self, now: Nanos, mean: f64) -> f64 {
-        (1.0 + self.waits.read(now, self.relief) / mean).max(LEAST_PRESSURE)
+    /// Recent response times of the fleet as a multiple of the typical ones, for a class with this mean.
+    /// Delays are averaged as absolute times, because requests of all classes wait in the same queues.
+    pub(super) fn fleet_pressure(&self, now: Nanos, mean: f64) -> f64 {
+        (1.0 + self.fleet_delay.value_at(now, self.delay_decay_nanos) / mean).max(MIN_PRESSURE)
     }
 }
--- a/crates/balance/src/balancer/score_order.rs
+++ b/crates/balance/src/balancer/score_order.rs
@@ -1,185 +1,198 @@
-//! Servers in the order of their scores, with quick moves in a large fleet.
+//! Servers in descending order of their scores, with fast moves for large fleets.
 //!
-//! The order is cut into short runs: a move shifts the members of two runs and the counts before the runs
-//! between them, where one long list would shift every server that it passes.
+//! The order is divided into short chunks. A move shifts the entries of two chunks and the offsets of the
+//! chunks between them, where a single list would shift the entry of every server passed.
 
-/// A run longer than this is cut in two.
-const LONGEST: usize = 128;
-/// Neighbours shorter than this together are joined.
-const SHORT: usize = 32;
-const NONE: u32 = u32::MAX;
+/// A longer chunk is split in two.
+const MAX_CHUNK_LEN: usize = 128;
+/// Adjacent chunks with fewer entries than this together are merged.
+const MERGE_BELOW_LEN: usize = 32;
+const NO_CHUNK: u32 = u32::MAX;
 
 #[derive(Clone, Debug, Default)]
-struct Run {
-    /// Scores and nodes, greatest first.
-    members: Vec<(f64, u32)>,
-    /// Where the run stands among the runs.
-    at: usize,
+struct Chunk {
+    /// Scores and server indices, highest score first.
+    entries: Vec<(f64, u32)>,
+    /// Index of the chunk in `ScoreOrder::sequence`.
+    position: usize,
 }
 
-/// Nodes by their index, greatest score first. A node that gains stands behind its equals, one that loses
-/// before them.
+/// Server indices, highest score first. A server whose score rises goes behind those of equal score, one
+/// whose score falls before them.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Order {
-    runs: Vec<Run>,
-    /// Runs out of use, to be used again.
-    spare: Vec<u32>,
-    /// Runs in their order.
+pub(super) struct ScoreOrder {
+    chunks: Vec<Chunk>,
+    /// Chunks that may be reused.
+    unused: Vec<u32>,
+    /// Chunk numbers, in the order of scores.
     sequence: Vec<u32>,
-    /// How many nodes stand before each run of the sequence.
-    starts: Vec<usize>,
-    /// The run of each node.
-    home: Vec<u32>,
+    /// Number of servers before each chunk of `sequence`.
+    offsets: Vec<usize>,
+    /// Chunk number of each server, or `NO_CHUNK`.
+    chunk_of: Vec<u32>,
     len: usize,
 }
 
-impl Order {
+impl ScoreOrder {
     pub(super) fn len(&self) -> usize {
         self.len
     }
 
-    pub(super) fn holds(&self, node: usize) -> bool {
-        self.home.get(node).is_some_and(|run| *run != NONE)
+    pub(super) fn contains(&self, server: usize) -> bool {
+        self.chunk_of.get(server).is_some_and(|chunk| *chunk != NO_CHUNK)
     }
 
-    /// The node at a place, counted from 0, below the length.
-    pub(super) fn get(&self, place: usize) -> usize {
-        let at = self.starts.partition_point(|start| *start <= place) - 1;
-        self.run(at).members[place - self.starts[at]].1 as usize
+    /// The server at a rank below `len`, from 0.
+    pub(super) fn get(&self, rank: usize) -> usize {
+        let position = self.offsets.partition_point(|offset| *offset <= rank) - 1;
+        self.chunk(position).entries[rank - self.offsets[position]].1 as usize
     }
 
-    /// A node's place, where it has one.
-    pub(super) fn place(&self, node: usize) -> Option<usize> {
-        let run = &self.runs[*self.home.get(node).filter(|run| **run != NONE)? as usize];
-        let within = run.members.iter().position(|m| m.1 as usize == node)?;
-        Some(self.starts[run.at] + within)
+    /// The rank of a server, from 0; none if it is not in the order.
+    pub(super) fn rank(&self, server: usize) -> Option<usize> {
+        let chunk = &self.chunks[*self.chunk_of.get(server).filter(|chunk| **chunk != NO_CHUNK)? as usize];
+        let within = chunk.entries.iter().position(|entry| entry.1 as usize == server)?;
+        Some(self.offsets[chunk.position] + within)
     }
 
     pub(super) fn iter(&self) -> impl Iterator<Item = usize> + '_ {
-        let runs = self.sequence.iter().map(|run| &self.runs[*run as usize]);
-        runs.flat_map(|run| run.members.iter().map(|m| m.1 as usize))
+        let chunks = self.sequence.iter().map(|chunk| &self.chunks[*chunk as usize]);
+        chunks.flat_map(|chunk| chunk.entries.iter().map(|entry| entry.1 as usize))
     }
 
-    /// Adds a node that is not there, behind its equals.
-    pub(super) fn insert(&mut self, node: usize, score: f64) {
-        self.put(node, score, |other| other >= score);
+    /// Adds a server that is not in the order, behind those of equal score.
+    pub(super) fn insert(&mut self, server: usize, score: f64) {
+        self.insert_after(server, score, |other| other >= score);
     }
 
-    pub(super) fn remove(&mut self, node: usize) {
-        if self.holds(node) {
-            let run = &mut self.runs[self.home[node] as usize];
-            run.members.retain(|m| m.1 as usize != node);
-            let at = run.at;
-            self.left(node, at);
+    pub(super) fn remove(&mut self, server: usize) {
+        if self.contains(server) {
+            let chunk = &mut self.chunks[self.chunk_of[server] as usize];
+            chunk.entries.retain(|entry| entry.1 as usize != server);
+            let position = chunk.position;
+            self.finish_removal(server, position);
         }
     }
 
-    /// A node has been taken out of the run at this place.
-    fn left(&mut self, node: usize, at: usize) {
-        self.home[node] = NONE;
+    /// Updates chunks and offsets after a server's entry has been removed from the chunk at this position.
+    fn finish_removal(&mut self, server: usize, position: usize) {
+        self.chunk_of[server] = NO_CHUNK;
         self.len -= 1;
-        self.starts[at + 1..].iter_mut().for_each(|start| *start -= 1);
-        self.join(at);
+        self.offsets[position + 1..].iter_mut().for_each(|offset| *offset -= 1);
+        self.merge_if_short(position);
     }
 
-    /// Moves a node to where its new score puts it.
-    pub(super) fn change(&mut self, node: usize, from: f64, to: f64) {
-        if from == to || !self.holds(node) {
+    /// Moves a server from the rank of its old score to that of its new one.
+    pub(super) fn update_score(&mut self, server: usize, old: f64, new: f64) {
+        if old == new || !self.contains(server) {
             return;
         }
-        let run = &mut self.runs[self.home[node] as usize];
-        let (at, members) = (run.at, &mut run.members);
-        // Its equals stand with it.
-        let first = members.partition_point(|m| m.0 > from);
-        let Some(now) = (first..members.len()).find(|&k| members[k].1 as usize == node) else { return };
-        let (new, last) = if to > from {
-            (members[..now].partition_point(|m| m.0 >= to), 0)
+        let chunk = &mut self.chunks[self.chunk_of[server] as usize];
+        let (position, entries) = (chunk.position, &mut chunk.entries);
+        // Servers of equal score are adjacent.
+        let first = entries.partition_point(|entry| entry.0 > old);
+        let Some(from) = (first..entries.len()).find(|&k| entries[k].1 as usize == server) else { return };
+        let (to, end) = if new > old {
+            (entries[..from].partition_point(|entry| entry.0 >= new), 0)
         } else {
-            (now + members[now + 1..].partition_point(|m| m.0 > to), members.len() - 1)
+            (from + entries[from + 1..].partition_point(|entry| entry.0 > new), entries.len() - 1)
         };
-        if new != last {
-            // Most moves are short, and end where a neighbour in the same run stops them.
-            match now < new {
-                true => members.copy_within(now + 1..new + 1, now),
-                false => members.copy_within(new..now, new + 1),
+        if to != end {
+            // Most moves are short and stay within the chunk.
+            match from < to {
+                true => entries.copy_within(from + 1..to + 1, from),
+                false => entries.copy_within(to..from, to + 1),
             }
-            members[new] = (to, node as u32);
+            entries[to] = (new, server as u32);
         } else {
-            members.remove(now);
-            self.left(node, at);
-            self.put(node, to, |other| if to > from { other >= to } else { other > to });
+            entries.remove(from);
+            self.finish_removal(server, position);
+            self.insert_after(server, new, |other| if new > old { other >= new } else { other > new });
         }
     }
 
-    /// Divides all scores.
-    pub(super) fn shrink(&mut self, by: f64) {
-        self.runs.iter_mut().flat_map(|run| &mut run.members).for_each(|m| m.0 /= by);
+    /// Divides all scores by the same number, which keeps their order.
+    pub(super) fn divide_scores(&mut self, divisor: f64) {
+        self.chunks.iter_mut().flat_map(|chunk| &mut chunk.entries).for_each(|entry| entry.0 /= divisor);
     }
 
-    fn run(&self, at: usize) -> &Run {
-        &self.runs[self.sequence[at] as usize]
+    fn chunk(&self, position: usize) -> &Chunk {
+        &self.chunks[self.sequence[position] as usize]
     }
 
-    /// Puts a node behind all whose score says so.
-    fn put(&mut self, node: usize, score: f64, before: impl Fn(f64) -> bool) {
+    /// Inserts a server behind all whose scores satisfy `is_before`.
+    fn insert_after(&mut self, server: usize, score: f64, is_before: impl Fn(f64) -> bool) {
         if self.sequence.is_empty() {
-            self.open(0, Vec::new());
+            self.insert_chunk(0, Vec::new());
         }
-        // The last run that begins before it: where it stands there is where it stands in all.
-        let first = |run: &u32| self.runs[*run as usize].members.first().is_some_and(|m| before(m.0));
-        let at = self.sequence.partition_point(first).saturating_sub(1);
-        let id = self.sequence[at];
-        let run = &mut self.runs[id as usize];
-        let within = run.members.partition_point(|m| before(m.0));
-        run.members.insert(within, (score, node as u32));
-        let long = run.members.len() > LONGEST;
-        if self.home.len() <= node {
-            self.home.resize(node + 1, NONE);
+        // The last chunk whose first entry comes before the server, or else the first chunk.
+        let begins_before = |chunk: &u32| {
+            self.chunks[*chunk as usize].entries.first().is_some_and(|entry| is_before(entry.0))
+        };
+        let position = self.sequence.partition_point(begins_before).saturating_sub(1);
+        let number = self.sequence[position];
+        let chunk = &mut self.chunks[number as usize];
+        let within = chunk.entries.partition_point(|entry| is_before(entry.0));
+        chunk.entries.insert(within, (score, server as u32));
+        let is_too_long = chunk.entries.len() > MAX_CHUNK_LEN;
+        if self.chunk_of.len() <= server {
+            self.chunk_of.resize(server + 1, NO_CHUNK);
         }
-        self.home[node] = id;
+        self.chunk_of[server] = number;
         self.len += 1;
-        self.starts[at + 1..].iter_mut().for_each(|start| *start += 1);
-        if long {
-            let rest = self.runs[id as usize].members.split_off(LONGEST / 2);
-            self.open(at + 1, rest);
+        self.offsets[position + 1..].iter_mut().for_each(|offset| *offset += 1);
+        if is_too_long {
+            let rest = self.chunks[number as usize].entries.split_off(MAX_CHUNK_LEN / 2);
+            self.insert_chunk(position + 1, rest);
         }
     }
 
-    /// Opens a run with members that have left the one before it.
-    fn open(&mut self, at: usize, members: Vec<(f64, u32)>) {
-        let id = self.spare.pop().unwrap_or(self.runs.len() as u32);
-        if id as usize == self.runs.len() {
-            self.runs.push(Run::default());
+    /// Inserts a chunk with entries that have been split off the preceding chunk.
+    fn insert_chunk(&mut self, position: usize, entries: Vec<(f64, u32)>) {
+        let number = self.unused.pop().unwrap_or(self.chunks.len() as u32);
+        if number as usize == self.chunks.len() {
+            self.chunks.push(Chunk::default());
         }
-        members.iter().for_each(|m| self.home[m.1 as usize] = id);
-        let start = if at == 0 { 0 } else { self.starts[at - 1] + self.run(at - 1).members.len() };
-        self.runs[id as usize].members = members;
-        self.sequence.insert(at, id);
-        self.starts.insert(at, start);
-        self.number(at);
+        entries.iter().for_each(|entry| self.chunk_of[entry.1 as usize] = number);
+        let offset = if position == 0 {
+            0
+        } else {
+            self.offsets[position - 1] + self.chunk(position - 1).entries.len()
+        };
+        self.chunks[number as usize].entries = entries;
+        self.sequence.insert(position, number);
+        self.offsets.insert(position, offset);
+        self.renumber(position);
     }
 
-    /// Closes a run that has grown short: what it has goes to the one before it.
-    fn join(&mut self, at: usize) {
-        let (mine, others) =
-            (self.run(at).members.len(), at.checked_sub(1).map(|b| self.run(b).members.len()));
-        let Some(others) = others.filter(|o| o + mine < SHORT).or((mine == 0).then_some(0)) else { return };
-        let id = self.sequence.remove(at);
-        self.starts.remove(at);
-        let members = std::mem::take(&mut self.runs[id as usize].members);
-        self.spare.push(id);
-        debug_assert!(members.is_empty() || others < SHORT);
-        if !members.is_empty() {
-            let before = self.sequence[at - 1];
-            members.iter().for_each(|m| self.home[m.1 as usize] = before);
-            self.runs[before as usize].members.extend(members);
+    /// Merges a chunk into the preceding one if both are short, or removes it if it is empty.
+    fn merge_if_short(&mut self, position: usize) {
+        let (len, preceding_len) = (
+            self.chunk(position).entries.len(),
+            position.checked_sub(1).map(|preceding| self.chunk(preceding).entries.len()),
+        );
+        let Some(preceding_len) =
+            preceding_len.filter(|other| other + len < MERGE_BELOW_LEN).or((len == 0).then_some(0))
+        else {
+            return;
+        };
+        let number = self.sequence.remove(position);
+        self.offsets.remove(position);
+        let entries = std::mem::take(&mut self.chunks[number as usize].entries);
+        self.unused.push(number);
+        debug_assert!(entries.is_empty() || preceding_len < MERGE_BELOW_LEN);
+        if !entries.is_empty() {
+            let preceding = self.sequence[position - 1];
+            entries.iter().for_each(|entry| self.chunk_of[entry.1 as usize] = preceding);
+            self.chunks[preceding as usize].entries.extend(entries);
         }
-        self.number(at);
+        self.renumber(position);
     }
 
-    fn number(&mut self, from: usize) {
-        for at in from..self.sequence.len() {
-            self.runs[self.sequence[at] as usize].at = at;
+    /// Updates the positions of the chunks from this one on.
+    fn renumber(&mut self, from: usize) {
+        for position in from..self.sequence.len() {
+            self.chunks[self.sequence[position] as usize].position = position;
         }
     }
 }
--- a/crates/balance/src/balancer/scores.rs
+++ b/crates/balance/src/balancer/scores.rs
@@ -1,36 +1,44 @@
-//! Accomplishment counters, faded by growing the increment, and the ranks that they give.
+//! Scores: decaying counts of the requests sent to each server. Instead of decaying all scores, the unit that
+//! a new request adds grows exponentially.
 
 use super::Balancer;
 use crate::interface::Nanos;
 
-/// Accomplishment fades by e within this many cold ramps: a noisy neighbour must not stay on top for good.
-const FADE_RAMPS: f64 = 1.0;
+/// Time constant of the decay of scores, in ramps: a server that has become slow must lose its rank.
+const SCORE_DECAY_RAMPS: f64 = 1.0;
 
 impl Balancer {
-    pub(crate) fn increment(&mut self, now: Nanos) -> f64 {
-        let fade = FADE_RAMPS * self.settings.ramp as f64;
-        let mut grown = (now.saturating_sub(self.epoch) as f64 / fade).exp();
-        if grown > 1e100 {
-            self.nodes.iter_mut().for_each(|n| n.score /= grown);
-            self.ranks.iter_mut().for_each(|rank| rank.shrink(grown));
-            self.pending.values_mut().flat_map(|p| &mut p.attempts).for_each(|a| a.credit /= grown);
-            self.epoch = now;
-            grown = 1.0;
+    /// What a request that is sent now adds to a score. Scales all scores down before the unit gets too
+    /// large.
+    pub(crate) fn score_unit(&mut self, now: Nanos) -> f64 {
+        let decay_nanos = SCORE_DECAY_RAMPS * self.settings.ramp as f64;
+        let mut unit = (now.saturating_sub(self.score_epoch) as f64 / decay_nanos).exp();
+        if unit > 1e100 {
+            self.servers.iter_mut().for_each(|state| state.score /= unit);
+            self.ranked_by_zone.iter_mut().for_each(|order| order.divide_scores(unit));
+            self.pending
+                .values_mut()
+                .flat_map(|pending| &mut pending.attempts)
+                .for_each(|attempt| attempt.credit /= unit);
+            self.score_epoch = now;
+            unit = 1.0;
         }
-        grown
+        unit
     }
 
-    pub(crate) fn credit(&mut self, i: usize, by: f64) {
-        let node = &mut self.nodes[i];
-        let from = node.score;
-        node.score += by;
-        if let Some(rank) = self.ranks.get_mut(usize::from(node.server.zone)) {
-            rank.change(i, from, node.score);
+    pub(crate) fn add_score(&mut self, index: usize, amount: f64) {
+        let state = &mut self.servers[index];
+        let old_score = state.score;
+        state.score += amount;
+        if let Some(order) = self.ranked_by_zone.get_mut(usize::from(state.entry.zone)) {
+            order.update_score(index, old_score, state.score);
         }
     }
 
     /// Whether this node ranks the server.
-    pub(super) fn ranked(&self, i: usize) -> bool {
-        self.ranks.get(usize::from(self.nodes[i].server.zone)).is_some_and(|rank| rank.holds(i))
+    pub(super) fn is_ranked(&self, index: usize) -> bool {
+        self.ranked_by_zone
+            .get(usize::from(self.servers[index].entry.zone))
+            .is_some_and(|order| order.contains(index))
     }
 }
--- a/crates/balance/src/balancer/settings_update.rs
+++ b/crates/balance/src/balancer/settings_update.rs
@@ -1,43 +1,43 @@
-//! Other settings take over while requests are open: these keep the rules under which they were taken.
+//! Changes of settings while requests are open: open requests keep the rules under which they were admitted.
 
-use super::{Balancer, Faded, LAG_MEMORY, RELIEF};
+use super::{Balancer, DecayingValue, DECAY_GIVE_UPS, DELAY_DECAY_AIMS};
 use crate::interface::{Class, Nanos, Settings, SettingsError};
 
-/// A class that has gone keeps its place for this many of the longest give-up times: requests whose
-/// body is still coming name it.
-const REMEMBER: Nanos = 100;
+/// A retired class keeps its index for this many of the longest give-up times, because requests whose bodies
+/// are still arriving may refer to it.
+const RETIRED_CLASS_GIVE_UPS: Nanos = 100;
 
-/// A place in the table of classes, and what has been learnt there.
+/// What is known of the class at one index.
 #[derive(Clone, Copy, Default)]
-pub(crate) struct Place {
-    /// Since when no settings name it; none while they do.
-    pub(super) retired: Option<Nanos>,
-    /// The yardstick of its answer times, how many answers that rests on, and what hints tell of them.
+pub(crate) struct ClassState {
+    /// When the settings ceased to contain the class; none while they contain it.
+    pub(super) retired_at: Option<Nanos>,
+    /// Typical response time, and the number of answers that it is based on.
     pub(crate) typical_nanos: f64,
     pub(crate) answer_count: f64,
-    pub(super) hints: [f64; 3],
-    /// About the least that its answers take, and how much longer they take of late.
+    /// Mean and variance of work hints, and their covariance with response times.
+    pub(super) hint_moments: [f64; 3],
+    /// Estimate of the minimal response time, and by how much recent answers exceeded it.
     pub(crate) min_nanos: f64,
-    pub(super) waits: Faded,
-    /// When one was last sent, and how many were refused since.
-    pub(super) tried_at: Nanos,
-    pub(super) refused: u32,
+    pub(super) delay: DecayingValue,
+    /// When a request was last admitted, and how many were refused since.
+    pub(super) admitted_at: Nanos,
+    pub(super) refusals: u32,
 }
 
-impl Place {
+impl ClassState {
     pub(super) fn new(class: &Class) -> Self {
-        Place { typical_nanos: class.aim as f64 / 3.0, ..Place::default() }
+        ClassState { typical_nanos: class.aim as f64 / 3.0, ..ClassState::default() }
     }
 }
 
 impl Balancer {
-    /// Goes by other settings from here on, with all that is known of servers. For each of their classes
-    /// `predecessors` says whose name it has, by place in the settings or as this returned it. Returns each
-    /// class's place, by which [`Request::class`](crate::interface::Request::class) names it; open requests
-    /// keep theirs, with its rules.
+    /// Replaces the settings and keeps all that is known of servers. For each new class, `predecessors` has
+    /// the index of the old class of the same name, as [`Request::class`](crate::interface::Request::class)
+    /// has it. Returns the index of each new class; open requests keep theirs, with its rules.
     ///
     /// # Errors
-    /// Where no node could act on the settings; the old ones stay in force.
+    /// Where the settings are invalid; the old ones stay in force.
     pub fn update_settings(
         &mut self,
         now: Nanos,
@@ -45,45 +45,50 @@
         predecessors: &[Option<u16>],
     ) -> Result<Vec<u16>, SettingsError> {
         settings.validate()?;
-        self.places.iter_mut().for_each(|place| place.retired = place.retired.or(Some(now)));
+        self.class_states.iter_mut().for_each(|state| state.retired_at = state.retired_at.or(Some(now)));
         let classes = std::mem::take(&mut settings.classes);
         let mut table = std::mem::take(&mut self.settings.classes);
-        let places: Vec<_> = classes
+        let indices: Vec<_> = classes
             .iter()
             .enumerate()
             .map(|(k, class)| {
                 let predecessor = predecessors.get(k).copied().flatten().map(usize::from);
-                let predecessor = predecessor.filter(|p| *p < table.len());
-                // The same name with other rules is another class; it begins with what was learnt.
-                let at = predecessor
-                    .filter(|p| table[*p] == *class)
-                    .unwrap_or_else(|| self.place(now, &mut table, class));
-                self.places[at] = Place { retired: None, ..self.places[predecessor.unwrap_or(at)] };
-                at as u16
+                let predecessor = predecessor.filter(|index| *index < table.len());
+                // A class with other rules gets another index, and starts with what is known of its
+                // predecessor.
+                let index = predecessor
+                    .filter(|index| table[*index] == *class)
+                    .unwrap_or_else(|| self.allocate_class(now, &mut table, class));
+                self.class_states[index] =
+                    ClassState { retired_at: None, ..self.class_states[predecessor.unwrap_or(index)] };
+                index as u16
             })
             .collect();
-        let named = |part: fn(&Class) -> Nanos| classes.iter().map(part).max().unwrap_or(1);
-        self.longest = named(|c| c.give_up);
-        self.memory = LAG_MEMORY * self.longest as f64;
-        self.relief = RELIEF * named(|c| c.aim) as f64;
+        let max_of = |time: fn(&Class) -> Nanos| classes.iter().map(time).max().unwrap_or(1);
+        self.max_give_up = max_of(|class| class.give_up);
+        self.decay_nanos = DECAY_GIVE_UPS * self.max_give_up as f64;
+        self.delay_decay_nanos = DELAY_DECAY_AIMS * max_of(|class| class.aim) as f64;
         self.settings = Settings { classes: table, ..settings };
         self.forget_tenants_without_quota();
-        (0..self.ready.len()).for_each(|zone| self.regroup(now, zone));
-        Ok(places)
+        (0..self.ready_by_zone.len()).for_each(|zone| self.update_ranked_window(now, zone));
+        Ok(indices)
     }
 
-    /// A place for a new class: one that nothing goes by any longer, or one more.
-    fn place(&mut self, now: Nanos, table: &mut Vec<Class>, class: &Class) -> usize {
-        let old = REMEMBER * self.longest;
-        let over = |p: &usize| self.places[*p].retired.is_some_and(|at| now.saturating_sub(at) > old);
-        let open = |p: &usize| self.pending.values().any(|r| usize::from(r.request.class) == *p);
-        let free = (0..table.len()).find(|p| over(p) && !open(p));
-        let at = free.unwrap_or(table.len());
-        if at == table.len() {
+    /// Returns an index for a new class: that of a retired class without open requests, or a new one.
+    fn allocate_class(&mut self, now: Nanos, table: &mut Vec<Class>, class: &Class) -> usize {
+        let min_age = RETIRED_CLASS_GIVE_UPS * self.max_give_up;
+        let is_expired = |index: &usize| {
+            self.class_states[*index].retired_at.is_some_and(|at| now.saturating_sub(at) > min_age)
+        };
+        let is_open =
+            |index: &usize| self.pending.values().any(|pending| usize::from(pending.request.class) == *index);
+        let free = (0..table.len()).find(|index| is_expired(index) && !is_open(index));
+        let index = free.unwrap_or(table.len());
+        if index == table.len() {
             table.push(class.clone());
-            self.places.push(Place::default());
+            self.class_states.push(ClassState::default());
         }
-        (table[at], self.places[at]) = (class.clone(), Place::new(class));
-        at
+        (table[index], self.class_states[index]) = (class.clone(), ClassState::new(class));
+        index
     }
 }
--- a/crates/balance/src/knowledge.rs
+++ b/crates/balance/src/knowledge.rs
@@ -1,34 +1,34 @@
-//! What a balancer has learnt of its classes and servers, for one that takes its place.
+//! What a balancer has learnt of its classes and servers, for a balancer that replaces it.
 //!
-//! Rates of arrivals and requests in flight are left out: while two balancers serve side by side each counts its own
-//! part, so that what both send to a cold server adds up to what one would. So is the pressure on the fleet: it is a
-//! reading of the moment, which the other one takes for itself within a few answers.
+//! Request rates and requests in flight are not included: while two balancers serve side by side, each counts
+//! its own part, so that both together send no more to a cold server than one would. The fleet's delay is not
+//! included either: the new balancer measures it within a few answers.
 
-use crate::balancer::Faded;
+use crate::balancer::DecayingValue;
 use crate::interface::{Nanos, Phase, ServerId};
 use crate::Balancer;
 use serde::{Deserialize, Serialize};
 
-/// Knowledge is as of now for this long, in nanoseconds.
-const FRESH: Nanos = 5_000_000_000;
-/// The most strikes and the longest ejection that are believed, the latter in the longest give-up times.
-const MOST_STRIKES: u32 = 4;
-const LONGEST_EJECTION: Nanos = 16;
-/// A yardstick below this part of the aim would make any answer look like a jam.
-const LEAST_TYPICAL: f64 = 1e-3;
-/// Rank and lag beyond this are no figures of a balancer that works.
-const MOST: f64 = 1e9;
+/// Older knowledge is not imported.
+const MAX_AGE: Nanos = 5_000_000_000;
+const MAX_CONSECUTIVE_FAILURES: u32 = 4;
+/// Longest imported ejection, in multiples of the longest give-up time.
+const MAX_EJECTION_GIVE_UPS: Nanos = 16;
+/// Least imported typical response time, in aims: with a shorter one, any answer would look delayed.
+const MIN_TYPICAL_AIMS: f64 = 1e-3;
+/// Largest valid score and lag.
+const MAX_SCORE: f64 = 1e9;
 
 /// What is known of one class.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ClassKnowledge {
-    /// Its yardstick of answer times, in nanoseconds; above 0.
+    /// Typical response time, in nanoseconds; above 0.
     #[serde(rename = "typical")]
     pub typical_nanos: f64,
-    /// How many answers that rests on; 0 or more.
+    /// Number of answers that the typical time is based on; 0 or more.
     #[serde(rename = "answers")]
     pub answer_count: f64,
-    /// About the least that its answers take, in nanoseconds; 0 where that is not known.
+    /// Estimate of the minimal response time, in nanoseconds; 0 where unknown.
     #[serde(rename = "least", default)]
     pub min_nanos: f64,
 }
@@ -36,44 +36,44 @@
 /// What is known of one server.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ServerKnowledge {
-    /// Which one.
+    /// The server's identity.
     pub id: ServerId,
-    /// The start of which all this is known, as the list told it.
+    /// Start time of the process that the knowledge is about, as the list announced it.
     pub started_at: Nanos,
-    /// Its answer times beyond the fleet's, in usual ones of a class, as of `lag_at`: 1 where it is as the fleet,
-    /// below 0 where it answers at once in a jam.
+    /// Response time relative to the class's typical one, minus the fleet's, plus 1, as of `lag_at`: 1 for a
+    /// server as slow as the fleet, below 0 for one that answers at once while the fleet is overloaded.
     pub lag: f64,
-    /// When it last answered.
+    /// When `lag` was last updated.
     pub lag_at: Nanos,
-    /// Accomplishment, in units of one request sent now; 0 or more.
+    /// Score, in units of one request sent now; 0 or more.
     pub score: f64,
-    /// Failures in a row that count towards ejection.
+    /// Consecutive failures that count towards ejection.
     #[serde(rename = "strikes")]
     pub consecutive_failures: u32,
-    /// Ejected until then.
+    /// When the server's ejection ends.
     #[serde(rename = "blocked_until")]
     pub ejected_until: Nanos,
-    /// Its share of failures as of `failure_rate_at`, from 0 to 1.
+    /// Fraction of attempts that failed, as of `failure_rate_at`; from 0 to 1.
     #[serde(rename = "failures")]
     pub failure_rate: f64,
-    /// When that was last told.
+    /// When `failure_rate` was last updated.
     #[serde(rename = "failures_at")]
     pub failure_rate_at: Nanos,
 }
 
-/// All that goes from one balancer to its successor. Times are those of a clock that both share.
+/// What a balancer hands over to its successor. All times are on one clock.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Knowledge {
-    /// When it was written down.
+    /// When it was exported.
     pub at: Nanos,
-    /// By class, in the order asked for.
+    /// The classes, in the order in which they were asked for.
     pub classes: Vec<ClassKnowledge>,
-    /// The servers that take work.
+    /// The ready servers.
     pub servers: Vec<ServerKnowledge>,
 }
 
 impl Knowledge {
-    /// The same on another clock, which is ahead by this many nanoseconds.
+    /// Converts all times to another clock, which is ahead by this many nanoseconds.
     pub fn shift(&mut self, ahead: i64) {
         let shift = |time: &mut Nanos| *time = time.saturating_add_signed(ahead);
         shift(&mut self.at);
@@ -84,65 +84,71 @@
         }
     }
 
-    /// Whether this can be what a balancer knew shortly before `now`.
+    /// Whether it was exported shortly before `now` and all its values are in range.
     pub fn is_valid(&self, now: Nanos) -> bool {
-        let within = |value: f64, most: f64| (0.0..=most).contains(&value);
-        let class = |c: &ClassKnowledge| {
-            c.typical_nanos > 0.0
-                && c.typical_nanos.is_finite()
-                && within(c.answer_count, f64::MAX)
-                && within(c.min_nanos, f64::MAX)
+        let within = |value: f64, max: f64| (0.0..=max).contains(&value);
+        let is_valid_class = |class: &ClassKnowledge| {
+            class.typical_nanos > 0.0
+                && class.typical_nanos.is_finite()
+                && within(class.answer_count, f64::MAX)
+                && within(class.min_nanos, f64::MAX)
         };
-        let server = |s: &ServerKnowledge| {
-            within(s.lag.abs(), MOST)
-                && within(s.score, MOST)
-                && within(s.failure_rate, 1.0)
-                && s.consecutive_failures <= MOST_STRIKES
-                && s.lag_at <= now
-                && s.failure_rate_at <= now
+        let is_valid_server = |server: &ServerKnowledge| {
+            within(server.lag.abs(), MAX_SCORE)
+                && within(server.score, MAX_SCORE)
+                && within(server.failure_rate, 1.0)
+                && server.consecutive_failures <= MAX_CONSECUTIVE_FAILURES
+                && server.lag_at <= now
+                && server.failure_rate_at <= now
         };
         self.at <= now
-            && now - self.at <= FRESH
-            && self.classes.iter().all(class)
-            && self.servers.iter().all(server)
+            && now - self.at <= MAX_AGE
+            && self.classes.iter().all(is_valid_class)
+            && self.servers.iter().all(is_valid_server)
     }
 }
 
 impl Balancer {
-    /// What is known now; of classes, those at these places (see [`Balancer::update_settings`]).
-    pub fn export_knowledge(&mut self, now: Nanos, places: &[u16]) -> Knowledge {
-        let unit = self.increment(now);
-        let class = |place: &u16| {
-            let at = usize::from(*place);
+    /// Exports what is known now of all ready servers, and of the classes at these indices (see
+    /// [`Balancer::update_settings`]).
+    pub fn export_knowledge(&mut self, now: Nanos, class_indices: &[u16]) -> Knowledge {
+        let unit = self.score_unit(now);
+        let class = |index: &u16| {
+            let index = usize::from(*index);
             ClassKnowledge {
-                typical_nanos: self.places[at].typical_nanos,
-                answer_count: self.places[at].answer_count,
-                min_nanos: self.places[at].min_nanos,
+                typical_nanos: self.class_states[index].typical_nanos,
+                answer_count: self.class_states[index].answer_count,
+                min_nanos: self.class_states[index].min_nanos,
             }
         };
-        let ready = self.nodes.iter().filter(|n| n.server.phase == Phase::Ready);
+        let ready = self.servers.iter().filter(|state| state.entry.phase == Phase::Ready);
         Knowledge {
             at: now,
-            classes: places.iter().filter(|p| usize::from(**p) < self.places.len()).map(class).collect(),
+            classes: class_indices
+                .iter()
+                .filter(|index| usize::from(**index) < self.class_states.len())
+                .map(class)
+                .collect(),
             servers: ready
-                .map(|n| ServerKnowledge {
-                    id: n.server.id,
-                    started_at: n.server.started_at,
-                    lag: 1.0 + n.lag.value,
-                    lag_at: n.lag.at,
-                    score: (n.score / unit).max(0.0),
-                    consecutive_failures: n.consecutive_failures,
-                    ejected_until: n.ejected_until,
-                    failure_rate: n.failure_rate.value,
-                    failure_rate_at: n.failure_rate.at,
+                .map(|state| ServerKnowledge {
+                    id: state.entry.id,
+                    started_at: state.entry.started_at,
+                    lag: 1.0 + state.lag.value,
+                    lag_at: state.lag.updated_at,
+                    score: (state.score / unit).max(0.0),
+                    consecutive_failures: state.consecutive_failures,
+                    ejected_until: state.ejected_until,
+                    failure_rate: state.failure_rate.value,
+                    failure_rate_at: state.failure_rate.updated_at,
                 })
                 .collect(),
         }
     }
 
-    /// Takes over what another balancer knew, before the first request. `successors` says for each class that it knew
-    /// whose place has that name here. Servers that the list has not, or has with another start, stay blank.
-    /// Returns how many servers it knows now; none, with nothing taken, where the knowledge is not sound.
+    /// Imports what another balancer knew, before the first request. For each of its classes, `successors`
+    /// has the index of the class of that name here. Servers that are not listed here, or are listed with
+    /// another start time, are skipped. Returns how many servers were imported; none, with nothing imported,
+    /// if the knowledge is invalid.
     pub fn import_knowledge(
         &mut self,
         now: Nanos,
@@ -153,30 +159,34 @@
             return None;
         }
         for (class, successor) in known.classes.iter().zip(successors) {
-            let Some(at) = successor.map(usize::from).filter(|at| *at < self.places.len()) else { continue };
+            let Some(index) = successor.map(usize::from).filter(|index| *index < self.class_states.len())
+            else {
+                continue;
+            };
             let (aim, give_up) =
-                (self.settings.classes[at].aim as f64, self.settings.classes[at].give_up as f64);
-            self.places[at].typical_nanos =
-                class.typical_nanos.clamp((aim * LEAST_TYPICAL).min(give_up), give_up);
-            self.places[at].answer_count = class.answer_count;
-            self.places[at].min_nanos = class.min_nanos.min(self.places[at].typical_nanos);
+                (self.settings.classes[index].aim as f64, self.settings.classes[index].give_up as f64);
+            self.class_states[index].typical_nanos =
+                class.typical_nanos.clamp((aim * MIN_TYPICAL_AIMS).min(give_up), give_up);
+            self.class_states[index].answer_count = class.answer_count;
+            self.class_states[index].min_nanos = class.min_nanos.min(self.class_states[index].typical_nanos);
         }
-        let unit = self.increment(now);
-        let mut taken = 0;
+        let unit = self.score_unit(now);
+        let mut imported = 0;
         for server in &known.servers {
-            let Some(&i) = self.by_id.get(&server.id) else { continue };
-            let node = &mut self.nodes[i];
-            if node.server.phase != Phase::Ready || node.server.started_at != server.started_at {
+            let Some(&index) = self.by_id.get(&server.id) else { continue };
+            let state = &mut self.servers[index];
+            if state.entry.phase != Phase::Ready || state.entry.started_at != server.started_at {
                 continue;
             }
-            node.lag = Faded { value: server.lag - 1.0, at: server.lag_at };
-            node.failure_rate = Faded { value: server.failure_rate, at: server.failure_rate_at };
-            node.consecutive_failures = server.consecutive_failures;
-            node.ejected_until = server.ejected_until.min(now + LONGEST_EJECTION * self.longest);
-            let more = server.score * unit - node.score;
-            self.credit(i, more);
-            taken += 1;
+            state.lag = DecayingValue { value: server.lag - 1.0, updated_at: server.lag_at };
+            state.failure_rate =
+                DecayingValue { value: server.failure_rate, updated_at: server.failure_rate_at };
+            state.consecutive_failures = server.consecutive_failures;
+            state.ejected_until = server.ejected_until.min(now + MAX_EJECTION_GIVE_UPS * self.max_give_up);
+            let score_change = server.score * unit - state.score;
+            self.add_score(index, score_change);
+            imported += 1;
         }
-        Some(taken)
+        Some(imported)
     }
 }
--- a/crates/balance/src/updates.rs
+++ b/crates/balance/src/updates.rs
@@ -1,17 +1,17 @@
-//! What a balancer is told under way that leaves its settings as they are otherwise: each touches what it names and nothing else.
+//! Changes of single settings, and queries of the balancer's state.
 
 use crate::interface::{Nanos, Phase, Quotas, Server, Settings, SettingsError};
 use crate::Balancer;
 
-/// What is known of a tenant is forgotten after so many of the times for which rates are believed: no more than e to the power of
-/// minus this is left of it.
-const IDLE: f64 = 20.0;
+/// Multiples of the decay time after which an idle tenant is forgotten: less than exp(-20) of its count is
+/// left.
+const MAX_IDLE_DECAYS: f64 = 20.0;
 
 impl Balancer {
-    /// Counts as this one of so many from here on.
+    /// Sets this node's number in its group and the group's size.
     ///
     /// # Errors
-    /// Where there is no such number in such a group; nothing is changed then.
+    /// Where the number is not below the size; nothing is changed then.
     pub fn set_group_position(
         &mut self,
         now: Nanos,
@@ -23,15 +23,15 @@
         }
         if (self.settings.ordinal, self.settings.group_size) != (ordinal, group_size) {
             (self.settings.ordinal, self.settings.group_size) = (ordinal, group_size);
-            (0..self.ready.len()).for_each(|zone| self.regroup(now, zone));
+            (0..self.ready_by_zone.len()).for_each(|zone| self.update_ranked_window(now, zone));
         }
         Ok(())
     }
 
-    /// Goes by other shares of tenants from here on. What is known of a tenant is known by its number.
+    /// Replaces the tenants' shares. Request counts of tenants are kept by the tenants' numbers.
     ///
     /// # Errors
-    /// Where a share is no rate; the old ones stay in force.
+    /// Where a share is not a valid rate; the old shares stay in force.
     pub fn set_tenant_quotas(&mut self, quotas: Quotas) -> Result<(), SettingsError> {
         crate::interface::validate_quotas(&quotas)?;
         self.settings.tenant_quota = quotas;
@@ -39,30 +39,29 @@
         Ok(())
     }
 
-    /// Nothing is known of tenants without a share.
     pub(crate) fn forget_tenants_without_quota(&mut self) {
         let quotas = &self.settings.tenant_quota;
-        self.tenants.retain(|tenant, _| quotas.get(*tenant).is_some());
+        self.tenant_requests.retain(|tenant, _| quotas.get(*tenant).is_some());
     }
 
-    /// Forgets tenants that have been idle for long. Nothing that is decided changes by it.
+    /// Forgets tenants that have been idle for long, which changes no decision.
     pub fn forget_idle_tenants(&mut self, now: Nanos) {
-        let long = IDLE * self.memory;
-        self.tenants.retain(|_, rate| (now.saturating_sub(rate.at) as f64) < long);
+        let max_idle = MAX_IDLE_DECAYS * self.decay_nanos;
+        self.tenant_requests.retain(|_, count| (now.saturating_sub(count.updated_at) as f64) < max_idle);
     }
 
-    /// What it goes by now. Classes that have gone may still stand in their places.
+    /// The settings in force. Their classes may include retired ones.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
 
     /// The servers in the list.
     pub fn listed_servers(&self) -> Vec<Server> {
-        self.nodes.iter().map(|node| node.server).filter(|server| server.phase != Phase::Removed).collect()
+        self.servers.iter().map(|state| state.entry).filter(|server| server.phase != Phase::Removed).collect()
     }
 
-    /// Tenants of which something is known.
+    /// Number of tenants whose requests are counted.
     pub fn tracked_tenants(&self) -> usize {
-        self.tenants.len()
+        self.tenant_requests.len()
     }
 }
