--- a/crates/corkhollow/src/commands/membership.rs
+++ b/crates/corkhollow/src/commands/membership.rs
@@ -6,7 +6,7 @@
 use corkhollow_operate::{FleetHandover, Metrics};
 use corkhollow_plan::plan::{self, Plan};
 use corkhollow_proxy::active_plan::CurrentPlan;
-use corkhollow_proxy::fleet::{Fleet, Place};
+use corkhollow_proxy::fleet::{Fleet, FleetCell};
 use std::cell::Cell;
 use std::net::{SocketAddr, UdpSocket};
 use std::rc::Rc;
@@ -22,7 +22,7 @@
 #[derive(Clone, Default)]
 pub struct Membership {
     /// The node, once it runs.
-    pub place: Place,
+    pub place: FleetCell,
     /// What the pools go by; none where there is no fleet.
     pub group: Rc<Cell<Option<Group>>>,
 }
@@ -59,22 +59,22 @@
 
 impl Membership {
     /// Joins the fleet that the plan names, and counts by it from the first request on.
-    pub async fn join(&self, plan: &Plan, figures: &Metrics, seed: u64) -> Result<(), StartError> {
+    pub async fn join(&self, plan: &Plan, metrics: &Metrics, seed: u64) -> Result<(), StartError> {
         let Some(told) = &plan.fleet else { return Ok(()) };
         let open = |error| StartError::Listen { address: told.listen, error };
         let socket = UdpSocket::bind(told.listen).map_err(open)?;
         let config = config(plan, told, reached(told, &socket).map_err(open)?)?;
-        let mut fleet = start(config, socket, seed, figures)?;
+        let mut fleet = start(config, socket, seed, metrics)?;
         let name = told.node.clone();
-        fleet.joined().await.map_err(|by| StartError::Name { name, by })?;
+        fleet.wait_until_joined().await.map_err(|by| StartError::Name { name, by })?;
         let group = fleet.view().snapshot.group;
         self.group.set(Some(group));
-        self.place.put(fleet);
+        self.place.set(fleet);
         Ok(())
     }
 
     /// Takes another process's place in the fleet once that one has let go of it, and counts as that one did until then.
-    pub async fn succeed(self, plan: Arc<Plan>, from: Option<FleetHandover>, figures: Metrics, seed: u64) {
+    pub async fn succeed(self, plan: Arc<Plan>, from: Option<FleetHandover>, metrics: Metrics, seed: u64) {
         let Some(told) = &plan.fleet else { return };
         let socket = loop {
             match UdpSocket::bind(told.listen) {
@@ -89,13 +89,13 @@
                 config.incarnation = from.incarnation + 1;
                 config.seeds.extend(from.members);
             }
-            let mut fleet = start(config, socket, seed, &figures)?;
+            let mut fleet = start(config, socket, seed, &metrics)?;
             let name = told.node.clone();
-            fleet.joined().await.map_err(|by| StartError::Name { name, by })?;
+            fleet.wait_until_joined().await.map_err(|by| StartError::Name { name, by })?;
             Ok::<_, StartError>(fleet)
         };
         match joined.await {
-            Ok(fleet) => self.place.put(fleet),
+            Ok(fleet) => self.place.set(fleet),
             Err(why) => log(format_args!("fleet: not a member: {why}")),
         }
     }
@@ -133,7 +133,7 @@
     pub fn handover(&self) -> Option<FleetHandover> {
         let view = self.place.get()?.view();
         let Group { ordinal, size } = view.snapshot.group;
-        let (incarnation, members) = view.heritage;
+        let (incarnation, members) = view.handover;
         Some(FleetHandover { ordinal, size, incarnation, members })
     }
 }
@@ -151,10 +151,10 @@
     }
 }
 
-fn start(config: Config, socket: UdpSocket, seed: u64, figures: &Metrics) -> Result<Fleet, StartError> {
+fn start(config: Config, socket: UdpSocket, seed: u64, metrics: &Metrics) -> Result<Fleet, StartError> {
     let local = socket.local_addr()?;
     log(format_args!("fleet {}: {} hears datagrams at {local}", config.fleet, config.name));
     // Another life of the same node draws other numbers.
     let seed = seed ^ u64::from(std::process::id()).rotate_left(32);
-    Ok(Fleet::start(config, socket, seed, Some(figures.fleet()?))?)
+    Ok(Fleet::start(config, socket, seed, Some(metrics.for_fleet()?))?)
 }
--- a/crates/proxy/src/http1/clients.rs
+++ b/crates/proxy/src/http1/client_connections.rs
@@ -4,7 +4,7 @@
 use super::closing::{carry_out, CloseDecision, CloseReason, Stage};
 use super::respond::respond;
 use super::service::Service;
-use crate::socket::{exhausted, SocketIo};
+use crate::socket::{is_out_of_descriptors, SocketIo};
 use corkhollow_balance::interface::Nanos;
 use corkhollow_engine::log;
 use corkhollow_plan::plan::Dialect;
@@ -29,7 +29,7 @@
 const REPORT_EVERY: Nanos = 5_000_000_000;
 
 /// All clients' connections; bounded by the budget.
-pub struct Clients {
+pub struct ClientConnections {
     service: Rc<Service>,
     open: RefCell<HashMap<u64, Rc<Client>>>,
     next: Cell<u64>,
@@ -37,10 +37,10 @@
     reported_at: Cell<Nanos>,
 }
 
-impl Clients {
+impl ClientConnections {
     /// No connection yet.
     pub fn new(service: Rc<Service>) -> Rc<Self> {
-        Rc::new(Clients {
+        Rc::new(ClientConnections {
             service,
             open: RefCell::default(),
             next: Cell::new(0),
@@ -76,7 +76,7 @@
                 biased;
                 accepted = next() => match accepted {
                     Ok((stream, peer)) => self.open(&name, stream, peer, waited()),
-                    Err(error) if exhausted(&error) => {
+                    Err(error) if is_out_of_descriptors(&error) => {
                         blocked_since.set(blocked_since.get().or(Some(Instant::now())));
                         self.make_room();
                         tokio::time::sleep(Duration::from_millis(10)).await;
@@ -151,15 +151,15 @@
     }
 
     /// Cuts off those that have been at their head for too long, or have never begun one.
-    pub fn cut_heads(&self) {
+    pub fn close_slow_heads(&self) {
         self.close_all(CloseReason::SlowHead);
     }
 
     /// Once a second: closes what stands still. No client may hold a descriptor for good.
-    pub fn sweep(&self) {
+    pub fn close_idle_and_stalled(&self) {
         let now = self.service.clock.now();
         for client in self.open.borrow().values() {
-            if client.socket.moved.replace(false) || client.stage.get() == Stage::Waiting {
+            if client.socket.had_traffic.replace(false) || client.stage.get() == Stage::Waiting {
                 client.still_since.set(now);
             }
         }
@@ -168,7 +168,7 @@
     }
 
     /// Closes connections that came to a listener that is no more, each when it is between requests.
-    pub fn leave(&self, name: &str) {
+    pub fn close_listener(&self, name: &str) {
         let open = self.open.borrow();
         let of_listener = open.values().filter(|client| &*client.listener == name);
         of_listener.for_each(|client| client.close_for(CloseReason::ListenerRemoved));
@@ -210,7 +210,7 @@
             () = client.leaves(one_at_a_time) => return service.closed(&client, "client-left", false),
             _ = client.close.notified() => {
                 let Some(reason) = client.closing.get() else { continue };
-                let unread = || !client.socket.quiet();
+                let unread = || !client.socket.is_quiet();
                 let state = client.state(service.clock.now());
                 match carry_out(reason, &state, &service.close_limits(), unread) {
                     CloseDecision::Keep => client.closing.set(None),
@@ -236,7 +236,7 @@
     service.closed(&client, reason, false);
     if client.unread.get() {
         tokio::select! {
-            () = client.socket.linger(SILENT, LINGER) => {}
+            () = client.socket.lingering_close(SILENT, LINGER) => {}
             () = client.close.notified() => {}
         }
     }
--- a/crates/proxy/src/http1/general.rs
+++ b/crates/proxy/src/http1/general.rs
@@ -6,8 +6,8 @@
 use super::service::Service;
 use super::upload::{self, UploadError};
 use crate::active_plan::ActivePlan;
-use crate::body::{AnswerBody, PieceBody};
-use crate::headers::strip;
+use crate::body::{AnswerBody, BufferedBodyReader};
+use crate::headers::strip_hop_by_hop;
 use bytes::Bytes;
 use corkhollow_balance::interface::{self, Nanos};
 use corkhollow_engine::{Answer, InterimHandler, Message, Payload};
@@ -157,7 +157,7 @@
         }
         Outcome::Forward { pool, rewrite } => {
             let class = site.plan.class_of(route.class, &head.method);
-            client.count(&site.class_figures[class]);
+            client.count(&site.class_metrics[class]);
             let sent = sent(rewrite, &path, &head.uri)?;
             let tenant = site.plan.tenants.number(head.headers.get(&site.plan.tenants.header));
             let mut headers = head.headers;
@@ -236,10 +236,12 @@
 
 /// Turns away what two readers could read in two ways, and what is not passed on at all.
 fn sound(head: &Parts, client: &Client) -> Result<(), Problem> {
-    if head.headers.contains_key(header::TRANSFER_ENCODING) && client.socket.said("\ncontent-length:") {
+    if head.headers.contains_key(header::TRANSFER_ENCODING)
+        && client.socket.head_contains("\ncontent-length:")
+    {
         return Err(Problem::unreadable("a length beside a transfer coding"));
     }
-    if client.socket.bare_line_feed() {
+    if client.socket.head_has_bare_line_feed() {
         return Err(Problem::unreadable("a line that ends with a bare line feed"));
     }
     if head.method == Method::CONNECT {
@@ -307,7 +309,7 @@
     authority: &HeaderValue,
     service: &Service,
 ) {
-    strip(headers);
+    strip_hop_by_hop(headers);
     let trust = listener.trust_forwarded;
     if listener.x_forwarded {
         put(headers, X_FORWARDED_FOR, client.address.clone(), trust, true);
@@ -360,7 +362,7 @@
 fn interims(client: &Rc<Client>, listener: &Listener) -> InterimHandler {
     let (client, via) = (client.clone(), listener.via.clone());
     InterimHandler::new(move |status, mut headers| {
-        strip(&mut headers);
+        strip_hop_by_hop(&mut headers);
         headers.remove(header::CONTENT_LENGTH);
         if let Some(via) = &via {
             headers.append(header::VIA, via.clone());
@@ -371,7 +373,7 @@
             head.extend([name.as_str().as_bytes(), b": ", value.as_bytes(), b"\r\n"].concat());
         }
         head.extend(b"\r\n");
-        client.socket.say(&head);
+        client.socket.write_between(&head);
     })
 }
 
@@ -379,7 +381,7 @@
 fn answered(answer: Answer, rewrite: &Rewrite, listener: &Listener) -> Result<Response<AnswerBody>, Problem> {
     let (status, mut headers, body) = match answer {
         Answer::Buffered { status, headers, body } => {
-            (status, headers, AnswerBody::Whole(PieceBody::new(Rc::new(body))))
+            (status, headers, AnswerBody::Buffered(BufferedBodyReader::new(Rc::new(body))))
         }
         Answer::Stream { status, headers, length, frames: pieces } => {
             (status, headers, AnswerBody::Stream { pieces, length })
--- a/crates/proxy/tests/follow.rs
+++ b/crates/proxy/tests/follow.rs
@@ -6,12 +6,12 @@
 use corkhollow_fleet::Group;
 use corkhollow_operate::Metrics;
 use corkhollow_plan::change::PoolChange;
-use corkhollow_plan::file::read;
+use corkhollow_plan::config::parse_config;
 use corkhollow_plan::limits::Budget;
 use corkhollow_plan::plan::Plan;
 use corkhollow_plan::routes::Target;
 use corkhollow_proxy::active_plan::ActivePlan;
-use corkhollow_proxy::upstream::{Engines, Shared};
+use corkhollow_proxy::upstream::{Engines, PoolContext};
 use http::{HeaderMap, HeaderValue, Method};
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -98,18 +98,18 @@
                 "[[route]]\nname = \"r{name}\"\npath = \"/{path}\"\npool = \"p{pool}\"\nclass = \"c{class}\""
             );
         }
-        match read(&out, Path::new("")) {
+        match parse_config(&out, Path::new("")) {
             Ok(checked) => checked.plan,
             Err(faults) => panic!("{}\n{out}", faults[0]),
         }
     }
 }
 
-fn shared() -> Shared {
-    Shared {
+fn shared() -> PoolContext {
+    PoolContext {
         clock: Clock::start(),
         budget: Budget::new(1_000, 192 << 20),
-        figures: Metrics::new().unwrap(),
+        metrics: Metrics::new().unwrap(),
         engines: Engines::default(),
     }
 }
