--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -85,7 +85,7 @@
     transport: Rc<dyn Transport>,
     metrics: PoolMetrics,
     requests: RefCell<PoolRequests>,
-    /// Where the final answers go.
+    /// The channels on which clients await their final answers.
     waiting_clients: RefCell<HashMap<RequestId, oneshot::Sender<Answer>>>,
     running_attempts: RefCell<HashMap<AttemptId, Box<dyn RunningAttempt>>>,
     /// A reused buffer, empty between events.
@@ -204,14 +204,14 @@
         message: Message,
     ) -> Option<PendingAnswer> {
         let (reply, answer) = oneshot::channel();
-        let client_id = client_request_id
+        let recorded_id = client_request_id
             .as_ref()
             .map_or(ClientRequestId::new(b"-"), |id| ClientRequestId::new(id.as_bytes()));
         // Registered first, since the request may be answered within `submit`.
         let id = self.requests.borrow().next_id();
         self.waiting_clients.borrow_mut().insert(id, reply);
         let request = Request { give_up_at: message.deadline, ..request };
-        self.record(id, Event::Taken(client_id));
+        self.record(id, Event::Taken(recorded_id));
         let accepted = self.step(|requests, now, commands| {
             requests.submit(now, client_request_id, request, Rc::new(message), commands)
         });
@@ -227,7 +227,7 @@
         self.step(|requests, now, commands| requests.on_attempt_ended(now, id, ending, commands));
     }
 
-    /// Handles the last byte of a streamed request having been written to a server.
+    /// Reports that the last byte of a streamed request has been written to a server.
     pub fn on_request_written(self: &Rc<Self>, id: AttemptId) {
         self.step(|requests, now, commands| requests.on_request_written(now, id, commands));
     }
@@ -279,10 +279,10 @@
     }
 
     /// Counts a denial. Logs one that a correct balancer could not have caused.
-    fn report_denial(&self, request: RequestId, proposed: DenialPoint, denial: Denial) {
-        self.metrics.denied(proposed, denial.name());
+    fn report_denial(&self, request: RequestId, point: DenialPoint, denial: Denial) {
+        self.metrics.denied(point, denial.name());
         self.record(request, Event::Denied(denial.name()));
-        if proposed == DenialPoint::Send && !denial.is_expected() {
+        if point == DenialPoint::Send && !denial.is_expected() {
             log(format_args!(
                 "request {request}: the rules denied an action proposed by the balancer: {}; this is a fault",
                 denial.name()
--- a/crates/engine/src/message.rs
+++ b/crates/engine/src/message.rs
@@ -79,7 +79,7 @@
 /// A request body that is forwarded while it is received.
 pub struct Upload {
     body: RefCell<Option<ClientBody>>,
-    /// How far the body has been received.
+    /// The body's progress, updated by its reader.
     pub progress: Rc<UploadProgress>,
 }
 
--- a/crates/engine/src/requests.rs
+++ b/crates/engine/src/requests.rs
@@ -1,6 +1,6 @@
 //! The lifecycle of requests as a state machine without I/O: it receives the time and an event, and appends
-//! the commands that follow from it. [`Engine`](crate::Engine) executes them on sockets, a test on a
-//! simulated network.
+//! the commands that follow from it. [`Engine`](crate::Engine) executes them on sockets; tests
+//! execute them on a simulated network.
 
 use crate::message::AttemptId;
 use crate::rules::{self, AttemptState, Denial, RequestState, RetryPolicy, SentAttempt};
@@ -144,6 +144,7 @@
     fallback: Option<A>,
 }
 
+/// What a timer is for. The order of the variants decides between timers that are due at the same time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Timer {
     /// A timer of the balancer, by its token.
@@ -258,7 +259,7 @@
         self.end_attempt(now, id, ending, commands);
     }
 
-    /// Handles the last byte of a streamed request having been written to a server.
+    /// Tells the balancer that the last byte of a streamed request has been written to a server.
     pub fn on_request_written(&mut self, now: Nanos, id: AttemptId, commands: &mut Vec<Command<M, A>>) {
         self.handle_event(now, Event::BodyWritten { request: id.request, attempt: id.number }, commands);
     }
@@ -362,7 +363,7 @@
         }
     }
 
-    /// Handles the disconnection of a client, who needs no answer any longer.
+    /// Handles the disconnection of a client, which needs no answer any longer.
     pub fn on_client_left(&mut self, now: Nanos, request: RequestId, commands: &mut Vec<Command<M, A>>) {
         let was_awaited =
             self.active.get_mut(&request).is_some_and(|entry| std::mem::take(&mut entry.is_awaited));
@@ -497,7 +498,8 @@
         entry.message.deadline(entry.timeout).unwrap_or(entry.give_up_at).min(self.shutdown_at)
     }
 
-    /// Ends a request at its deadline, and its open attempts as timed out.
+    /// Fails a request at its deadline and ends its open attempts as timed out. If the deadline has moved,
+    /// sets a new timer instead.
     fn expire(&mut self, now: Nanos, request: RequestId, commands: &mut Vec<Command<M, A>>) {
         let Some(entry) = self.active.get(&request) else { return };
         let deadline = self.deadline_of(entry);
@@ -517,6 +519,7 @@
         self.remove_if_over(request);
     }
 
+    /// Ends an open attempt, counts it and reports its outcome to the balancer.
     fn end_attempt(&mut self, now: Nanos, id: AttemptId, ending: Ending, commands: &mut Vec<Command<M, A>>) {
         let Some(entry) = self.active.get_mut(&id.request) else { return };
         let Some(attempt) =
@@ -557,6 +560,7 @@
         }
     }
 
+    /// Passes an event to the balancer and executes its actions.
     fn handle_event(&mut self, now: Nanos, event: Event, commands: &mut Vec<Command<M, A>>) {
         let mut actions = std::mem::take(&mut self.actions);
         self.balancer.handle(now, event, &mut actions);
@@ -592,6 +596,7 @@
         }
     }
 
+    /// Sends an attempt, or ends it as not sent if the rules deny it.
     fn send_attempt(
         &mut self,
         now: Nanos,
@@ -646,6 +651,7 @@
         self.answer_client(request, FinalAnswer::Failed { timed_out: false }, commands);
     }
 
+    /// Gives the client its final answer, preferring a server's error answer to the given one.
     fn answer_client(
         &mut self,
         request: RequestId,
--- a/crates/engine/src/rules.rs
+++ b/crates/engine/src/rules.rs
@@ -13,7 +13,7 @@
     pub group: Group,
     /// For keyed requests: how long the servers remember a key, from the first attempt that may have run.
     pub window: Nanos,
-    /// Whether two attempts may be open at once.
+    /// Whether an attempt may be sent while another one is open.
     pub hedging: bool,
     /// The most attempts per request, hedges included.
     pub max_attempts: usize,
