--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -172,7 +172,7 @@
                 let client_answer = match answer {
                     FinalAnswer::FromServer(server_answer) => server_answer,
                     FinalAnswer::Refused { retry_after, reason } => {
-                        self.metrics.refused(reason);
+                        self.metrics.count_refusal(reason);
                         Answer::Refused { retry_after }
                     }
                     FinalAnswer::Failed { timed_out } => Answer::Failed { timed_out },
@@ -184,14 +184,14 @@
             Command::CallDiscovery(call) => self.transport.call_discovery(call),
             Command::Log { server, text } => self.transport.log(server, &text),
             Command::AttemptEnded { id, ending } => {
-                self.metrics.ended(ending);
+                self.metrics.count_attempt(ending);
                 self.record(id.request, Event::AttemptEnded { attempt: id.number, ending });
             }
             Command::ProposalDenied { request, denial } => {
-                self.report_denial(request, DenialPoint::Send, denial)
+                self.report_denial(request, DenialPoint::Decision, denial)
             }
             Command::AttemptRepeated { after: None } => self.metrics.hedges.inc(),
-            Command::AttemptRepeated { after: Some(ending) } => self.metrics.retried(ending),
+            Command::AttemptRepeated { after: Some(ending) } => self.metrics.count_retry(ending),
         }
     }
 
@@ -211,7 +211,7 @@
         let id = self.requests.borrow().next_id();
         self.waiting_clients.borrow_mut().insert(id, reply);
         let request = Request { give_up_at: message.deadline, ..request };
-        self.record(id, Event::Taken(recorded_id));
+        self.record(id, Event::Received(recorded_id));
         let accepted = self.step(|requests, now, commands| {
             requests.submit(now, client_request_id, request, Rc::new(message), commands)
         });
@@ -273,16 +273,16 @@
     pub fn may_begin(&self, id: AttemptId) -> bool {
         let allowed = self.requests.borrow().may_begin(self.clock.now(), id);
         if let Err(denial) = allowed {
-            self.report_denial(id.request, DenialPoint::Begin, denial);
+            self.report_denial(id.request, DenialPoint::FirstByte, denial);
         }
         allowed.is_ok()
     }
 
     /// Counts a denial. Logs one that a correct balancer could not have caused.
     fn report_denial(&self, request: RequestId, point: DenialPoint, denial: Denial) {
-        self.metrics.denied(point, denial.name());
+        self.metrics.count_denial(point, denial.name());
         self.record(request, Event::Denied(denial.name()));
-        if point == DenialPoint::Send && !denial.is_expected() {
+        if point == DenialPoint::Decision && !denial.is_expected() {
             log(format_args!(
                 "request {request}: the rules denied an action proposed by the balancer: {}; this is a fault",
                 denial.name()
@@ -292,7 +292,7 @@
 
     fn record(&self, request: RequestId, event: Event) {
         let subject = Subject::Request { pool: self.metrics.pool.clone(), number: request };
-        self.metrics.recorder.record(self.clock.now(), subject, event);
+        self.metrics.events.record(self.clock.now(), subject, event);
     }
 
     fn on_client_left(self: &Rc<Self>, request: RequestId) {
--- a/crates/proxy/src/http1/platform.rs
+++ b/crates/proxy/src/http1/platform.rs
@@ -6,8 +6,8 @@
 use super::service::Service;
 use super::upload::{self, Pace, Rules, UploadError};
 use crate::active_plan::ActivePlan;
-use crate::body::{AnswerBody, PieceBody};
-use crate::headers::{strip, ID, TIMEOUT};
+use crate::body::{AnswerBody, BufferedBodyReader};
+use crate::headers::{strip_hop_by_hop, REQUEST_ID, TIMEOUT_MS};
 use bytes::Bytes;
 use corkhollow_balance::interface::{self, Nanos, Settings};
 use corkhollow_engine::{Answer, Message, Payload};
@@ -35,10 +35,12 @@
 ) -> Response<AnswerBody> {
     let (head, body) = request.into_parts();
     if head.uri.path() == "/up" && head.method == Method::GET {
-        let up = service.control.lock().up();
+        let up = service.lifecycle.lock().is_ready();
         return text(if up { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }, "");
     }
-    if head.headers.contains_key(header::TRANSFER_ENCODING) && client.socket.said("\ncontent-length:") {
+    if head.headers.contains_key(header::TRANSFER_ENCODING)
+        && client.socket.head_contains("\ncontent-length:")
+    {
         return closing(text(StatusCode::BAD_REQUEST, "two lengths\n"));
     }
     // The path goes on as it came, and is matched so.
@@ -57,7 +59,7 @@
         return closing(text(StatusCode::NOT_FOUND, "no such class of requests\n"));
     };
     let (pool, settings) = (&site.pools[at], &site.plan.pools[at].settings);
-    client.count(&site.class_figures[class]);
+    client.count(&site.class_metrics[class]);
     let rules = Rules {
         most_kept: site.plan.limits.replay_buffer,
         most: MOST_BODY,
@@ -85,18 +87,18 @@
         Err(UploadError::Broken) => return closing(text(StatusCode::BAD_REQUEST, "the body broke off\n")),
     };
     let mut headers = head.headers;
-    strip(&mut headers);
+    strip_hop_by_hop(&mut headers);
     headers.remove(header::EXPECT);
     headers.remove(header::TRAILER);
     // Servers know a request by its id, and take one that they have for a second copy.
-    let Some(id) = only(&headers, ID).filter(|id| !id.is_empty()).cloned() else {
+    let Some(id) = only(&headers, REQUEST_ID).filter(|id| !id.is_empty()).cloned() else {
         return closing(text(StatusCode::BAD_REQUEST, "one X-Request-ID is needed\n"));
     };
     let longest = settings.classes[class].give_up;
     // No client waits longer than its class: a longer figure would only hold memory.
-    let wait = match only(&headers, TIMEOUT).map(|v| v.to_str().ok()?.trim().parse::<u64>().ok()) {
+    let wait = match only(&headers, TIMEOUT_MS).map(|v| v.to_str().ok()?.trim().parse::<u64>().ok()) {
         Some(Some(ms)) => ms.saturating_mul(1_000_000).min(longest),
-        None if !headers.contains_key(TIMEOUT) => longest,
+        None if !headers.contains_key(TIMEOUT_MS) => longest,
         _ => return closing(text(StatusCode::BAD_REQUEST, "X-Timeout-Ms is no whole number\n")),
     };
     // A client's time runs while its connection waits to be accepted.
@@ -134,13 +136,13 @@
     };
     let message =
         Message { method: head.method, uri, headers, payload, deadline: give_up_at, interim_handler: None };
-    pool.first_list().await;
+    pool.wait_for_servers().await;
     let Some(mut ticket) = pool.engine.submit(Some(id), request, message) else {
         return closing(text(StatusCode::CONFLICT, "a request with this X-Request-ID is open\n"));
     };
     let answer = ticket.answer().await;
     if whole_body && service.clock.now() > give_up_at + LATE_ANSWER {
-        service.figures.answered_late();
+        service.metrics.count_late_answer();
     }
     // Nobody reads the body any longer, or somebody has read all of it.
     drop(ticket);
@@ -151,7 +153,7 @@
     };
     let response = match answer {
         Answer::Buffered { headers, body, .. } => {
-            served(headers, AnswerBody::Whole(PieceBody::new(Rc::new(body))))
+            served(headers, AnswerBody::Buffered(BufferedBodyReader::new(Rc::new(body))))
         }
         Answer::Stream { headers, length, frames: pieces, .. } => {
             served(headers, AnswerBody::Stream { pieces, length })
