--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -372,7 +372,7 @@
     /// Number of listed servers and how many of them are ejected. Also updates the metric of the list's age.
     pub fn server_counts(&self) -> (usize, usize) {
         let (listed, ejected, age) = self.requests.borrow().server_counts(self.clock.now());
-        self.metrics.list_age.set(age as f64 / 1e9);
+        self.metrics.list_age_seconds.set(age as f64 / 1e9);
         (listed, ejected)
     }
 
