--- a/crates/engine/tests/rules.rs
+++ b/crates/engine/tests/rules.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn draining_gone_and_unknown_servers_get_no_attempt() {
+fn draining_removed_and_unknown_servers_get_no_attempt() {
     let state = request_state(policy(Effect::Safe, Group::All));
     for phase in [Phase::Draining, Phase::Removed] {
         let server = Server { phase, ..server(1, 0) };
