--- a/crates/corkhollow/src/commands/run.rs
+++ b/crates/corkhollow/src/commands/run.rs
@@ -367,7 +367,7 @@
     control.lock().begin_shutdown(clock.now(), succeeded);
     let within = current.get().plan.drain_timeout;
     let (answered, gone) = control.lock().shutdown_deadlines(within).unwrap_or_default();
-    shared.engines.end_by(answered);
+    shared.engines.set_shutdown_deadline(answered);
     if let (Some(fleet), true) = (member.place.get(), succeeded) {
         fleet.hand_over();
     }
--- a/crates/corkhollow/tests/site/pools.rs
+++ b/crates/corkhollow/tests/site/pools.rs
@@ -101,12 +101,12 @@
         assert_eq!(body(), b"main");
     }
     up.store(0, SeqCst);
-    node.says("checks take server", 1);
+    node.says("health checks mark server", 1);
     for _ in 0..20 {
         assert_eq!(body(), b"spare");
     }
     up.store(1, SeqCst);
-    node.says("checks take server", 2);
+    node.says("health checks mark server", 2);
     until("the main server is back", || body() == b"main");
 }
 
@@ -122,7 +122,7 @@
     let body = || node.raw(&asked("GET / HTTP/1.1")).map(|m| m.body).unwrap_or_default();
     until("the first list is read", || body() == b"one");
     put("[[servers]]\naddress = \"nowhere\"\n");
-    node.says("not taken over: 2:11: error: servers[0].address", 1);
+    node.says("rejected, keeping the previous list: 2:11: error: servers[0].address", 1);
     assert_eq!(body(), b"one");
     put(&list(two.dials[0]));
     until("the new list is read", || body() == b"two");
--- a/crates/proxy/src/upstream/discovery.rs
+++ b/crates/proxy/src/upstream/discovery.rs
@@ -1,5 +1,5 @@
-//! The list of servers: read once, then watched. Nonsense leaves the old list in place and the watch is
-//! opened anew.
+//! The discovery client: fetches the server list and watches it for changes. An invalid list leaves the
+//! previous one in use, and the watch is reopened.
 
 use super::servers::ListedServer;
 use super::upstreams::Upstreams;
@@ -24,173 +24,180 @@
 use tokio::task::AbortHandle;
 use tokio::time::{interval, sleep, timeout, timeout_at, Instant, MissedTickBehavior};
 
-/// A watch says something at least every 2 s; one that is silent for longer hangs.
-const SILENCE: Duration = Duration::from_millis(2600);
-/// Discovery that is asked lets a call wait in turn. What a silent watch misses counts as told 6 s after it
-/// fell silent: this and the silence have to be over by then.
-const CALL: Duration = Duration::from_secs(3);
-const CONNECT: Duration = Duration::from_millis(500);
-/// Lists that are pushed cost nothing to ask for, and what the agent gets after a silence counts as told at
-/// once: as long as no call is answered, there is another one this often, so that one of them is new whenever
-/// the silence ends ...
-const ANOTHER: Duration = Duration::from_millis(100);
-/// ... of which this many wait: the oldest, in case an answer just takes its time, and the newest.
-const MOST_CALLS: usize = 4;
-/// Waits before a watch is opened again: from the first, doubled up to the last where what it brings is of no
-/// use, and spread.
-const PAUSE_FIRST: f64 = 0.05;
-const PAUSE_LAST: f64 = 1.0;
-/// A watch on lists that are asked for has stood if it lasted for this long. When it breaks, those of all
-/// nodes may have: it is opened again after a part of this, for what it misses counts as told soon.
-const STOOD: Duration = Duration::from_secs(1);
-const STOOD_PART: f64 = 0.2;
-/// A list of which nothing more has come for this long may have been cut short.
-const PAUSED: Duration = Duration::from_millis(100);
-/// An older whole list is taken only when discovery has stuck to it in this many watches: it may have lost
-/// its numbers, but more likely it was one stale copy, which would bring drained servers back.
-const STUBBORN: u32 = 4;
+/// Discovery sends a heartbeat at least every 2 s; a watch that is silent for longer hangs.
+const WATCH_SILENCE_TIMEOUT: Duration = Duration::from_millis(2600);
+/// A call may have to queue at discovery. This and [`WATCH_SILENCE_TIMEOUT`] together must stay below 6 s, by
+/// which time a change that a silent watch missed has to be in use.
+const CALL_TIMEOUT: Duration = Duration::from_secs(3);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// While no call is answered, another one is started at this interval, so that a recent call is open when an
+/// agent that pushes lists starts to answer again.
+const CALL_INTERVAL: Duration = Duration::from_millis(100);
+/// Calls open at a time: the oldest, in case its answer is only slow, and the newest.
+const MAX_OPEN_CALLS: usize = 4;
+/// Delays before a watch is reopened, without jitter: starts at the minimum, and doubles up to the maximum
+/// while the watch delivers unusable lists.
+const MIN_REOPEN_DELAY_SECS: f64 = 0.05;
+const MAX_REOPEN_DELAY_SECS: f64 = 1.0;
+/// A subscribed watch that lasted for longer than this is reopened without asking the decision module, after
+/// a random delay of up to [`REOPEN_DELAY_FRACTION`] of it: the watches of all nodes may have broken
+/// together.
+const STABLE_WATCH_AGE: Duration = Duration::from_secs(1);
+const REOPEN_DELAY_FRACTION: f64 = 0.2;
+/// A list that has not continued for this long is checked for being truncated.
+const TRUNCATION_CHECK_DELAY: Duration = Duration::from_millis(100);
+/// A full list with an older version is accepted only once discovery has sent older lists this many times in
+/// a row. It may have lost its version counter, but a single stale replica is more likely, and its list would
+/// bring drained servers back.
+const MIN_OLDER_LISTS: u32 = 4;
 
-/// Waits until another address for discovery is in force.
-async fn moved(address: &mut watch::Receiver<SocketAddr>) {
+/// Waits until the configured address of discovery changes.
+async fn address_changed(address: &mut watch::Receiver<SocketAddr>) {
     if address.changed().await.is_err() {
         std::future::pending().await
     }
 }
 
-/// Why a watch or a call has ended.
+/// Why a watch or a call ended.
 #[derive(Debug, thiserror::Error)]
 enum WatchError {
     #[error("cannot connect: {0}")]
     Connect(std::io::Error),
-    #[error("no answer in time")]
-    Silent,
+    #[error("timed out")]
+    TimedOut,
     #[error("{0}")]
     Http(#[from] hyper::Error),
-    #[error("answered {0}")]
+    #[error("unexpected status {0}")]
     Status(StatusCode),
     #[error("{0}")]
-    Nonsense(#[from] ListError),
-    #[error("version {0} after {1}")]
-    Backwards(u64, u64),
-    #[error("the watch ended")]
+    InvalidList(#[from] ListError),
+    #[error("list version {0} is older than {1}")]
+    OlderList(u64, u64),
+    #[error("the response ended")]
     Ended,
 }
 
-/// What a watcher has to know of its pool.
+/// What a watcher needs to know of its pool.
 #[derive(Clone, Debug)]
 pub struct WatcherConfig {
-    /// Zones by their index.
+    /// Names of the zones, by index.
     pub zones: Vec<String>,
-    /// Kinds of machines by their index.
+    /// Names of the machine kinds, by index.
     pub kinds: Vec<String>,
-    /// Lists come only to those who ask.
+    /// Discovery sends lists only on request, rather than pushing them.
     pub must_subscribe: bool,
-    /// The list as an earlier life of this node had it.
+    /// The cached list of a previous process of this node.
     pub known: Option<HostList>,
-    /// Settles the spread of its waits.
+    /// Seed of the jitter of delays.
     pub seed: u64,
 }
 
-/// Follows discovery.
+/// Keeps a pool's server list up to date from discovery.
 pub struct Watcher {
     engine: Rc<Engine>,
     upstreams: Rc<Upstreams>,
-    following: WatcherConfig,
-    /// Set once discovery has told the list.
+    config: WatcherConfig,
+    /// Set once discovery has sent a list.
     ready: Rc<watch::Sender<bool>>,
-    /// Where discovery is, by the configuration in force.
+    /// The configured address of discovery.
     address: watch::Receiver<SocketAddr>,
+    /// The version of the list in use.
     seq: u64,
-    /// Nothing is held that changes could build on.
-    blank: bool,
-    older: u32,
-    /// When the watch last began to speak.
+    /// There is no list yet that changes could be applied to.
+    has_no_list: bool,
+    /// Lists in a row that were older than the one in use.
+    older_in_a_row: u32,
+    /// When the last watch delivered its first data; `None` if it has not.
     opened_at: Option<Instant>,
     rng: Pcg64Mcg,
 }
 
 impl Watcher {
-    /// Starts with the list that the configuration holds.
+    /// Starts with the cached list, if there is one.
     pub fn new(
         engine: Rc<Engine>,
         upstreams: Rc<Upstreams>,
-        mut following: WatcherConfig,
+        mut config: WatcherConfig,
         address: watch::Receiver<SocketAddr>,
         ready: Rc<watch::Sender<bool>>,
     ) -> Self {
-        let rng = Pcg64Mcg::seed_from_u64(following.seed ^ 0x6469_7363);
-        let known = following.known.take();
-        let (seq, blank) = (known.as_ref().map_or(0, |k| k.seq), known.is_none());
+        let rng = Pcg64Mcg::seed_from_u64(config.seed ^ 0x6469_7363);
+        let known = config.known.take();
+        let (seq, has_no_list) = (known.as_ref().map_or(0, |list| list.seq), known.is_none());
         let watcher = Watcher {
             engine,
             upstreams,
-            following,
+            config,
             ready,
             address,
             seq,
-            blank,
-            older: 0,
+            has_no_list,
+            older_in_a_row: 0,
             opened_at: None,
             rng,
         };
-        watcher.tell(ListKind::Cached, known.map(|k| k.hosts).unwrap_or_default());
+        watcher.apply(ListKind::Cached, known.map(|list| list.hosts).unwrap_or_default());
         watcher
     }
 
-    fn spread(&mut self) -> f64 {
+    fn random_fraction(&mut self) -> f64 {
         f64::from(self.rng.next_u32()) / f64::from(u32::MAX)
     }
 
-    /// Lists come unasked: the watch is the node's to keep alive.
-    pub async fn follow(mut self) {
-        let mut moves = self.address.clone();
-        let (mut pause, mut lost_in_a_row) = (PAUSE_FIRST, 0u32);
+    /// Watches lists that discovery pushes; reopens the watch whenever it ends.
+    pub async fn follow_pushed(mut self) {
+        let mut address_updates = self.address.clone();
+        let (mut delay, mut failures_in_a_row) = (MIN_REOPEN_DELAY_SECS, 0u32);
         loop {
-            let spread = 0.5 + self.spread();
+            let jitter = 0.5 + self.random_fraction();
             self.opened_at = None;
-            let lost = async {
+            let watch_ended = async {
                 let error = self.watch().await;
-                // An agent that refuses is asked twenty times a second: the log is told with growing gaps.
-                lost_in_a_row = if self.opened_at.is_some() { 1 } else { lost_in_a_row + 1 };
-                if lost_in_a_row.is_power_of_two() {
+                // An agent that refuses connections is called many times a second: log at growing intervals.
+                failures_in_a_row = if self.opened_at.is_some() { 1 } else { failures_in_a_row + 1 };
+                if failures_in_a_row.is_power_of_two() {
                     log(format_args!("discovery: {error}"));
                 }
-                // What is told badly is told badly again. A watch that has only ended is missed from here on.
-                let useless = matches!(error, WatchError::Nonsense(_) | WatchError::Backwards(..));
-                pause = if useless { (pause * 2.0).min(PAUSE_LAST) } else { PAUSE_FIRST };
-                sleep(Duration::from_secs_f64(pause * spread)).await;
+                // An unusable list is likely to be sent again, so back off. A watch that merely ended is
+                // reopened soon, because changes are missed until then.
+                let is_unusable = matches!(error, WatchError::InvalidList(_) | WatchError::OlderList(..));
+                delay = if is_unusable {
+                    (delay * 2.0).min(MAX_REOPEN_DELAY_SECS)
+                } else {
+                    MIN_REOPEN_DELAY_SECS
+                };
+                sleep(Duration::from_secs_f64(delay * jitter)).await;
             };
             tokio::select! {
-                () = lost => {}
-                // What the old address still had to say, the new one tells: it is asked from the same version
-                // on.
-                () = moved(&mut moves) => pause = PAUSE_FIRST,
+                () = watch_ended => {}
+                // Dropping the old watch loses nothing: the new one continues from the same version.
+                () = address_changed(&mut address_updates) => delay = MIN_REOPEN_DELAY_SECS,
             }
         }
     }
 
-    /// Lists come to those who ask: the module says when.
-    pub async fn obey(mut self, mut calls: mpsc::UnboundedReceiver<DiscoveryCall>) {
-        let mut moves = self.address.clone();
+    /// Fetches and watches lists when the decision module asks for it.
+    pub async fn follow_on_demand(mut self, mut calls: mpsc::UnboundedReceiver<DiscoveryCall>) {
+        let mut address_updates = self.address.clone();
         let mut next = calls.recv().await;
         while let Some(call) = next.take() {
             self.opened_at = None;
             let error = match call {
                 DiscoveryCall::Fetch => tokio::select! {
                     fetched = self.fetch() => fetched.err(),
-                    () = moved(&mut moves) => { next = Some(call); continue }
+                    () = address_changed(&mut address_updates) => { next = Some(call); continue }
                 },
                 DiscoveryCall::Subscribe => tokio::select! {
                     error = self.watch() => Some(error),
-                    asked = calls.recv() => { next = asked; continue }
-                    () = moved(&mut moves) => { next = Some(call); continue }
+                    newer_call = calls.recv() => { next = newer_call; continue }
+                    () = address_changed(&mut address_updates) => { next = Some(call); continue }
                 },
             };
             if let Some(error) = error {
                 log(format_args!("discovery: {error}"));
-                if self.opened_at.is_some_and(|at| at.elapsed() > STOOD) {
-                    let pause = STOOD.mul_f64(STOOD_PART * self.spread());
-                    sleep(pause).await;
+                if self.opened_at.is_some_and(|at| at.elapsed() > STABLE_WATCH_AGE) {
+                    let delay = STABLE_WATCH_AGE.mul_f64(REOPEN_DELAY_FRACTION * self.random_fraction());
+                    sleep(delay).await;
                     next = Some(call);
                     continue;
                 }
@@ -201,180 +208,182 @@
     }
 
     async fn fetch(&mut self) -> Result<(), WatchError> {
-        let (body, _connection) = self.get("/discovery/hosts".to_owned(), CALL).await?;
+        let (body, _connection) = self.get("/discovery/hosts".to_owned(), CALL_TIMEOUT).await?;
         let limited = http_body_util::Limited::new(body, LONGEST_LIST);
-        let whole = timeout(CALL, limited.collect()).await.map_err(|_| WatchError::Silent)?;
-        let bytes = whole.map_err(|_| WatchError::Ended)?.to_bytes();
-        self.take(serde_json::from_slice(&bytes).map_err(ListError::from)?)
+        let collected = timeout(CALL_TIMEOUT, limited.collect()).await.map_err(|_| WatchError::TimedOut)?;
+        let bytes = collected.map_err(|_| WatchError::Ended)?.to_bytes();
+        self.accept(serde_json::from_slice(&bytes).map_err(ListError::from)?)
     }
 
     async fn watch(&mut self) -> WatchError {
-        match self.listen().await {
+        match self.read_watch().await {
             Ok(()) => WatchError::Ended,
             Err(error) => error,
         }
     }
 
-    async fn listen(&mut self) -> Result<(), WatchError> {
+    async fn read_watch(&mut self) -> Result<(), WatchError> {
         let mut path = "/discovery/hosts?follow=1".to_owned();
-        if !self.blank && self.older == 0 {
+        if !self.has_no_list && self.older_in_a_row == 0 {
             path += &format!("&since={}", self.seq);
         }
         let OpenWatch { first, mut body, _connection } = self.open(path).await?;
         self.opened_at = Some(Instant::now());
         let mut reader = ListReader::default();
-        self.read(&mut reader, &first)?;
+        self.read_chunk(&mut reader, &first)?;
         self.engine.observe_discovery();
-        let (mut moved_at, mut looked) = (Instant::now(), false);
+        let (mut last_data_at, mut checked) = (Instant::now(), false);
         loop {
-            let silent_at = moved_at + SILENCE;
-            let pause = Instant::now() + PAUSED;
-            let until = if reader.amid() && !looked { pause.min(silent_at) } else { silent_at };
+            let silent_at = last_data_at + WATCH_SILENCE_TIMEOUT;
+            let check_at = Instant::now() + TRUNCATION_CHECK_DELAY;
+            let until = if reader.amid() && !checked { check_at.min(silent_at) } else { silent_at };
             match timeout_at(until, body.frame()).await {
                 Ok(None) => return Ok(()),
                 Ok(Some(frame)) => {
                     let Ok(data) = frame?.into_data() else { continue };
-                    // White space in a list that does not go on is the heartbeat, behind one that was cut
-                    // short.
+                    // White space amid a list is a heartbeat after a truncated list, not its continuation.
                     if !reader.amid() || !data.trim_ascii().is_empty() {
-                        (moved_at, looked) = (Instant::now(), false);
+                        (last_data_at, checked) = (Instant::now(), false);
                     }
-                    self.read(&mut reader, &data)?;
+                    self.read_chunk(&mut reader, &data)?;
                     self.engine.observe_discovery();
                 }
                 Err(_) if until < silent_at => {
                     reader.check()?;
-                    looked = true;
+                    checked = true;
                 }
-                Err(_) => return Err(WatchError::Silent),
+                Err(_) => return Err(WatchError::TimedOut),
             }
         }
     }
 
-    fn read(&mut self, reader: &mut ListReader, data: &[u8]) -> Result<(), WatchError> {
-        reader.take(data)?.into_iter().try_for_each(|list| self.take(list))
+    fn read_chunk(&mut self, reader: &mut ListReader, data: &[u8]) -> Result<(), WatchError> {
+        reader.take(data)?.into_iter().try_for_each(|list| self.accept(list))
     }
 
-    fn take(&mut self, list: HostList) -> Result<(), WatchError> {
-        if list.seq < self.seq && !self.blank {
-            self.older += 1;
-            if !list.whole || self.older < STUBBORN {
-                return Err(WatchError::Backwards(list.seq, self.seq));
+    fn accept(&mut self, list: HostList) -> Result<(), WatchError> {
+        if list.seq < self.seq && !self.has_no_list {
+            self.older_in_a_row += 1;
+            if !list.whole || self.older_in_a_row < MIN_OLDER_LISTS {
+                return Err(WatchError::OlderList(list.seq, self.seq));
             }
         }
-        self.older = 0;
+        self.older_in_a_row = 0;
         self.seq = list.seq;
-        self.blank = false;
-        self.tell(if list.whole { ListKind::Full } else { ListKind::Changes }, list.hosts);
+        self.has_no_list = false;
+        self.apply(if list.whole { ListKind::Full } else { ListKind::Changes }, list.hosts);
         self.ready.send_replace(true);
         Ok(())
     }
 
-    fn tell(&self, kind: ListKind, hosts: Vec<Host>) {
-        // A name that the settings do not hold stands for something of its own, after all that they hold.
-        let place = |names: &[String], name: &Option<String>| {
+    fn apply(&self, kind: ListKind, hosts: Vec<Host>) {
+        // Names that are not in the settings share one more index after the known ones.
+        let index_of = |names: &[String], name: &Option<String>| {
             let name = name.as_deref().unwrap_or_default();
-            names.iter().position(|n| n == name).unwrap_or(names.len())
+            names.iter().position(|candidate| candidate == name).unwrap_or(names.len())
         };
-        let entry = |h: Host| ListedServer {
-            host: h.host,
-            address: h.dial,
+        let listed_server = |host: Host| ListedServer {
+            host: host.host,
+            address: host.dial,
             server: Server {
                 id: ServerId(0),
-                zone: place(&self.following.zones, &h.site).min(255) as u8,
-                kind: place(&self.following.kinds, &h.class).min(usize::from(u16::MAX)) as u16,
-                cell: h.block.unwrap_or(0),
-                phase: match h.health {
+                zone: index_of(&self.config.zones, &host.site).min(255) as u8,
+                kind: index_of(&self.config.kinds, &host.class).min(usize::from(u16::MAX)) as u16,
+                cell: host.block.unwrap_or(0),
+                phase: match host.health {
                     Health::Active => Phase::Ready,
                     Health::Leaving => Phase::Draining,
                     Health::Left => Phase::Removed,
                 },
-                size: h.share.filter(|s| s.is_finite()).unwrap_or(0.0),
-                started_at: h.born_ms.unwrap_or(0).saturating_mul(1_000_000),
+                size: host.share.filter(|s| s.is_finite()).unwrap_or(0.0),
+                started_at: host.born_ms.unwrap_or(0).saturating_mul(1_000_000),
             },
         };
-        let servers = self.upstreams.apply_list(kind, hosts.into_iter().map(entry).collect());
+        let servers = self.upstreams.apply_list(kind, hosts.into_iter().map(listed_server).collect());
         self.engine.on_server_list(kind, servers);
     }
 
-    /// Opens a watch and waits for the first that it says.
+    /// Opens a watch and waits for its first data.
     async fn open(&self, path: String) -> Result<OpenWatch, WatchError> {
-        if self.following.must_subscribe {
-            return timeout(CALL, self.call(path, CALL)).await.unwrap_or(Err(WatchError::Silent));
+        if self.config.must_subscribe {
+            return timeout(CALL_TIMEOUT, self.call(path, CALL_TIMEOUT))
+                .await
+                .unwrap_or(Err(WatchError::TimedOut));
         }
         let mut calls: Vec<PendingCall<'_>> = Vec::new();
-        let mut another = interval(ANOTHER);
-        another.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut next_call = interval(CALL_INTERVAL);
+        next_call.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
-            let answered = poll_fn(|cx| {
-                let over = calls.iter_mut().enumerate().find_map(|(k, call)| match call.as_mut().poll(cx) {
-                    Poll::Ready(answer) => Some((k, answer)),
-                    Poll::Pending => None,
-                });
-                over.map_or(Poll::Pending, Poll::Ready)
+            let first_answer = poll_fn(|cx| {
+                let finished =
+                    calls.iter_mut().enumerate().find_map(|(index, call)| match call.as_mut().poll(cx) {
+                        Poll::Ready(answer) => Some((index, answer)),
+                        Poll::Pending => None,
+                    });
+                finished.map_or(Poll::Pending, Poll::Ready)
             });
             tokio::select! {
                 biased;
-                (at, answer) = answered => {
-                    drop(calls.swap_remove(at));
+                (index, answer) = first_answer => {
+                    drop(calls.swap_remove(index));
                     if answer.is_ok() || calls.is_empty() {
                         return answer;
                     }
                 }
-                _ = another.tick() => {
-                    if calls.len() == MOST_CALLS {
+                _ = next_call.tick() => {
+                    if calls.len() == MAX_OPEN_CALLS {
                         drop(calls.remove(1));
                     }
-                    calls.push(Box::pin(self.call(path.clone(), SILENCE)));
+                    calls.push(Box::pin(self.call(path.clone(), WATCH_SILENCE_TIMEOUT)));
                 }
             }
         }
     }
 
-    /// One call, up to the first that it says.
-    async fn call(&self, path: String, patience: Duration) -> Result<OpenWatch, WatchError> {
-        let (mut body, _connection) = self.get(path, patience).await?;
+    /// Makes one call and waits for its first data.
+    async fn call(&self, path: String, call_timeout: Duration) -> Result<OpenWatch, WatchError> {
+        let (mut body, _connection) = self.get(path, call_timeout).await?;
         loop {
-            let frame = timeout(patience, body.frame()).await.map_err(|_| WatchError::Silent)?;
+            let frame = timeout(call_timeout, body.frame()).await.map_err(|_| WatchError::TimedOut)?;
             if let Ok(first) = frame.ok_or(WatchError::Ended)??.into_data() {
                 return Ok(OpenWatch { first, body, _connection });
             }
         }
     }
 
-    async fn get(&self, path: String, patience: Duration) -> Result<(Incoming, AbortOnDrop), WatchError> {
+    async fn get(&self, path: String, call_timeout: Duration) -> Result<(Incoming, AbortOnDrop), WatchError> {
         let address = *self.address.borrow();
-        let stream = match timeout(CONNECT, TcpStream::connect(address)).await {
+        let stream = match timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await {
             Ok(stream) => stream.map_err(WatchError::Connect)?,
-            Err(_) => return Err(WatchError::Silent),
+            Err(_) => return Err(WatchError::TimedOut),
         };
         let io = TokioIo::new(SocketIo(Socket::new(stream)));
         let (mut sender, connection) = hyper::client::conn::http1::handshake(io).await?;
-        let ends = AbortOnDrop(tokio::task::spawn_local(connection).abort_handle());
+        let connection_task = AbortOnDrop(tokio::task::spawn_local(connection).abort_handle());
         let mut request = Request::new(Empty::<Bytes>::new());
         *request.uri_mut() = path.parse().unwrap_or_default();
         let host = hyper::header::HeaderValue::try_from(address.to_string());
-        request.headers_mut().extend(host.ok().map(|h| (hyper::header::HOST, h)));
+        request.headers_mut().extend(host.ok().map(|host| (hyper::header::HOST, host)));
         let answer =
-            timeout(patience, sender.send_request(request)).await.map_err(|_| WatchError::Silent)??;
+            timeout(call_timeout, sender.send_request(request)).await.map_err(|_| WatchError::TimedOut)??;
         match answer.status() {
-            StatusCode::OK => Ok((answer.into_body(), ends)),
+            StatusCode::OK => Ok((answer.into_body(), connection_task)),
             status => Err(WatchError::Status(status)),
         }
     }
 }
 
-/// A call that is out.
+/// A call that waits for its first data.
 type PendingCall<'c> = Pin<Box<dyn Future<Output = Result<OpenWatch, WatchError>> + 'c>>;
 
-/// A watch that has said something.
+/// A watch that has delivered its first data.
 struct OpenWatch {
     first: Bytes,
     body: Incoming,
     _connection: AbortOnDrop,
 }
 
-/// A connection's task, which ends with it.
+/// Aborts a connection's task when dropped.
 struct AbortOnDrop(AbortHandle);
 
 impl Drop for AbortOnDrop {
--- a/crates/proxy/src/upstream/health_check.rs
+++ b/crates/proxy/src/upstream/health_check.rs
@@ -23,7 +23,7 @@
 pub(super) async fn run(pool: Weak<Pool>, check: Check, seed: u64) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x6368_6563);
     loop {
-        let Some(servers) = pool.upgrade().map(|p| p.to_check()) else { return };
+        let Some(servers) = pool.upgrade().map(|p| p.servers_to_check()) else { return };
         let mut running = JoinSet::new();
         for (name, address) in servers {
             if running.len() >= MAX_CONCURRENT_CHECKS {
@@ -48,7 +48,7 @@
 
 fn record_result(pool: &Weak<Pool>, done: Option<Result<(String, bool), tokio::task::JoinError>>) {
     if let (Some(pool), Some(Ok((name, passed)))) = (pool.upgrade(), done) {
-        pool.checked(&name, passed);
+        pool.record_check(&name, passed);
     }
 }
 
--- a/crates/proxy/src/upstream/http.rs
+++ b/crates/proxy/src/upstream/http.rs
@@ -20,8 +20,8 @@
 /// body is streamed.
 const MAX_EXTRA_POLLS: usize = 3;
 
-/// Classifies an answer by its status, as evidence on the server's health. A 500 is weak evidence: the request
-/// alone may be the cause, and another server would probably answer the same.
+/// Classifies an answer by its status, as evidence on the server's health. A 500 is weak evidence: the
+/// request alone may be the cause, and another server would probably answer the same.
 fn classify(status: StatusCode, not_processed: bool) -> Ending {
     match status {
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if not_processed => Ending::Full,
@@ -46,7 +46,8 @@
     let (head, mut body) = response.into_parts();
     let not_processed = head.headers.get(NOT_PROCESSED).is_some_and(|v| v == "1");
     let ending = classify(head.status, not_processed);
-    // With both lengths, the peers may disagree on where this answer ends: response splitting (RFC 9112, 6.3).
+    // With both lengths, the peers may disagree on where this answer ends: response splitting (RFC 9112,
+    // 6.3).
     let has_two_lengths = head.headers.contains_key(header::TRANSFER_ENCODING)
         && connection.socket.head_contains("\ncontent-length:");
     let (status, mut headers) = (head.status, head.headers);
@@ -117,8 +118,8 @@
     }
 }
 
-/// The next frame if it is available without waiting: `Some(None)` at the end of the body, `None` if it is not
-/// available yet.
+/// The next frame if it is available without waiting: `Some(None)` at the end of the body, `None` if it is
+/// not available yet.
 async fn next_available_frame(
     connection: &mut ServerConnection,
     body: &mut Incoming,
--- a/crates/proxy/src/upstream/mod.rs
+++ b/crates/proxy/src/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! Towards the servers: where they are, connections to them, attempts.
+//! The server side: server lists, connections to servers and attempts.
 
 mod attempt;
 mod connection;
--- a/crates/proxy/src/upstream/platform.rs
+++ b/crates/proxy/src/upstream/platform.rs
@@ -44,7 +44,8 @@
             status if status.is_client_error() => Ending::Rejected,
             _ => Ending::Error,
         };
-        // The attempt stays open until its answer is read, since a second one may not be allowed concurrently.
+        // The attempt stays open until its answer is read, since a second one may not be allowed
+        // concurrently.
         let is_complete = Box::pin(discard(connection, body)).await;
         engine.on_attempt_ended(id, ending);
         return is_complete;
@@ -66,8 +67,8 @@
                 engine.on_buffered_answer(id, head.status, headers, buffered);
                 return true;
             }
-            // The request may have been processed. Waiting until the deadline would look to the decision module
-            // like an overloaded server.
+            // The request may have been processed. Waiting until the deadline would look to the decision
+            // module like an overloaded server.
             Ok(Some(Err(_))) | Err(_) => {
                 engine.on_attempt_ended(id, Ending::Reset);
                 return false;
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -1,4 +1,4 @@
-//! One pool at work: its engine, its connections, and whoever tells its servers.
+//! A running pool: its engine, its connections, and the task that keeps its server list up to date.
 
 use super::discovery::{Watcher, WatcherConfig};
 use super::health_check;
@@ -24,32 +24,30 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::{spawn_local, AbortHandle};
 
-/// A watched file is looked at this often.
-const LOOK: Duration = Duration::from_millis(250);
+/// How often a watched file is checked for changes.
+const FILE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What an agent has counts as told from the process's first moment, and it answers at once: requests wait
-/// this long for its answer. Then it is silent, and the list of the earlier life has to do. A drain has as
-/// long.
-const FIRST_LIST: Nanos = 250_000_000;
+/// How long requests wait after the start for the first list from a discovery agent that pushes lists.
+/// Without one they go by the cached list.
+const FIRST_LIST_TIMEOUT: Nanos = 250_000_000;
 
-/// Without a word from discovery a pool serves by the list of its earlier life after this.
-const READY_KNOWN: Duration = Duration::from_millis(700);
+/// A pool with a cached list is ready after this time, even without an answer from discovery.
+const CACHED_LIST_READY_DELAY: Duration = Duration::from_millis(700);
 
-/// What all pools share.
+/// What all pools of a process share.
 #[derive(Clone)]
 pub struct PoolContext {
-    /// The program's clock.
+    /// The process's clock.
     pub clock: Clock,
-    /// What it may hold.
+    /// Limits on connections and memory.
     pub budget: Rc<Budget>,
-    /// What it has done.
+    /// The process's metrics.
     pub metrics: Metrics,
-    /// The engines of all pools, those with them that no plan has any longer and that have requests under
-    /// way.
+    /// The engines of all pools, including removed pools that still have open requests.
     pub engines: Engines,
 }
 
-/// Engines that are at work.
+/// All engines that are still referenced.
 #[derive(Clone, Default)]
 pub struct Engines(Rc<RefCell<Vec<Weak<Engine>>>>);
 
@@ -60,114 +58,127 @@
         all.push(Rc::downgrade(engine));
     }
 
-    /// Answers all that is under way by then, for the node leaves.
-    pub fn end_by(&self, at: Nanos) {
-        self.0.borrow().iter().filter_map(Weak::upgrade).for_each(|engine| engine.set_shutdown_deadline(at));
+    /// Makes every engine answer its open requests by the given time, for the shutdown of the process.
+    pub fn set_shutdown_deadline(&self, deadline: Nanos) {
+        self.0
+            .borrow()
+            .iter()
+            .filter_map(Weak::upgrade)
+            .for_each(|engine| engine.set_shutdown_deadline(deadline));
     }
 }
 
-/// What all pools are told beside their own settings.
+/// Settings that are the same for all pools.
 pub struct CommonSettings {
-    /// The tenants' shares, one table for all.
+    /// The tenants' quotas.
     pub quotas: Quotas,
-    /// What the node counts as, where that isn't told by the settings.
+    /// The node's position in its fleet; overrides the pool's settings.
     pub group: Option<Group>,
 }
 
 impl CommonSettings {
-    /// What a pool's decision module goes by.
+    /// The settings of a pool's decision module.
     pub fn settings(&self, pool: &plan::Pool) -> Settings {
-        let own = &pool.settings;
+        let settings = &pool.settings;
         let (ordinal, group_size) = match self.group {
             Some(Group { ordinal, size }) => (ordinal, size.max(ordinal + 1)),
-            None => (own.ordinal, own.group_size),
+            None => (settings.ordinal, settings.group_size),
         };
-        Settings { tenant_quota: self.quotas.clone(), ordinal, group_size, ..own.clone() }
+        Settings { tenant_quota: self.quotas.clone(), ordinal, group_size, ..settings.clone() }
     }
 }
 
-/// See the module's documentation.
+/// A running pool.
 pub struct Pool {
-    /// Its requests under way.
+    /// Decides on the pool's requests and tracks those that are open.
     pub engine: Rc<Engine>,
-    /// Its connections.
+    /// The servers and the connections to them.
     pub upstreams: Rc<Upstreams>,
-    /// It has been told who its servers are.
+    /// Whether the pool has a server list that it can serve by.
     pub ready: Rc<watch::Sender<bool>>,
-    /// What it was started with.
-    told: Arc<plan::Pool>,
+    /// The configuration that the pool was started with.
+    config: Arc<plan::Pool>,
     /// Until when requests wait for the first list.
-    waits_until: Nanos,
+    first_list_deadline: Nanos,
     roster: Rc<RefCell<Roster>>,
     discovery: Option<watch::Sender<SocketAddr>>,
-    /// No new plan has it: its timers end with its last request.
+    /// The pool was dropped: the engine's timers end with its last request.
     retired: Rc<Cell<bool>>,
-    /// Whoever tells its servers.
-    source: RefCell<Option<AbortHandle>>,
-    checks: RefCell<Option<AbortHandle>>,
+    /// The task that keeps the server list up to date.
+    source_task: RefCell<Option<AbortHandle>>,
+    check_task: RefCell<Option<AbortHandle>>,
 }
 
 impl Drop for Pool {
     fn drop(&mut self) {
         self.retired.set(true);
-        for task in [self.source.take(), self.checks.take()].into_iter().flatten() {
+        for task in [self.source_task.take(), self.check_task.take()].into_iter().flatten() {
             task.abort();
         }
     }
 }
 
 impl Pool {
-    /// Starts a pool of a plan. The seed settles its random draws.
+    /// Starts the plan's pool with the given index. All random choices derive from the seed.
     ///
     /// # Errors
-    /// Where the decision module cannot act on its settings.
+    /// If the decision module rejects the settings.
     pub fn start(
         plan: &Plan,
-        at: usize,
+        index: usize,
         shared: &PoolContext,
         seed: u64,
-        terms: &CommonSettings,
+        common: &CommonSettings,
     ) -> Result<Rc<Self>, SettingsError> {
-        let told = plan.pools[at].clone();
-        let (list_calls, calls) = mpsc::unbounded_channel();
-        let upstreams = Upstreams::new(&told, &plan.limits, shared, list_calls);
+        let config = plan.pools[index].clone();
+        let (discovery_calls, calls) = mpsc::unbounded_channel();
+        let upstreams = Upstreams::new(&config, &plan.limits, shared, discovery_calls);
         let (sender, metrics) =
-            (Rc::new(UpstreamTransport(upstreams.clone())), shared.metrics.for_pool(&told.name));
-        let engine = Engine::new(terms.settings(&told), seed, shared.clock, sender, metrics)?;
+            (Rc::new(UpstreamTransport(upstreams.clone())), shared.metrics.for_pool(&config.name));
+        let engine = Engine::new(common.settings(&config), seed, shared.clock, sender, metrics)?;
         shared.engines.add(&engine);
         let retired = Rc::new(Cell::new(false));
         spawn_local(engine.clone().run_timers(retired.clone()));
         let ready = Rc::new(watch::Sender::new(false));
         let mut discovery = None;
         let mut source = None;
-        let pushed = matches!(told.source, Source::Discovery(_)) && !told.settings.must_subscribe;
-        if let Source::Discovery(from) = &told.source {
-            let (address, seen) = watch::channel(from.address);
-            discovery = Some(address);
+        let is_pushed = matches!(config.source, Source::Discovery(_)) && !config.settings.must_subscribe;
+        if let Source::Discovery(from) = &config.source {
+            let (address_sender, address_updates) = watch::channel(from.address);
+            discovery = Some(address_sender);
             if from.known.as_ref().is_some_and(|known| !known.hosts.is_empty()) {
                 let ready = ready.clone();
                 spawn_local(async move {
-                    tokio::time::sleep(READY_KNOWN).await;
+                    tokio::time::sleep(CACHED_LIST_READY_DELAY).await;
                     ready.send_replace(true);
                 });
             }
-            let must_subscribe = told.settings.must_subscribe;
-            let following = WatcherConfig {
+            let must_subscribe = config.settings.must_subscribe;
+            let watcher_config = WatcherConfig {
                 zones: from.zones.clone(),
                 kinds: from.kinds.clone(),
                 must_subscribe,
                 known: from.known.clone(),
                 seed,
             };
-            let watcher = Watcher::new(engine.clone(), upstreams.clone(), following, seen, ready.clone());
+            let watcher = Watcher::new(
+                engine.clone(),
+                upstreams.clone(),
+                watcher_config,
+                address_updates,
+                ready.clone(),
+            );
             source = Some(if must_subscribe {
-                spawn_local(watcher.obey(calls)).abort_handle()
+                spawn_local(watcher.follow_on_demand(calls)).abort_handle()
             } else {
-                spawn_local(watcher.follow()).abort_handle()
+                spawn_local(watcher.follow_pushed()).abort_handle()
             });
         }
-        let roster =
-            Rc::new(RefCell::new(Roster::new(told.settings.backup_zone, told.check.clone(), told.cold)));
+        let roster = Rc::new(RefCell::new(Roster::new(
+            config.settings.backup_zone,
+            config.check.clone(),
+            config.cold,
+        )));
         let pool = Rc::new(Pool {
             engine,
             upstreams,
@@ -175,66 +186,67 @@
             roster,
             discovery,
             retired,
-            waits_until: if pushed { shared.clock.now() + FIRST_LIST } else { 0 },
-            source: RefCell::new(source),
-            checks: RefCell::default(),
-            told,
+            first_list_deadline: if is_pushed { shared.clock.now() + FIRST_LIST_TIMEOUT } else { 0 },
+            source_task: RefCell::new(source),
+            check_task: RefCell::default(),
+            config,
         });
-        pool.follow(plan, &pool.told.source);
-        if let Some(settings) = &pool.told.check {
+        pool.start_source(plan, &pool.config.source);
+        if let Some(settings) = &pool.config.check {
             let task = health_check::run(Rc::downgrade(&pool), settings.clone(), seed);
-            pool.checks.replace(Some(spawn_local(task).abort_handle()));
+            pool.check_task.replace(Some(spawn_local(task).abort_handle()));
         }
         Ok(pool)
     }
 
-    /// Goes on under a new plan, told of what differs and no more. `predecessors`, and what is returned, are
-    /// as [`Engine::retune`] has them; where the classes are the same, none is returned and their places
-    /// stay.
+    /// Applies what differs in a new plan. For `predecessors` and the returned class indexes see
+    /// [`Engine::update_settings`]; `None` if the class indexes stay the same.
     ///
     /// # Errors
-    /// Where no node could act on the settings; all is as it was.
+    /// If the decision module rejects the settings; nothing has changed then.
     pub fn update(
         &self,
         plan: &Plan,
-        at: usize,
+        index: usize,
         differs: Differs,
         quotas: bool,
-        terms: &CommonSettings,
+        common: &CommonSettings,
         predecessors: impl FnOnce() -> Vec<Option<u16>>,
     ) -> Result<Option<Vec<u16>>, SettingsError> {
-        let told = &plan.pools[at];
-        let mut places = None;
+        let config = &plan.pools[index];
+        let mut class_indexes = None;
         if differs.settings {
-            places = Some(self.engine.update_settings(terms.settings(told), &predecessors())?);
+            class_indexes = Some(self.engine.update_settings(common.settings(config), &predecessors())?);
         } else if quotas {
-            self.engine.set_tenant_quotas(terms.quotas.clone())?;
+            self.engine.set_tenant_quotas(common.quotas.clone())?;
         }
         if differs.times {
-            self.upstreams.set_timeouts(told);
+            self.upstreams.set_timeouts(config);
         }
         if differs.source {
-            match (&self.discovery, &told.source) {
-                (Some(discovery), Source::Discovery(from)) => self.move_discovery(discovery, from.address),
-                (_, source) => self.follow(plan, source),
+            match (&self.discovery, &config.source) {
+                (Some(discovery), Source::Discovery(from)) => {
+                    self.set_discovery_address(discovery, from.address)
+                }
+                (_, source) => self.start_source(plan, source),
             }
         }
-        Ok(places)
+        Ok(class_indexes)
     }
 
-    fn move_discovery(&self, discovery: &watch::Sender<SocketAddr>, address: SocketAddr) {
+    fn set_discovery_address(&self, discovery: &watch::Sender<SocketAddr>, address: SocketAddr) {
         discovery.send_if_modified(|old| std::mem::replace(old, address) != address);
     }
 
-    fn follow(&self, plan: &Plan, source: &Source) {
+    fn start_source(&self, plan: &Plan, source: &Source) {
         match source {
             Source::Static(servers) => self.replace(servers),
             Source::Watch(path) => {
-                let look = WatchedFile { path: path.clone(), seen: None };
+                let file = WatchedFile { path: path.clone(), last_read: None };
                 let zones = (plan.zone, plan.zones.clone());
-                let task = spawn_local(watch_file(self.updater(), look, zones)).abort_handle();
-                // The old list stands until the new one is read.
-                if let Some(old) = self.source.replace(Some(task)) {
+                let task = spawn_local(watch_file(self.updater(), file, zones)).abort_handle();
+                // The old list stays in use until the new one is read.
+                if let Some(old) = self.source_task.replace(Some(task)) {
                     old.abort();
                 }
             }
@@ -255,32 +267,32 @@
         self.updater().replace(servers);
     }
 
-    /// Waits until the pool has been told who its servers are, or its process is no longer new.
+    /// Waits for the first server list, at most until the deadline for it.
     pub async fn wait_for_servers(&self) {
         if !*self.ready.borrow() {
-            let until = self.engine.clock().instant(self.waits_until);
+            let until = self.engine.clock().instant(self.first_list_deadline);
             let _ = tokio::time::timeout_at(until, self.ready.subscribe().wait_for(|ready| *ready)).await;
         }
     }
 
-    /// Who is to be checked, and where.
-    pub fn to_check(&self) -> Vec<(String, SocketAddr)> {
+    /// Names and addresses of the servers to check.
+    pub fn servers_to_check(&self) -> Vec<(String, SocketAddr)> {
         self.roster.borrow().to_check()
     }
 
-    /// Takes a check's result into account.
-    pub fn checked(&self, name: &str, passed: bool) {
+    /// Records the result of a health check, and applies and logs a change of the server's state.
+    pub fn record_check(&self, name: &str, passed: bool) {
         let now = self.engine.clock().now();
         let changed = self.roster.borrow_mut().checked(now, name, passed);
         if let Some(listed) = changed {
-            let word = if listed.phase == Phase::Ready { "back" } else { "out" };
-            log(format_args!("pool {}: checks take server {name} {word}", self.told.name));
-            self.updater().tell(ListKind::Changes, vec![listed]);
+            let state = if listed.phase == Phase::Ready { "healthy" } else { "unhealthy" };
+            log(format_args!("pool {}: health checks mark server {name} {state}", self.config.name));
+            self.updater().apply(ListKind::Changes, vec![listed]);
         }
     }
 }
 
-/// What a list of servers is handed to.
+/// Applies new server lists to a pool.
 struct ServerListUpdater {
     engine: Rc<Engine>,
     upstreams: Rc<Upstreams>,
@@ -291,18 +303,18 @@
 impl ServerListUpdater {
     fn replace(&self, servers: &[plan::Server]) {
         let listed = self.roster.borrow_mut().replace(self.engine.clock().now(), servers);
-        self.tell(ListKind::Full, listed);
+        self.apply(ListKind::Full, listed);
         self.ready.send_replace(true);
     }
 
-    fn tell(&self, kind: ListKind, listed: Vec<Listed>) {
-        let entries = listed.into_iter().map(entry).collect();
+    fn apply(&self, kind: ListKind, listed: Vec<Listed>) {
+        let entries = listed.into_iter().map(listed_server).collect();
         let servers = self.upstreams.apply_list(kind, entries);
         self.engine.on_server_list(kind, servers);
     }
 }
 
-fn entry(listed: Listed) -> ListedServer {
+fn listed_server(listed: Listed) -> ListedServer {
     ListedServer {
         host: listed.name,
         address: listed.address,
@@ -317,37 +329,39 @@
     }
 }
 
-/// A file and how it was when it was last read.
+/// A file with its modification time and size when it was last read.
 struct WatchedFile {
     path: PathBuf,
-    seen: Option<(SystemTime, u64)>,
+    last_read: Option<(SystemTime, u64)>,
 }
 
 impl WatchedFile {
-    fn changed(&mut self) -> bool {
+    fn has_changed(&mut self) -> bool {
         let meta = std::fs::metadata(&self.path).ok();
         let now = meta.and_then(|m| Some((m.modified().ok()?, m.len())));
-        let changed = now.is_some() && now != self.seen;
-        self.seen = now.or(self.seen);
-        changed
+        let has_changed = now.is_some() && now != self.last_read;
+        self.last_read = now.or(self.last_read);
+        has_changed
     }
 }
 
-/// Reads the file whenever it changes, for good. One that cannot be used leaves the old list in force.
-async fn watch_file(updater: ServerListUpdater, mut look: WatchedFile, (zone, zones): (u8, Vec<String>)) {
+/// Reads the file whenever it changes, without end. An invalid file leaves the previous list in use.
+async fn watch_file(updater: ServerListUpdater, mut file: WatchedFile, (zone, zones): (u8, Vec<String>)) {
     loop {
-        if look.changed() {
-            match read_list(&look.path, zone, &zones) {
+        if file.has_changed() {
+            match read_server_list(&file.path, zone, &zones) {
                 Ok(servers) => updater.replace(&servers),
-                Err(why) => log(format_args!("{}: not taken over: {why}", look.path.display())),
+                Err(why) => {
+                    log(format_args!("{}: rejected, keeping the previous list: {why}", file.path.display()))
+                }
             }
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(FILE_CHECK_INTERVAL).await;
     }
 }
 
-fn read_list(path: &Path, zone: u8, zones: &[String]) -> Result<Vec<plan::Server>, String> {
-    let text = std::fs::read_to_string(path).map_err(|e| e.to_string())?;
+fn read_server_list(path: &Path, zone: u8, zones: &[String]) -> Result<Vec<plan::Server>, String> {
+    let text = std::fs::read_to_string(path).map_err(|error| error.to_string())?;
     parse_server_list(&text, zone, zones)
         .map_err(|faults| faults.first().map(ToString::to_string).unwrap_or_default())
 }
--- a/crates/proxy/src/upstream/upstreams.rs
+++ b/crates/proxy/src/upstream/upstreams.rs
@@ -1,4 +1,4 @@
-//! The servers of one pool with their connections, and the attempts on these.
+//! The servers of one pool, the connections to them and the attempts that run on these.
 
 use super::attempt::run_attempt;
 use super::servers::{ListedServer, ReuseDelay, ServerTable};
@@ -17,33 +17,32 @@
 use tokio::sync::{mpsc, Notify};
 use tokio::task::AbortHandle;
 
-/// How long an attempt that was given up may go on, so that its connection can be used again. Giving it up by
-/// closing costs the server a new handshake, and the work goes on there all the same.
+/// How long an abandoned attempt may continue, so that its connection can be reused. Closing the connection
+/// instead would not stop the server's work, and would cost it a new handshake.
 const ABANDONED_ATTEMPT_GRACE: Nanos = 1_000_000_000;
 
-/// See the module's documentation.
+/// The servers of one pool, with the limits and resources of the connections to them.
 pub struct Upstreams {
-    /// The pool's name.
-    name: String,
+    pool_name: String,
     servers: RefCell<ServerTable>,
     pub(super) dialect: Dialect,
     pub(super) budget: Rc<Budget>,
     pub(super) clock: Clock,
-    /// Attempts written whole.
+    /// Counts attempts whose request was written completely.
     pub(super) forwards: IntCounter,
     pub(super) connect_timeout: Cell<Duration>,
-    /// How long an answer's body may stand still.
+    /// How long an answer's body may stall.
     pub(super) stall_timeout: Duration,
-    /// How much a connection reads at once; an answer's head has to fit.
+    /// Read buffer of a connection; limits the size of an answer's head.
     pub(super) read_buffer_bytes: usize,
     limiter: Rc<ConnectionLimiter>,
-    /// Attempts that were given up and go on for a while; bounded by the connections to servers.
+    /// Abandoned attempts and when to abort them, oldest first; bounded by the limit on server connections.
     abandoned: Rc<RefCell<VecDeque<(Nanos, AbortHandle)>>>,
-    /// Bounded by the module, which asks again only after an answer.
-    list_calls: mpsc::UnboundedSender<DiscoveryCall>,
+    /// Unbounded, but the decision module makes its next call only after the last one was answered.
+    discovery_calls: mpsc::UnboundedSender<DiscoveryCall>,
 }
 
-/// Connections that a pool may hold, and requests that wait for one.
+/// Limits a pool's connections and the requests that wait for one.
 struct ConnectionLimiter {
     max_connections: usize,
     max_waiting: usize,
@@ -52,11 +51,11 @@
     freed: Notify,
 }
 
-/// One connection's place in its pool, given back when dropped.
+/// Permission for one connection of a pool, returned when dropped.
 pub(super) struct ConnectionPermit(Option<Rc<ConnectionLimiter>>);
 
 impl ConnectionPermit {
-    /// A place in no pool.
+    /// A permit that belongs to no limiter.
     #[cfg(test)]
     pub(super) fn unlimited() -> Self {
         ConnectionPermit(None)
@@ -72,13 +71,13 @@
     }
 }
 
-/// Counts one that waits, also where it is dropped while it does.
+/// Counts a waiting request until it is dropped, whether or not it got a permit.
 struct WaitingGuard<'p>(&'p ConnectionLimiter);
 
 impl Drop for WaitingGuard<'_> {
     fn drop(&mut self) {
         self.0.waiting.set(self.0.waiting.get() - 1);
-        // It may have been woken, and the next one in its place must not sleep on.
+        // The dropped request may have consumed a notification: pass it on to the next waiting one.
         if self.0.open.get() < self.0.max_connections {
             self.0.freed.notify_one();
         }
@@ -86,20 +85,20 @@
 }
 
 impl Upstreams {
-    /// No servers yet.
+    /// Starts without servers.
     pub fn new(
         pool: &Pool,
         limits: &Limits,
         shared: &PoolContext,
-        list_calls: mpsc::UnboundedSender<DiscoveryCall>,
+        discovery_calls: mpsc::UnboundedSender<DiscoveryCall>,
     ) -> Rc<Self> {
-        let rests = match pool.dialect {
+        let reuse_delay = match pool.dialect {
             Dialect::Platform => ReuseDelay::Always,
             Dialect::Http => ReuseDelay::AfterSurplusBytes,
         };
         Rc::new(Upstreams {
-            name: pool.name.clone(),
-            servers: RefCell::new(ServerTable::new(pool.idle_timeout, rests)),
+            pool_name: pool.name.clone(),
+            servers: RefCell::new(ServerTable::new(pool.idle_timeout, reuse_delay)),
             dialect: pool.dialect,
             budget: shared.budget.clone(),
             clock: shared.clock,
@@ -115,58 +114,58 @@
                 freed: Notify::new(),
             }),
             abandoned: Rc::default(),
-            list_calls,
+            discovery_calls,
         })
     }
 
-    /// Goes by these times from here on, for connections that are there already too.
+    /// Applies the pool's timeouts, also to connections that are open already.
     pub fn set_timeouts(&self, pool: &Pool) {
         self.connect_timeout.set(Duration::from_nanos(pool.connect_timeout));
         self.with_servers(|servers| servers.set_server_idle_timeout(pool.idle_timeout));
     }
 
-    /// Runs `f` on the fleet's connections.
+    /// Runs `f` on the server table.
     pub(super) fn with_servers<T>(&self, f: impl FnOnce(&mut ServerTable) -> T) -> T {
         f(&mut self.servers.borrow_mut())
     }
 
-    /// Takes over a list or changes to it, and puts it into the module's words.
+    /// Applies a list or changes to one: see [`ServerTable::apply_list`].
     pub fn apply_list(&self, kind: ListKind, entries: Vec<ListedServer>) -> Vec<Server> {
         self.with_servers(|servers| servers.apply_list(self.clock.now(), kind, entries))
     }
 
-    /// Closes what has stood idle for too long or was closed by its server.
+    /// Closes idle connections that are no longer reusable, and more if the node holds too many connections.
     pub fn close_expired_idle(&self) {
         self.with_servers(|servers| servers.sweep(self.clock.now()));
         while self.budget.servers_over() && self.close_oldest_idle() {}
     }
 
-    /// AbortOnDrop attempts that have lingered for long enough.
+    /// Aborts abandoned attempts whose grace period is over.
     pub fn abort_overdue_attempts(&self) {
         let now = self.clock.now();
         let mut abandoned = self.abandoned.borrow_mut();
-        while let Some((_, task)) = abandoned.pop_front_if(|(at, _)| *at <= now) {
+        while let Some((_, task)) = abandoned.pop_front_if(|(abort_at, _)| *abort_at <= now) {
             task.abort();
         }
     }
 
-    /// Closes one connection whose attempt is long told of, to make room; false where there is none.
+    /// Aborts the oldest abandoned attempt, to free its connection; false if there is none.
     pub(super) fn abort_oldest_abandoned(&self) -> bool {
         let oldest = self.abandoned.borrow_mut().pop_front();
         oldest.inspect(|(_, task)| task.abort()).is_some()
     }
 
-    /// Closes the connection that has stood idle for longest; false where there is none.
+    /// Closes the connection that has been idle for longest; false if there is none.
     pub(super) fn close_oldest_idle(&self) -> bool {
         self.with_servers(ServerTable::close_oldest_idle)
     }
 
-    /// Whether requests wait for a connection: one that gets free is worth more than one that is kept.
+    /// Whether requests wait for a permit. Then a connection is closed after use rather than kept idle.
     pub(super) fn has_waiting_requests(&self) -> bool {
         self.limiter.waiting.get() > 0
     }
 
-    /// A place for one more connection, as soon as there is one; none where too many wait already.
+    /// Waits for a permit for one more connection; `None` if too many requests wait already.
     pub(super) async fn acquire_permit(&self) -> Option<ConnectionPermit> {
         let limiter = &self.limiter;
         if limiter.open.get() >= limiter.max_connections && !self.close_oldest_idle() {
@@ -186,7 +185,7 @@
     }
 }
 
-/// A handle on the upstreams that an engine can own.
+/// Sends an engine's attempts to the servers of its pool.
 pub struct UpstreamTransport(pub Rc<Upstreams>);
 
 impl Transport for UpstreamTransport {
@@ -208,7 +207,7 @@
     }
 
     fn call_discovery(&self, call: DiscoveryCall) {
-        let _ = self.0.list_calls.send(call);
+        let _ = self.0.discovery_calls.send(call);
     }
 
     fn server_name(&self, server: ServerId) -> Option<Arc<str>> {
@@ -216,7 +215,7 @@
     }
 
     fn log(&self, server: Option<ServerId>, text: &str) {
-        let pool = &self.0.name;
+        let pool = &self.0.pool_name;
         match server.and_then(|id| Transport::server_name(self, id)) {
             Some(server) => log(format_args!("pool {pool}: server {server}: {text}")),
             None => log(format_args!("pool {pool}: {text}")),
@@ -224,8 +223,9 @@
     }
 }
 
+/// An attempt that runs as a task of its own.
 struct SpawnedAttempt {
-    /// The connection that it has, once it has one.
+    /// The connection that the attempt uses, once it has one.
     socket: Rc<RefCell<Option<Rc<Socket>>>>,
     task: AbortHandle,
     abandoned: Rc<RefCell<VecDeque<(Nanos, AbortHandle)>>>,
@@ -233,22 +233,22 @@
 }
 
 impl SpawnedAttempt {
-    fn written(&self) -> bool {
+    fn is_request_written(&self) -> bool {
         self.socket.borrow().as_ref().is_some_and(|s| s.is_request_written())
     }
 }
 
 impl RunningAttempt for SpawnedAttempt {
     fn cancel_if_unsent(&self) -> bool {
-        let unwritten = !self.written();
-        if unwritten {
+        let is_unsent = !self.is_request_written();
+        if is_unsent {
             self.task.abort();
         }
-        unwritten
+        is_unsent
     }
 
     fn abandon(self: Box<Self>) {
-        if self.written() {
+        if self.is_request_written() {
             self.abandoned.borrow_mut().push_back((self.clock.now() + ABANDONED_ATTEMPT_GRACE, self.task));
         } else {
             self.task.abort();
