--- a/crates/corkhollow/src/commands/run.rs
+++ b/crates/corkhollow/src/commands/run.rs
@@ -286,7 +286,7 @@
     figures.set_active_config(&site.plan.version.to_string(), None);
     let current = CurrentPlan::new(site.clone());
     let service = Rc::new(Service {
-        site: current.clone(),
+        current_plan: current.clone(),
         clock,
         budget: budget.clone(),
         lifecycle: control.clone(),
--- a/crates/operate/src/request_tracker.rs
+++ b/crates/operate/src/request_tracker.rs
@@ -9,54 +9,54 @@
     /// No server could take it in time (declined).
     Busy,
     /// Its client's connection had no place (declined).
-    NoPlace,
+    ConnectionLimit,
     /// A server would not have it: 429 or 503 (declined).
     ServerBusy,
     /// No answer in time (aborted).
-    Late,
+    TimedOut,
     /// Attempts failed, or none could be made (aborted).
     Failed,
     /// A server told of an error of its own (aborted).
     ServerError,
     /// The answer broke off on its way (aborted).
-    Cut,
+    AnswerTruncated,
     /// The client left before there was an answer (aborted).
-    Gone,
+    ClientLeft,
     /// The program turned it down as it was: unreadable, too long, too slow (aborted).
-    TurnedDown,
+    RejectedByGateway,
 }
 
 impl UnservedReason {
     /// All there are, in the order of their numbers.
     pub const ALL: [UnservedReason; 9] = [
         UnservedReason::Busy,
-        UnservedReason::NoPlace,
+        UnservedReason::ConnectionLimit,
         UnservedReason::ServerBusy,
-        UnservedReason::Late,
+        UnservedReason::TimedOut,
         UnservedReason::Failed,
         UnservedReason::ServerError,
-        UnservedReason::Cut,
-        UnservedReason::Gone,
-        UnservedReason::TurnedDown,
+        UnservedReason::AnswerTruncated,
+        UnservedReason::ClientLeft,
+        UnservedReason::RejectedByGateway,
     ];
 
     /// Its name on the page.
     pub fn name(self) -> &'static str {
         match self {
             UnservedReason::Busy => "busy",
-            UnservedReason::NoPlace => "no-place",
+            UnservedReason::ConnectionLimit => "no-place",
             UnservedReason::ServerBusy => "server-busy",
-            UnservedReason::Late => "late",
+            UnservedReason::TimedOut => "late",
             UnservedReason::Failed => "failed",
             UnservedReason::ServerError => "server-error",
-            UnservedReason::Cut => "cut",
-            UnservedReason::Gone => "gone",
-            UnservedReason::TurnedDown => "turned-down",
+            UnservedReason::AnswerTruncated => "cut",
+            UnservedReason::ClientLeft => "gone",
+            UnservedReason::RejectedByGateway => "turned-down",
         }
     }
 
-    fn declines(self) -> bool {
-        matches!(self, UnservedReason::Busy | UnservedReason::NoPlace | UnservedReason::ServerBusy)
+    fn is_declined(self) -> bool {
+        matches!(self, UnservedReason::Busy | UnservedReason::ConnectionLimit | UnservedReason::ServerBusy)
     }
 }
 
@@ -74,7 +74,7 @@
 
 /// How a request stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Standing {
+enum Outcome {
     Open,
     Served,
     Unserved(UnservedReason),
@@ -85,67 +85,67 @@
 #[derive(Debug)]
 pub struct RequestTracker {
     class: ClassMetrics,
-    taken_at: Option<Nanos>,
-    standing: Standing,
+    received_at: Option<Nanos>,
+    outcome: Outcome,
 }
 
 impl RequestTracker {
     /// A request whose class is known.
     pub fn new(class: ClassMetrics) -> Self {
-        RequestTracker { class, taken_at: None, standing: Standing::Open }
+        RequestTracker { class, received_at: None, outcome: Outcome::Open }
     }
 
     /// Its last byte has come.
-    pub fn take(&mut self, now: Nanos) {
-        if self.taken_at.is_none() {
-            self.taken_at = Some(now);
+    pub fn mark_received(&mut self, now: Nanos) {
+        if self.received_at.is_none() {
+            self.received_at = Some(now);
             self.class.outstanding.inc();
         }
     }
 
     /// Its client is only told to come back.
-    pub fn no_place(&mut self) {
-        self.standing = Standing::Unserved(UnservedReason::NoPlace);
+    pub fn mark_over_limit(&mut self) {
+        self.outcome = Outcome::Unserved(UnservedReason::ConnectionLimit);
     }
 
     /// It is answered with this status: a server's, or the program's own.
-    pub fn answer(&mut self, now: Nanos, status: u16, by_server: bool) {
+    pub fn record_answer(&mut self, now: Nanos, status: u16, by_server: bool) {
         // A server that says that there is no such thing has served the request; the program that says so has not.
         let standing = match (status, by_server) {
-            (429 | 503, true) => Standing::Unserved(UnservedReason::ServerBusy),
-            (429 | 503, false) => Standing::Unserved(UnservedReason::Busy),
-            (200..=399, _) | (400..=499, true) => Standing::Served,
-            (400..=499, false) => Standing::Unserved(UnservedReason::TurnedDown),
-            (_, true) => Standing::Unserved(UnservedReason::ServerError),
-            (504, false) => Standing::Unserved(UnservedReason::Late),
-            (_, false) => Standing::Unserved(UnservedReason::Failed),
+            (429 | 503, true) => Outcome::Unserved(UnservedReason::ServerBusy),
+            (429 | 503, false) => Outcome::Unserved(UnservedReason::Busy),
+            (200..=399, _) | (400..=499, true) => Outcome::Served,
+            (400..=499, false) => Outcome::Unserved(UnservedReason::RejectedByGateway),
+            (_, true) => Outcome::Unserved(UnservedReason::ServerError),
+            (504, false) => Outcome::Unserved(UnservedReason::TimedOut),
+            (_, false) => Outcome::Unserved(UnservedReason::Failed),
         };
-        if let (Standing::Served, Some(at)) = (standing, self.taken_at) {
+        if let (Outcome::Served, Some(at)) = (standing, self.received_at) {
             self.class.answered.observe(now.saturating_sub(at) as f64 / 1e9);
         }
-        if self.standing == Standing::Open {
-            self.standing = standing;
+        if self.outcome == Outcome::Open {
+            self.outcome = standing;
         }
     }
 
     /// The answer has broken off.
-    pub fn cut(&mut self) {
-        self.standing = Standing::Unserved(UnservedReason::Cut);
+    pub fn mark_truncated(&mut self) {
+        self.outcome = Outcome::Unserved(UnservedReason::AnswerTruncated);
     }
 }
 
 impl Drop for RequestTracker {
     fn drop(&mut self) {
-        if self.taken_at.is_some() {
+        if self.received_at.is_some() {
             self.class.outstanding.dec();
         }
-        let reason = match self.standing {
-            Standing::Served => return self.class.succeeded.inc(),
-            Standing::Open => UnservedReason::Gone,
-            Standing::Unserved(reason) => reason,
+        let reason = match self.outcome {
+            Outcome::Served => return self.class.succeeded.inc(),
+            Outcome::Open => UnservedReason::ClientLeft,
+            Outcome::Unserved(reason) => reason,
         };
         self.class.unserved[reason as usize].inc();
-        match reason.declines() {
+        match reason.is_declined() {
             true => self.class.declined.inc(),
             false => self.class.aborted.inc(),
         }
@@ -168,23 +168,23 @@
         let figures = Metrics::new().unwrap();
         let class = figures.for_class("status");
         let mut open = RequestTracker::new(class.clone());
-        open.take(0);
-        open.take(0);
+        open.mark_received(0);
+        open.mark_received(0);
         assert!(page(&figures).contains("\ngw_outstanding 1\n"));
         for status in [200, 200, 503, 429, 502, 404] {
             let mut tally = RequestTracker::new(class.clone());
-            tally.take(1_000_000_000);
-            tally.answer(1_040_000_000, status, false);
+            tally.mark_received(1_000_000_000);
+            tally.record_answer(1_040_000_000, status, false);
         }
         let mut cut = RequestTracker::new(class.clone());
-        cut.answer(0, 200, true);
-        cut.cut();
+        cut.record_answer(0, 200, true);
+        cut.mark_truncated();
         drop(cut);
         let mut turned_away = RequestTracker::new(class);
-        turned_away.no_place();
-        turned_away.answer(0, 503, false);
+        turned_away.mark_over_limit();
+        turned_away.record_answer(0, 503, false);
         drop(turned_away);
-        RequestTracker::new(figures.for_class("general")).answer(0, 404, true);
+        RequestTracker::new(figures.for_class("general")).record_answer(0, 404, true);
         drop(open);
         let page = page(&figures);
         for line in [
@@ -247,15 +247,15 @@
                         begun += 1;
                     }
                     (_, None) => {}
-                    (Step::Take, Some(tally)) => tally.take(begun),
-                    (Step::NoPlace, Some(tally)) => tally.no_place(),
-                    (Step::Answer(status, by_server), Some(tally)) => tally.answer(begun, status, by_server),
-                    (Step::Cut, Some(tally)) => tally.cut(),
+                    (Step::Take, Some(tally)) => tally.mark_received(begun),
+                    (Step::NoPlace, Some(tally)) => tally.mark_over_limit(),
+                    (Step::Answer(status, by_server), Some(tally)) => tally.record_answer(begun, status, by_server),
+                    (Step::Cut, Some(tally)) => tally.mark_truncated(),
                     (Step::End, Some(_)) => drop(open.swap_remove(at)),
                 }
                 let ended = [&class.succeeded, &class.declined, &class.aborted].map(IntCounter::get);
                 prop_assert_eq!(begun, ended.iter().sum::<u64>() + open.len() as u64);
-                let taken = open.iter().filter(|t| t.taken_at.is_some()).count();
+                let taken = open.iter().filter(|t| t.received_at.is_some()).count();
                 prop_assert_eq!(class.outstanding.get(), taken as i64);
                 let reasons: u64 = class.unserved.iter().map(IntCounter::get).sum();
                 prop_assert_eq!(reasons, ended[1] + ended[2]);
--- a/crates/proxy/src/http1/client_connections.rs
+++ b/crates/proxy/src/http1/client_connections.rs
@@ -1,7 +1,7 @@
 //! Clients' connections: taken, watched, closed. What is asked on them is answered by the dialect of their listener.
 
-use super::client::{Client, Connection};
-use super::closing::{carry_out, CloseDecision, CloseReason, Stage};
+use super::client_connection::{AcceptedConnection, ClientConnection};
+use super::close_policy::{decide_close, CloseDecision, CloseReason, RequestStage};
 use super::respond::respond;
 use super::service::Service;
 use crate::socket::{exhausted, SocketIo};
@@ -22,19 +22,19 @@
 use tokio::sync::Notify;
 
 /// What a client still sends behind its last answer is read until it is silent for this long,
-const SILENT: Duration = Duration::from_millis(500);
+const LINGER_SILENCE_TIMEOUT: Duration = Duration::from_millis(500);
 /// and no longer than this.
-const LINGER: Duration = Duration::from_secs(5);
+const MAX_LINGER: Duration = Duration::from_secs(5);
 /// The log tells of full tables this often at most.
-const REPORT_EVERY: Nanos = 5_000_000_000;
+const FULL_LOG_INTERVAL: Nanos = 5_000_000_000;
 
 /// All clients' connections; bounded by the budget.
 pub struct ClientConnections {
     service: Rc<Service>,
-    open: RefCell<HashMap<u64, Rc<Client>>>,
-    next: Cell<u64>,
-    left: Notify,
-    reported_at: Cell<Nanos>,
+    open: RefCell<HashMap<u64, Rc<ClientConnection>>>,
+    next_number: Cell<u64>,
+    connection_closed: Notify,
+    full_logged_at: Cell<Nanos>,
 }
 
 impl ClientConnections {
@@ -43,9 +43,9 @@
         Rc::new(ClientConnections {
             service,
             open: RefCell::default(),
-            next: Cell::new(0),
-            left: Notify::new(),
-            reported_at: Cell::new(0),
+            next_number: Cell::new(0),
+            connection_closed: Notify::new(),
+            full_logged_at: Cell::new(0),
         })
     }
 
@@ -67,18 +67,19 @@
         loop {
             while self.service.budget.clients_exhausted() {
                 blocked_since.set(blocked_since.get().or(Some(Instant::now())));
-                if !self.make_room() {
-                    self.report();
+                if !self.close_longest_idle() {
+                    self.log_full();
                 }
-                let _ = tokio::time::timeout(Duration::from_millis(20), self.left.notified()).await;
+                let _ =
+                    tokio::time::timeout(Duration::from_millis(20), self.connection_closed.notified()).await;
             }
             tokio::select! {
                 biased;
                 accepted = next() => match accepted {
-                    Ok((stream, peer)) => self.open(&name, stream, peer, waited()),
+                    Ok((stream, peer)) => self.start_serving(&name, stream, peer, waited()),
                     Err(error) if exhausted(&error) => {
                         blocked_since.set(blocked_since.get().or(Some(Instant::now())));
-                        self.make_room();
+                        self.close_longest_idle();
                         tokio::time::sleep(Duration::from_millis(10)).await;
                     }
                     // A client that left while it waited: nothing to do with the next one.
@@ -92,86 +93,93 @@
         let Ok(listener) = listener.into_std() else { return };
         while let Ok((stream, peer)) = listener.accept() {
             if let Ok(stream) = stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream)) {
-                self.open(&name, stream, peer, waited);
+                self.start_serving(&name, stream, peer, waited);
             }
         }
     }
 
     /// Serves an accepted connection, which may have waited in the backlog for so long.
-    fn open(self: &Rc<Self>, name: &Rc<str>, stream: TcpStream, peer: SocketAddr, waited: Duration) {
+    fn start_serving(self: &Rc<Self>, name: &Rc<str>, stream: TcpStream, peer: SocketAddr, waited: Duration) {
         let budget = &self.service.budget;
-        let surplus = budget.clients_full() && !self.make_room();
-        let id = self.next.get();
-        self.next.set(id + 1);
-        let connection = Connection { number: id, stream, peer, listener: name.clone(), waited, surplus };
-        let client = Client::new(connection, self.service.clock.now(), budget.client());
+        let surplus = budget.clients_full() && !self.close_longest_idle();
+        let id = self.next_number.get();
+        self.next_number.set(id + 1);
+        let connection = AcceptedConnection {
+            number: id,
+            stream,
+            peer,
+            listener_name: name.clone(),
+            backlog_wait: waited,
+            over_limit: surplus,
+        };
+        let client = ClientConnection::new(connection, self.service.clock.now(), budget.client());
         self.open.borrow_mut().insert(id, client.clone());
         let clients = self.clone();
         tokio::task::spawn_local(async move {
-            serve(&clients.service, client).await;
+            serve_connection(&clients.service, client).await;
             clients.open.borrow_mut().remove(&id);
-            clients.left.notify_one();
+            clients.connection_closed.notify_one();
         });
     }
 
-    fn make_room(&self) -> bool {
+    fn close_longest_idle(&self) -> bool {
         let (now, limits) = (self.service.clock.now(), self.service.close_limits());
         let open = self.open.borrow();
-        let mut idle: Vec<_> = open.values().filter(|c| c.stage.get() == Stage::Idle).collect();
+        let mut idle: Vec<_> = open.values().filter(|c| c.stage.get() == RequestStage::Idle).collect();
         idle.sort_unstable_by_key(|c| c.idle_since.get());
-        idle.into_iter().any(|client| client.close_if(CloseReason::MakeRoom, now, &limits))
+        idle.into_iter().any(|client| client.close_if_allowed(CloseReason::MakeRoom, now, &limits))
     }
 
     /// Says what the connections are doing that leave no room, now and then.
-    fn report(&self) {
+    fn log_full(&self) {
         let now = self.service.clock.now();
-        if now.saturating_sub(self.reported_at.get()) < REPORT_EVERY {
+        if now.saturating_sub(self.full_logged_at.get()) < FULL_LOG_INTERVAL {
             return;
         }
-        self.reported_at.set(now);
+        self.full_logged_at.set(now);
         let open = self.open.borrow();
         let count = |stage| open.values().filter(|c| c.stage.get() == stage).count();
-        let idle = open.values().filter(|c| c.resting()).count();
+        let idle = open.values().filter(|c| c.is_between_requests()).count();
         log(format_args!(
             "no room for clients: {} open, {idle} idle, {} in a head, {} in a body, {} waiting, {} being answered",
             open.len(),
-            count(Stage::Idle) - idle,
-            count(Stage::Reading),
-            count(Stage::Waiting),
-            count(Stage::Writing),
+            count(RequestStage::Idle) - idle,
+            count(RequestStage::ReadingBody),
+            count(RequestStage::AwaitingAnswer),
+            count(RequestStage::WritingAnswer),
         ));
     }
 
     /// Closes each connection for which this is a reason now.
-    fn close_all(&self, reason: CloseReason) {
+    fn close_for_reason(&self, reason: CloseReason) {
         let (now, limits) = (self.service.clock.now(), self.service.close_limits());
         for client in self.open.borrow().values() {
-            client.close_if(reason, now, &limits);
+            client.close_if_allowed(reason, now, &limits);
         }
     }
 
     /// Cuts off those that have been at their head for too long, or have never begun one.
     pub fn close_slow_heads(&self) {
-        self.close_all(CloseReason::SlowHead);
+        self.close_for_reason(CloseReason::SlowHead);
     }
 
     /// Once a second: closes what stands still. No client may hold a descriptor for good.
     pub fn close_idle_and_stalled(&self) {
         let now = self.service.clock.now();
         for client in self.open.borrow().values() {
-            if client.socket.moved.replace(false) || client.stage.get() == Stage::Waiting {
-                client.still_since.set(now);
+            if client.socket.moved.replace(false) || client.stage.get() == RequestStage::AwaitingAnswer {
+                client.last_progress_at.set(now);
             }
         }
-        self.close_all(CloseReason::IdleTimeout);
-        self.close_all(CloseReason::Stalled);
+        self.close_for_reason(CloseReason::IdleTimeout);
+        self.close_for_reason(CloseReason::Stalled);
     }
 
     /// Closes connections that came to a listener that is no more, each when it is between requests.
     pub fn close_listener(&self, name: &str) {
         let open = self.open.borrow();
-        let of_listener = open.values().filter(|client| &*client.listener == name);
-        of_listener.for_each(|client| client.close_for(CloseReason::ListenerRemoved));
+        let of_listener = open.values().filter(|client| &*client.listener_name == name);
+        of_listener.for_each(|client| client.request_close(CloseReason::ListenerRemoved));
     }
 
     /// Closes all connections that have been between requests since this time; the number of those that are left.
@@ -179,23 +187,23 @@
         let (now, limits) = (self.service.clock.now(), self.service.close_limits());
         let open = self.open.borrow();
         for client in open.values().filter(|client| client.idle_since.get() <= before) {
-            client.close_if(CloseReason::Leaving, now, &limits);
+            client.close_if_allowed(CloseReason::Draining, now, &limits);
         }
         open.len()
     }
 }
 
-async fn serve(service: &Rc<Service>, client: Rc<Client>) {
+async fn serve_connection(service: &Rc<Service>, client: Rc<ClientConnection>) {
     let mut builder = http1::Builder::new();
     builder
-        .max_buf_size(service.site.get().plan.limits.read_buffer())
+        .max_buf_size(service.current_plan.get().plan.limits.read_buffer())
         .timer(hyper_util::rt::TokioTimer::new())
         .header_read_timeout(None);
     let answering = service_fn(|request| respond(service, &client, request));
     let io = TokioIo::new(SocketIo(client.socket.clone()));
     let mut connection = pin!(builder.serve_connection(io, answering));
-    let site = service.site.get();
-    let told = site.plan.listeners.iter().find(|l| *l.name == *client.listener);
+    let site = service.current_plan.get();
+    let told = site.plan.listeners.iter().find(|l| *l.name == *client.listener_name);
     let one_at_a_time = told.is_some_and(|l| l.dialect == Dialect::Platform);
     drop(site);
     loop {
@@ -204,40 +212,40 @@
             // What goes wrong here is the client's: it has gone, or was told 400.
             ended = connection.as_mut() => {
                 let unreadable = ended.is_err_and(|error| error.is_parse());
-                client.unread.set(unreadable || client.unread.get());
+                client.request_left_unread.set(unreadable || client.request_left_unread.get());
                 break;
             }
-            () = client.leaves(one_at_a_time) => return service.closed(&client, "client-left", false),
-            _ = client.close.notified() => {
-                let Some(reason) = client.closing.get() else { continue };
+            () = client.client_left(one_at_a_time) => return service.record_close(&client, "client-left", false),
+            _ = client.close_signal.notified() => {
+                let Some(reason) = client.pending_close.get() else { continue };
                 let unread = || !client.socket.quiet();
                 let state = client.state(service.clock.now());
-                match carry_out(reason, &state, &service.close_limits(), unread) {
-                    CloseDecision::Keep => client.closing.set(None),
-                    CloseDecision::CloseAfterAnswer => {
-                        client.closing.set(None);
-                        client.last.set(true);
+                match decide_close(reason, &state, &service.close_limits(), unread) {
+                    CloseDecision::Keep => client.pending_close.set(None),
+                    CloseDecision::CloseAfterNextAnswer => {
+                        client.pending_close.set(None);
+                        client.close_after_answer.set(true);
                     }
-                    CloseDecision::Close => connection.as_mut().graceful_shutdown(),
-                    CloseDecision::Cut => {
-                        let dropped = client.stage.get() == Stage::Waiting && client.whole.get();
-                        service.closed(&client, reason.name(), dropped);
+                    CloseDecision::CloseGracefully => connection.as_mut().graceful_shutdown(),
+                    CloseDecision::Abort => {
+                        let dropped = client.stage.get() == RequestStage::AwaitingAnswer && client.request_complete.get();
+                        service.record_close(&client, reason.name(), dropped);
                         return;
                     }
                 }
             }
         }
     }
-    let reason = match client.closing.get() {
+    let reason = match client.pending_close.get() {
         Some(reason) => reason.name(),
-        None if client.unread.get() => "answered",
+        None if client.request_left_unread.get() => "answered",
         None => "client",
     };
-    service.closed(&client, reason, false);
-    if client.unread.get() {
+    service.record_close(&client, reason, false);
+    if client.request_left_unread.get() {
         tokio::select! {
-            () = client.socket.linger(SILENT, LINGER) => {}
-            () = client.close.notified() => {}
+            () = client.socket.linger(LINGER_SILENCE_TIMEOUT, MAX_LINGER) => {}
+            () = client.close_signal.notified() => {}
         }
     }
 }
--- a/crates/proxy/src/http1/closing.rs
+++ b/crates/proxy/src/http1/close_policy.rs
@@ -5,15 +5,15 @@
 
 /// How far the request under way on a connection is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stage {
+pub enum RequestStage {
     /// Between requests, or in a head.
     Idle,
     /// In a body.
-    Reading,
+    ReadingBody,
     /// The request is with the service, whose deadline bounds it.
-    Waiting,
+    AwaitingAnswer,
     /// The answer is on its way.
-    Writing,
+    WritingAnswer,
 }
 
 /// Why the node closes a client's connection.
@@ -24,7 +24,7 @@
     /// A new connection needs its place.
     MakeRoom,
     /// The node drains or ends.
-    Leaving,
+    Draining,
     /// Its listener has been removed.
     ListenerRemoved,
     /// A head has not come in time, or none has begun.
@@ -39,7 +39,7 @@
         match self {
             CloseReason::IdleTimeout => "idle-timeout",
             CloseReason::MakeRoom => "make-room",
-            CloseReason::Leaving => "leaving",
+            CloseReason::Draining => "leaving",
             CloseReason::ListenerRemoved => "listener-removed",
             CloseReason::SlowHead => "slow-head",
             CloseReason::Stalled => "stalled",
@@ -51,19 +51,19 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionState {
     /// How far its request is.
-    pub stage: Stage,
+    pub stage: RequestStage,
     /// How long ago the first byte of the request under way came.
-    pub head_for: Option<Duration>,
+    pub since_first_byte: Option<Duration>,
     /// How long ago it was accepted, where nothing has come on it since.
-    pub silent_for: Option<Duration>,
+    pub since_accept: Option<Duration>,
     /// How long nothing has moved on it.
-    pub still_for: Duration,
+    pub since_progress: Duration,
 }
 
 impl ConnectionState {
     /// Between requests, as far as has been read.
-    pub fn is_resting(&self) -> bool {
-        self.stage == Stage::Idle && self.head_for.is_none()
+    pub fn is_between_requests(&self) -> bool {
+        self.stage == RequestStage::Idle && self.since_first_byte.is_none()
     }
 }
 
@@ -71,11 +71,11 @@
 #[derive(Clone, Copy, Debug)]
 pub struct CloseLimits {
     /// For a head.
-    pub head: Duration,
+    pub header_timeout: Duration,
     /// Between requests.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// Without anything moving in a request or an answer.
-    pub stall: Duration,
+    pub stall_timeout: Duration,
 }
 
 /// What is done with a connection.
@@ -84,60 +84,67 @@
     /// Nothing: the reason is gone.
     Keep,
     /// It is closed once the request under way, if there is one, is answered.
-    Close,
+    CloseGracefully,
     /// A request is coming: it is answered, and the connection closed behind it.
-    CloseAfterAnswer,
+    CloseAfterNextAnswer,
     /// It is closed at once, whatever is under way.
-    Cut,
+    Abort,
 }
 
-/// Whether a connection is to be closed for this reason, as far as is known when the close is chosen. `unread` asks the kernel
+/// Whether a connection is to be closed for this reason, as far as is known when the close is chosen. `has_unread` asks the kernel
 /// whether it has bytes or an end that have not been read; it is asked only where that counts.
 pub fn should_close(
     reason: CloseReason,
     state: &ConnectionState,
     limits: &CloseLimits,
-    unread: impl FnOnce() -> bool,
+    has_unread: impl FnOnce() -> bool,
 ) -> bool {
-    let resting = state.is_resting();
+    let idle = state.is_between_requests();
     match reason {
-        CloseReason::MakeRoom | CloseReason::Leaving => resting && !unread(),
-        CloseReason::IdleTimeout => resting && state.still_for >= limits.idle && !unread(),
+        CloseReason::MakeRoom | CloseReason::Draining => idle && !has_unread(),
+        CloseReason::IdleTimeout => idle && state.since_progress >= limits.idle_timeout && !has_unread(),
         CloseReason::ListenerRemoved => true,
         CloseReason::SlowHead => {
-            let begun = state.head_for.or(state.silent_for);
-            let late = state.stage == Stage::Idle && begun.is_some_and(|time| time > limits.head);
-            late && !unread()
+            let elapsed = state.since_first_byte.or(state.since_accept);
+            let timed_out =
+                state.stage == RequestStage::Idle && elapsed.is_some_and(|time| time > limits.header_timeout);
+            timed_out && !has_unread()
         }
         CloseReason::Stalled => {
-            let still = !resting && state.still_for >= limits.stall;
+            let stalled = !idle && state.since_progress >= limits.stall_timeout;
             // Behind a request, what a client sends is not read: it is no progress of its answer.
-            let moves = matches!(state.stage, Stage::Idle | Stage::Reading);
-            still && !(moves && unread())
+            let reads_request = matches!(state.stage, RequestStage::Idle | RequestStage::ReadingBody);
+            stalled && !(reads_request && has_unread())
         }
     }
 }
 
 /// How a close that was chosen is carried out, now that the connection is in this state: bytes may have come since, and what has begun
 /// with them is owed its answer.
-pub fn carry_out(
+pub fn decide_close(
     reason: CloseReason,
     state: &ConnectionState,
     limits: &CloseLimits,
-    unread: impl FnOnce() -> bool,
+    has_unread: impl FnOnce() -> bool,
 ) -> CloseDecision {
     match reason {
-        CloseReason::SlowHead | CloseReason::Stalled => match should_close(reason, state, limits, unread) {
-            true => CloseDecision::Cut,
+        CloseReason::SlowHead | CloseReason::Stalled => match should_close(reason, state, limits, has_unread)
+        {
+            true => CloseDecision::Abort,
             false => CloseDecision::Keep,
         },
         CloseReason::IdleTimeout
         | CloseReason::MakeRoom
-        | CloseReason::Leaving
+        | CloseReason::Draining
         | CloseReason::ListenerRemoved => match state.stage {
             // A head that does not come to its end is cut like any other.
-            Stage::Idle if !state.is_resting() || unread() => CloseDecision::CloseAfterAnswer,
-            Stage::Idle | Stage::Reading | Stage::Waiting | Stage::Writing => CloseDecision::Close,
+            RequestStage::Idle if !state.is_between_requests() || has_unread() => {
+                CloseDecision::CloseAfterNextAnswer
+            }
+            RequestStage::Idle
+            | RequestStage::ReadingBody
+            | RequestStage::AwaitingAnswer
+            | RequestStage::WritingAnswer => CloseDecision::CloseGracefully,
         },
     }
 }
--- a/crates/proxy/src/http1/general.rs
+++ b/crates/proxy/src/http1/general.rs
@@ -1,8 +1,8 @@
 //! Requests of any HTTP/1.1 client (RFC 9110, RFC 9112): routed, passed on, answered.
 
-use super::answers::closing;
-use super::client::Client;
-use super::closing::Stage;
+use super::client_connection::ClientConnection;
+use super::close_policy::RequestStage;
+use super::responses::with_connection_close;
 use super::service::Service;
 use super::upload::{self, UploadError};
 use crate::active_plan::ActivePlan;
@@ -47,7 +47,7 @@
     }
 
     /// What cannot be read without doubt: nothing behind it can be, either.
-    fn unreadable(detail: impl Into<Cow<'static, str>>) -> Self {
+    fn malformed(detail: impl Into<Cow<'static, str>>) -> Self {
         Problem { close: true, ..Problem::new(StatusCode::BAD_REQUEST, "unreadable", detail) }
     }
 
@@ -72,17 +72,17 @@
             headers.insert(header::ALLOW, allow);
         }
         if self.close {
-            return closing(response);
+            return with_connection_close(response);
         }
         response
     }
 }
 
 /// Answers one request.
-pub(super) async fn answer(
+pub(super) async fn answer_request(
     service: &Rc<Service>,
     site: &ActivePlan,
-    client: &Rc<Client>,
+    client: &Rc<ClientConnection>,
     listener: Option<usize>,
     request: Request<Incoming>,
 ) -> Response<AnswerBody> {
@@ -90,14 +90,14 @@
     let asked_for = !request.headers().contains_key(header::EXPECT);
     let (head, body) = request.into_parts();
     let mut body = Some(body);
-    let mut response = match handle(service, site, client, listener, head, &mut body).await {
+    let mut response = match route_request(service, site, client, listener, head, &mut body).await {
         Ok(response) => response,
         Err(problem) => problem.response(),
     };
     // What is short is read; a client that waits to be asked for its body need not send it.
     if let Some(rest) = body.filter(|body| !body.is_end_stream()) {
-        if !asked_for || !upload::discard_short(rest).await {
-            response = closing(response);
+        if !asked_for || !upload::discard_short_body(rest).await {
+            response = with_connection_close(response);
         }
     }
     if head_only {
@@ -109,10 +109,10 @@
     response
 }
 
-async fn handle(
+async fn route_request(
     service: &Rc<Service>,
     site: &ActivePlan,
-    client: &Rc<Client>,
+    client: &Rc<ClientConnection>,
     listener: Option<usize>,
     head: Parts,
     body: &mut Option<Incoming>,
@@ -122,13 +122,13 @@
         return Err(Problem::new(StatusCode::SERVICE_UNAVAILABLE, "listener-gone", detail));
     };
     let listener = &site.plan.listeners[at];
-    sound(&head, client)?;
+    check_framing(&head, client)?;
     let authority = authority(&head)?;
-    let host = Host::parse(authority.to_str().unwrap_or_default())
-        .map_err(|e| Problem::unreadable(e.to_string()))?;
+    let host =
+        Host::parse(authority.to_str().unwrap_or_default()).map_err(|e| Problem::malformed(e.to_string()))?;
     let path = match head.uri.path() {
         "*" if head.method == Method::OPTIONS => Cow::Borrowed("*"),
-        raw => normalise(raw, listener.paths).map_err(|e| Problem::unreadable(e.to_string()))?,
+        raw => normalise(raw, listener.paths).map_err(|e| Problem::malformed(e.to_string()))?,
     };
     let target = Target {
         listener: at,
@@ -138,7 +138,9 @@
         method: &head.method,
         headers: &head.headers,
     };
-    let Some((_, route)) = site.plan.routes.find(&target) else { return Err(no_route(site, &target)) };
+    let Some((_, route)) = site.plan.routes.find(&target) else {
+        return Err(no_route_problem(site, &target));
+    };
     match &route.outcome {
         Outcome::Answer { status, content_type, body } => {
             let mut response = Response::new(AnswerBody::Text((!body.is_empty()).then(|| body.clone())));
@@ -149,7 +151,7 @@
         Outcome::Redirect(redirect) => {
             let location = redirect.location("http", host.as_str(), &path, head.uri.query());
             let location =
-                location.ok_or_else(|| Problem::unreadable("no location can be made of this target"))?;
+                location.ok_or_else(|| Problem::malformed("no location can be made of this target"))?;
             let mut response = Response::new(AnswerBody::Text(None));
             *response.status_mut() = StatusCode::from_u16(redirect.status).unwrap_or(StatusCode::FOUND);
             response.headers_mut().insert(header::LOCATION, location);
@@ -157,28 +159,29 @@
         }
         Outcome::Forward { pool, rewrite } => {
             let class = site.plan.class_of(route.class, &head.method);
-            client.count(&site.class_figures[class]);
-            let sent = sent(rewrite, &path, &head.uri)?;
+            client.track_request(&site.class_figures[class]);
+            let sent = upstream_target(rewrite, &path, &head.uri)?;
             let tenant = site.plan.tenants.number(head.headers.get(&site.plan.tenants.header));
             let mut headers = head.headers;
-            let expects = expects(&headers)?;
-            told(&mut headers, listener, client, &authority, service);
+            let expects = expects_continue(&headers)?;
+            set_request_headers(&mut headers, listener, client, &authority, service);
             headers.insert(header::HOST, rewrite.host.clone().unwrap_or(authority));
             rewrite.request.apply(&mut headers);
             let limits = &site.plan.limits;
-            let rules = upload::Rules {
-                most_kept: limits.replay_buffer,
-                most: u64::MAX,
-                stall: Duration::from_nanos(limits.stall_timeout),
-                pace: None,
-                on_way: Duration::from_nanos(limits.stall_timeout),
-                hand_back: false,
-                wait: expects,
+            let rules = upload::BodyLimits {
+                max_buffered_bytes: limits.replay_buffer,
+                max_bytes: u64::MAX,
+                stall_timeout: Duration::from_nanos(limits.stall_timeout),
+                min_pace: None,
+                forward_stall_timeout: Duration::from_nanos(limits.stall_timeout),
+                returns_unread: false,
+                awaits_continue: expects,
             };
-            let Some(body) = body.take() else { return Err(Problem::unreadable("no body")) };
-            let payload = upload::take(body, &rules, &service.budget, service.clock, client).await.map_err(
-                |e| match e {
-                    UploadError::Late => {
+            let Some(body) = body.take() else { return Err(Problem::malformed("no body")) };
+            let payload = upload::receive_body(body, &rules, &service.budget, service.clock, client)
+                .await
+                .map_err(|e| match e {
+                    UploadError::TimedOut => {
                         let detail = "the body stood still for too long";
                         Problem {
                             close: true,
@@ -188,9 +191,8 @@
                     UploadError::TooLarge => {
                         Problem::new(StatusCode::PAYLOAD_TOO_LARGE, "too-large", "the body is too long")
                     }
-                    UploadError::Broken => Problem::unreadable("the body broke off or cannot be read"),
-                },
-            )?;
+                    UploadError::Incomplete => Problem::malformed("the body broke off or cannot be read"),
+                })?;
             if let Payload::Buffered(pieces) = &payload {
                 if !headers.contains_key(header::CONTENT_LENGTH) && !pieces.is_empty() {
                     headers.insert(header::CONTENT_LENGTH, HeaderValue::from(pieces.len()));
@@ -206,7 +208,7 @@
                 streamed: matches!(payload, Payload::Stream(_)),
                 ..interface::Request::new(0, give_up_at)
             };
-            let interims = (head.version == Version::HTTP_11).then(|| interims(client, listener));
+            let interims = (head.version == Version::HTTP_11).then(|| interim_handler(client, listener));
             let message = Message {
                 method: head.method,
                 uri: Uri::from(sent),
@@ -215,9 +217,9 @@
                 deadline: give_up_at,
                 interim_handler: interims,
             };
-            client.stage.set(Stage::Waiting);
+            client.stage.set(RequestStage::AwaitingAnswer);
             if matches!(message.payload, Payload::Buffered(_)) {
-                client.taken(service.clock.now());
+                client.mark_request_received(service.clock.now());
             }
             let coming = message.upload().map(|upload| upload.progress.clone());
             let Some(mut ticket) = pool.engine.submit(None, request, message) else {
@@ -225,9 +227,9 @@
             };
             let answer = ticket.answer().await;
             let whole = coming.is_none_or(|progress| progress.ended_at.get().is_some());
-            match answered(answer, rewrite, listener) {
+            match client_response(answer, rewrite, listener) {
                 Ok(response) if whole => Ok(response),
-                Ok(response) => Ok(closing(response)),
+                Ok(response) => Ok(with_connection_close(response)),
                 Err(problem) => Err(Problem { close: problem.close || !whole, ..problem }),
             }
         }
@@ -235,12 +237,12 @@
 }
 
 /// Turns away what two readers could read in two ways, and what is not passed on at all.
-fn sound(head: &Parts, client: &Client) -> Result<(), Problem> {
+fn check_framing(head: &Parts, client: &ClientConnection) -> Result<(), Problem> {
     if head.headers.contains_key(header::TRANSFER_ENCODING) && client.socket.said("\ncontent-length:") {
-        return Err(Problem::unreadable("a length beside a transfer coding"));
+        return Err(Problem::malformed("a length beside a transfer coding"));
     }
     if client.socket.bare_line_feed() {
-        return Err(Problem::unreadable("a line that ends with a bare line feed"));
+        return Err(Problem::malformed("a line that ends with a bare line feed"));
     }
     if head.method == Method::CONNECT {
         let detail = "this is no proxy for tunnels";
@@ -250,7 +252,7 @@
 }
 
 /// What a server is asked for: as it came where nothing changes it.
-fn sent(rewrite: &Rewrite, path: &str, uri: &Uri) -> Result<PathAndQuery, Problem> {
+fn upstream_target(rewrite: &Rewrite, path: &str, uri: &Uri) -> Result<PathAndQuery, Problem> {
     if let (None, Some(as_it_came)) = (&rewrite.path, uri.path_and_query()) {
         // An absolute target may go without a path.
         if as_it_came.path() == path && as_it_came.as_str().starts_with(['/', '*']) {
@@ -266,16 +268,16 @@
     let mut hosts = head.headers.get_all(header::HOST).into_iter();
     let (host, second) = (hosts.next(), hosts.next());
     if second.is_some() || (host.is_none() && head.version >= Version::HTTP_11) {
-        return Err(Problem::unreadable("one Host is needed"));
+        return Err(Problem::malformed("one Host is needed"));
     }
     let named = match head.uri.authority() {
         Some(authority) => HeaderValue::try_from(authority.as_str()).ok(),
         None => Some(host.cloned().unwrap_or(HeaderValue::from_static(""))),
     };
-    named.filter(|h| h.to_str().is_ok()).ok_or_else(|| Problem::unreadable("Host is no text"))
+    named.filter(|h| h.to_str().is_ok()).ok_or_else(|| Problem::malformed("Host is no text"))
 }
 
-fn expects(headers: &HeaderMap) -> Result<bool, Problem> {
+fn expects_continue(headers: &HeaderMap) -> Result<bool, Problem> {
     match headers.get(header::EXPECT) {
         None => Ok(false),
         Some(value) if value.as_bytes().eq_ignore_ascii_case(b"100-continue") => Ok(true),
@@ -289,7 +291,7 @@
     }
 }
 
-fn no_route(site: &ActivePlan, target: &Target<'_>) -> Problem {
+fn no_route_problem(site: &ActivePlan, target: &Target<'_>) -> Problem {
     let allowed = site.plan.routes.other_methods(target);
     if allowed.is_empty() {
         return Problem::new(StatusCode::NOT_FOUND, "no-route", "no route takes this request");
@@ -300,19 +302,19 @@
 }
 
 /// Puts the headers into the form in which a server gets them: none of the connection, and those that tell of it.
-fn told(
+fn set_request_headers(
     headers: &mut HeaderMap,
     listener: &Listener,
-    client: &Client,
+    client: &ClientConnection,
     authority: &HeaderValue,
     service: &Service,
 ) {
     strip(headers);
     let trust = listener.trust_forwarded;
     if listener.x_forwarded {
-        put(headers, X_FORWARDED_FOR, client.address.clone(), trust, true);
-        put(headers, X_FORWARDED_HOST, authority.clone(), trust, false);
-        put(headers, X_FORWARDED_PROTO, HeaderValue::from_static("http"), trust, false);
+        set_forwarding_header(headers, X_FORWARDED_FOR, client.address.clone(), trust, true);
+        set_forwarding_header(headers, X_FORWARDED_HOST, authority.clone(), trust, false);
+        set_forwarding_header(headers, X_FORWARDED_PROTO, HeaderValue::from_static("http"), trust, false);
     }
     if listener.forwarded {
         let node = match client.peer.ip() {
@@ -324,14 +326,14 @@
             _ => String::new(),
         };
         if let Ok(value) = HeaderValue::try_from(format!("for={node}{host};proto=http")) {
-            put(headers, header::FORWARDED, value, trust, true);
+            set_forwarding_header(headers, header::FORWARDED, value, trust, true);
         }
     }
     if let Some(via) = &listener.via {
         headers.append(header::VIA, via.clone());
     }
     if !headers.contains_key(&listener.request_id) {
-        let id = corkhollow_plan::mix(&service.clock.now().to_le_bytes()) ^ service.next_id();
+        let id = corkhollow_plan::mix(&service.clock.now().to_le_bytes()) ^ service.next_request_id();
         if let Ok(id) = HeaderValue::try_from(format!("{id:016x}")) {
             headers.insert(&listener.request_id, id);
         }
@@ -340,7 +342,13 @@
 
 /// Says something of the client. What was said before stands only where it is trusted: before this in a list, in its
 /// place otherwise.
-fn put(headers: &mut HeaderMap, name: HeaderName, value: HeaderValue, trust: bool, list: bool) {
+fn set_forwarding_header(
+    headers: &mut HeaderMap,
+    name: HeaderName,
+    value: HeaderValue,
+    trust: bool,
+    list: bool,
+) {
     if trust {
         let before = headers.get_all(&name).into_iter().filter_map(|v| v.to_str().ok());
         let before = before.collect::<Vec<_>>().join(", ");
@@ -357,7 +365,7 @@
 
 /// Passes interim answers on. The server side of hyper has no words for them: they are written beside it, which the
 /// socket allows between two messages only.
-fn interims(client: &Rc<Client>, listener: &Listener) -> InterimHandler {
+fn interim_handler(client: &Rc<ClientConnection>, listener: &Listener) -> InterimHandler {
     let (client, via) = (client.clone(), listener.via.clone());
     InterimHandler::new(move |status, mut headers| {
         strip(&mut headers);
@@ -376,7 +384,11 @@
 }
 
 /// What the client gets for what became of its request.
-fn answered(answer: Answer, rewrite: &Rewrite, listener: &Listener) -> Result<Response<AnswerBody>, Problem> {
+fn client_response(
+    answer: Answer,
+    rewrite: &Rewrite,
+    listener: &Listener,
+) -> Result<Response<AnswerBody>, Problem> {
     let (status, mut headers, body) = match answer {
         Answer::Buffered { status, headers, body } => {
             (status, headers, AnswerBody::Whole(PieceBody::new(Rc::new(body))))
--- a/crates/proxy/src/http1/mod.rs
+++ b/crates/proxy/src/http1/mod.rs
@@ -1,12 +1,12 @@
 //! HTTP/1.1 towards clients.
 
-mod answers;
-mod client;
+mod client_connection;
 mod client_connections;
-mod closing;
+mod close_policy;
 mod general;
 mod platform;
 mod respond;
+mod responses;
 mod service;
 mod upload;
 
--- a/crates/proxy/src/http1/platform.rs
+++ b/crates/proxy/src/http1/platform.rs
@@ -1,10 +1,10 @@
 //! Requests in the platform's dialect: its headers, whole bodies, and nothing served that a server could not use.
 
-use super::answers::closing;
-use super::client::Client;
-use super::closing::Stage;
+use super::client_connection::ClientConnection;
+use super::close_policy::RequestStage;
+use super::responses::with_connection_close;
 use super::service::Service;
-use super::upload::{self, Pace, Rules, UploadError};
+use super::upload::{self, BodyLimits, MinPace, UploadError};
 use crate::active_plan::ActivePlan;
 use crate::body::{AnswerBody, PieceBody};
 use crate::headers::{strip, ID, TIMEOUT};
@@ -20,26 +20,26 @@
 use std::time::Duration;
 
 /// A body may stand still for this long.
-const STILL_BODY: Duration = Duration::from_millis(2200);
+const BODY_STALL_TIMEOUT: Duration = Duration::from_millis(2200);
 /// A body that takes longer than this has to keep to the slowest pace, in bytes a second.
-const GRACE: Duration = Duration::from_secs(20);
-const SLOWEST: u64 = 32_000;
+const BODY_PACE_GRACE: Duration = Duration::from_secs(20);
+const MIN_BODY_BYTES_PER_SECOND: u64 = 32_000;
 /// An answer that is decided on so long after its request's time has broken the rule on answers (the platform's slack is 500 ms).
-const LATE_ANSWER: Nanos = 500_000_000;
+const LATE_ANSWER_SLACK: Nanos = 500_000_000;
 
-pub(super) async fn answer(
+pub(super) async fn answer_request(
     service: &Rc<Service>,
     site: &ActivePlan,
-    client: &Rc<Client>,
+    client: &Rc<ClientConnection>,
     request: Request<Incoming>,
 ) -> Response<AnswerBody> {
     let (head, body) = request.into_parts();
     if head.uri.path() == "/up" && head.method == Method::GET {
         let up = service.lifecycle.lock().is_ready();
-        return text(if up { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }, "");
+        return text_response(if up { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }, "");
     }
     if head.headers.contains_key(header::TRANSFER_ENCODING) && client.socket.said("\ncontent-length:") {
-        return closing(text(StatusCode::BAD_REQUEST, "two lengths\n"));
+        return with_connection_close(text_response(StatusCode::BAD_REQUEST, "two lengths\n"));
     }
     // The path goes on as it came, and is matched so.
     let target = Target {
@@ -54,57 +54,67 @@
         Outcome::Forward { pool, .. } => Some((route.class?, pool)),
         _ => None,
     }) else {
-        return closing(text(StatusCode::NOT_FOUND, "no such class of requests\n"));
+        return with_connection_close(text_response(StatusCode::NOT_FOUND, "no such class of requests\n"));
     };
     let (pool, settings) = (&site.pools[at], &site.plan.pools[at].settings);
-    client.count(&site.class_figures[class]);
-    let rules = Rules {
-        most_kept: site.plan.limits.replay_buffer,
-        most: MOST_BODY,
-        stall: STILL_BODY,
-        pace: Some(Pace { grace: GRACE, bytes_per_second: SLOWEST }),
-        on_way: Duration::from_nanos(site.plan.limits.stall_timeout),
-        hand_back: true,
-        wait: false,
+    client.track_request(&site.class_figures[class]);
+    let rules = BodyLimits {
+        max_buffered_bytes: site.plan.limits.replay_buffer,
+        max_bytes: MOST_BODY,
+        stall_timeout: BODY_STALL_TIMEOUT,
+        min_pace: Some(MinPace { grace: BODY_PACE_GRACE, bytes_per_second: MIN_BODY_BYTES_PER_SECOND }),
+        forward_stall_timeout: Duration::from_nanos(site.plan.limits.stall_timeout),
+        returns_unread: true,
+        awaits_continue: false,
     };
-    if client.surplus {
+    if client.over_limit {
         // It is only told to come back, once it has sent all.
         if body.size_hint().lower() <= MOST_BODY {
-            upload::discard(body, &rules).await;
+            upload::discard_body(body, &rules).await;
         }
-        return closing(refused(Nanos::MAX, settings));
+        return with_connection_close(refusal_response(Nanos::MAX, settings));
     }
-    let payload = match upload::take(body, &rules, &service.budget, service.clock, client).await {
+    let payload = match upload::receive_body(body, &rules, &service.budget, service.clock, client).await {
         Ok(payload) => payload,
         Err(UploadError::TooLarge) => {
-            return closing(text(StatusCode::PAYLOAD_TOO_LARGE, "over 32 MiB\n"));
+            return with_connection_close(text_response(StatusCode::PAYLOAD_TOO_LARGE, "over 32 MiB\n"));
         }
-        Err(UploadError::Late) => {
-            return closing(text(StatusCode::REQUEST_TIMEOUT, "the body took too long\n"))
+        Err(UploadError::TimedOut) => {
+            return with_connection_close(text_response(
+                StatusCode::REQUEST_TIMEOUT,
+                "the body took too long\n",
+            ))
+        }
+        Err(UploadError::Incomplete) => {
+            return with_connection_close(text_response(StatusCode::BAD_REQUEST, "the body broke off\n"))
         }
-        Err(UploadError::Broken) => return closing(text(StatusCode::BAD_REQUEST, "the body broke off\n")),
     };
     let mut headers = head.headers;
     strip(&mut headers);
     headers.remove(header::EXPECT);
     headers.remove(header::TRAILER);
     // Servers know a request by its id, and take one that they have for a second copy.
-    let Some(id) = only(&headers, ID).filter(|id| !id.is_empty()).cloned() else {
-        return closing(text(StatusCode::BAD_REQUEST, "one X-Request-ID is needed\n"));
+    let Some(id) = single_header(&headers, ID).filter(|id| !id.is_empty()).cloned() else {
+        return with_connection_close(text_response(StatusCode::BAD_REQUEST, "one X-Request-ID is needed\n"));
     };
     let longest = settings.classes[class].give_up;
     // No client waits longer than its class: a longer figure would only hold memory.
-    let wait = match only(&headers, TIMEOUT).map(|v| v.to_str().ok()?.trim().parse::<u64>().ok()) {
+    let wait = match single_header(&headers, TIMEOUT).map(|v| v.to_str().ok()?.trim().parse::<u64>().ok()) {
         Some(Some(ms)) => ms.saturating_mul(1_000_000).min(longest),
         None if !headers.contains_key(TIMEOUT) => longest,
-        _ => return closing(text(StatusCode::BAD_REQUEST, "X-Timeout-Ms is no whole number\n")),
+        _ => {
+            return with_connection_close(text_response(
+                StatusCode::BAD_REQUEST,
+                "X-Timeout-Ms is no whole number\n",
+            ))
+        }
     };
     // A client's time runs while its connection waits to be accepted.
-    let wait = wait.saturating_sub(client.waited());
-    client.stage.set(Stage::Waiting);
+    let wait = wait.saturating_sub(client.request_backlog_wait_nanos());
+    client.stage.set(RequestStage::AwaitingAnswer);
     let whole_body = matches!(payload, Payload::Buffered(_));
     if whole_body {
-        client.taken(service.clock.now());
+        client.mark_request_received(service.clock.now());
     }
     let now = service.clock.now();
     let give_up_at = now + wait;
@@ -113,7 +123,7 @@
     let request = interface::Request {
         class: site.class_indexes[at][class],
         tenant: tenant.unwrap_or(u32::MAX),
-        key: headers.get("x-route-key").map_or(0, |k| route_key(k.as_bytes())),
+        key: headers.get("x-route-key").map_or(0, |k| parse_route_key(k.as_bytes())),
         work_hint: number("x-cost").filter(|us| *us > 0.0).map(|us| (us * 1000.0) as Nanos),
         is_retry: headers.get("x-retried").is_some_and(|v| v == "1"),
         is_write: headers
@@ -136,56 +146,61 @@
         Message { method: head.method, uri, headers, payload, deadline: give_up_at, interim_handler: None };
     pool.first_list().await;
     let Some(mut ticket) = pool.engine.submit(Some(id), request, message) else {
-        return closing(text(StatusCode::CONFLICT, "a request with this X-Request-ID is open\n"));
+        return with_connection_close(text_response(
+            StatusCode::CONFLICT,
+            "a request with this X-Request-ID is open\n",
+        ));
     };
     let answer = ticket.answer().await;
-    if whole_body && service.clock.now() > give_up_at + LATE_ANSWER {
+    if whole_body && service.clock.now() > give_up_at + LATE_ANSWER_SLACK {
         service.metrics.count_late_answer();
     }
     // Nobody reads the body any longer, or somebody has read all of it.
     drop(ticket);
-    let rest = client.rest.take();
+    let rest = client.unread_body.take();
     let whole = match rest {
-        Some(rest) => upload::discard(rest, &rules).await,
+        Some(rest) => upload::discard_body(rest, &rules).await,
         None => true,
     };
     let response = match answer {
         Answer::Buffered { headers, body, .. } => {
-            served(headers, AnswerBody::Whole(PieceBody::new(Rc::new(body))))
+            server_response(headers, AnswerBody::Whole(PieceBody::new(Rc::new(body))))
         }
         Answer::Stream { headers, length, frames: pieces, .. } => {
-            served(headers, AnswerBody::Stream { pieces, length })
+            server_response(headers, AnswerBody::Stream { pieces, length })
+        }
+        Answer::Refused { retry_after } => refusal_response(retry_after, settings),
+        Answer::Failed { timed_out: true } => {
+            text_response(StatusCode::GATEWAY_TIMEOUT, "no answer in time\n")
         }
-        Answer::Refused { retry_after } => refused(retry_after, settings),
-        Answer::Failed { timed_out: true } => text(StatusCode::GATEWAY_TIMEOUT, "no answer in time\n"),
-        Answer::Failed { timed_out: false } => text(StatusCode::BAD_GATEWAY, "failed\n"),
+        Answer::Failed { timed_out: false } => text_response(StatusCode::BAD_GATEWAY, "failed\n"),
     };
     if whole {
         response
     } else {
-        closing(response)
+        with_connection_close(response)
     }
 }
 
 /// The value of a header that stands there just once: of two, the servers might go by the other one.
-fn only(headers: &HeaderMap, name: HeaderName) -> Option<&HeaderValue> {
+fn single_header(headers: &HeaderMap, name: HeaderName) -> Option<&HeaderValue> {
     let mut values = headers.get_all(name).iter();
     values.next().filter(|_| values.next().is_none())
 }
 
-fn route_key(text: &[u8]) -> u64 {
+fn parse_route_key(text: &[u8]) -> u64 {
     let hex = std::str::from_utf8(text).ok().and_then(|t| u64::from_str_radix(t, 16).ok());
     hex.unwrap_or_else(|| corkhollow_plan::mix(text))
 }
 
-fn served(headers: HeaderMap, body: AnswerBody) -> Response<AnswerBody> {
+fn server_response(headers: HeaderMap, body: AnswerBody) -> Response<AnswerBody> {
     let mut response = Response::new(body);
     *response.headers_mut() = headers;
     response
 }
 
-fn refused(retry_after: Nanos, settings: &Settings) -> Response<AnswerBody> {
-    let mut response = text(StatusCode::SERVICE_UNAVAILABLE, "busy\n");
+fn refusal_response(retry_after: Nanos, settings: &Settings) -> Response<AnswerBody> {
+    let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, "busy\n");
     let seconds = retry_after.min(settings.max_retry_after) as f64 / 1e9;
     if let Ok(value) = HeaderValue::try_from(format!("{seconds:.3}")) {
         if retry_after > 0 && settings.retry_after {
@@ -195,7 +210,7 @@
     response
 }
 
-fn text(status: StatusCode, text: &'static str) -> Response<AnswerBody> {
+fn text_response(status: StatusCode, text: &'static str) -> Response<AnswerBody> {
     let text = (!text.is_empty()).then(|| Bytes::from_static(text.as_bytes()));
     let mut response = Response::new(AnswerBody::Text(text));
     *response.status_mut() = status;
--- a/crates/proxy/src/http1/service.rs
+++ b/crates/proxy/src/http1/service.rs
@@ -1,7 +1,7 @@
 //! What all clients' connections of a process share.
 
-use super::client::Client;
-use super::closing::CloseLimits;
+use super::client_connection::ClientConnection;
+use super::close_policy::CloseLimits;
 use crate::active_plan::CurrentPlan;
 use corkhollow_engine::Clock;
 use corkhollow_operate::{Event, Metrics, SharedLifecycle, Subject};
@@ -13,7 +13,7 @@
 /// What all clients' connections work with.
 pub struct Service {
     /// What is in force.
-    pub site: Rc<CurrentPlan>,
+    pub current_plan: Rc<CurrentPlan>,
     /// The program's clock.
     pub clock: Clock,
     /// What it may hold.
@@ -28,23 +28,23 @@
 
 impl Service {
     /// Counts the end of a connection, and whether it dropped a request.
-    pub(super) fn closed(&self, client: &Client, reason: &'static str, dropped: bool) {
+    pub(super) fn record_close(&self, client: &ClientConnection, reason: &'static str, dropped: bool) {
         self.metrics.count_client_close(reason, dropped);
         let subject = Subject::Connection(client.number);
         self.metrics.events.record(self.clock.now(), subject, Event::Closed(reason));
     }
 
     pub(super) fn close_limits(&self) -> CloseLimits {
-        let limits = self.site.get().plan.limits;
+        let limits = self.current_plan.get().plan.limits;
         CloseLimits {
-            head: Duration::from_nanos(limits.header_timeout),
-            idle: Duration::from_nanos(limits.idle_timeout),
-            stall: Duration::from_nanos(limits.stall_timeout),
+            header_timeout: Duration::from_nanos(limits.header_timeout),
+            idle_timeout: Duration::from_nanos(limits.idle_timeout),
+            stall_timeout: Duration::from_nanos(limits.stall_timeout),
         }
     }
 
     /// A number that no other request has, spread over all bits.
-    pub(super) fn next_id(&self) -> u64 {
+    pub(super) fn next_request_id(&self) -> u64 {
         self.request_id_counter.set(self.request_id_counter.get() + 1);
         corkhollow_plan::mix(&self.request_id_counter.get().to_le_bytes())
     }
--- a/crates/proxy/src/http1/upload.rs
+++ b/crates/proxy/src/http1/upload.rs
@@ -1,8 +1,8 @@
 //! Bodies of requests: kept where they are short enough to be sent again, passed on as they
 //! come where they are not.
 
-use super::client::Client;
-use super::closing::Stage;
+use super::client_connection::ClientConnection;
+use super::close_policy::RequestStage;
 use bytes::Bytes;
 use corkhollow_engine::{
     BodyFrame, BufferedBody, ClientBody, Clock, IncompleteBody, Payload, Upload, UploadProgress,
@@ -21,81 +21,81 @@
 /// Why a body could not be had.
 pub(super) enum UploadError {
     /// It stood still for too long.
-    Late,
+    TimedOut,
     /// It broke off, or its framing is spoilt.
-    Broken,
+    Incomplete,
     /// It is longer than any may be.
     TooLarge,
 }
 
 /// What is done with bodies.
 #[derive(Clone, Copy)]
-pub(super) struct Rules {
+pub(super) struct BodyLimits {
     /// A body up to this length is kept.
-    pub most_kept: u64,
+    pub max_buffered_bytes: u64,
     /// A longer one is cut.
-    pub most: u64,
+    pub max_bytes: u64,
     /// How long it may stand still.
-    pub stall: Duration,
+    pub stall_timeout: Duration,
     /// How slowly it may come.
-    pub pace: Option<Pace>,
+    pub min_pace: Option<MinPace>,
     /// What nobody wants of it any longer is kept for the front to read.
-    pub hand_back: bool,
+    pub returns_unread: bool,
     /// How long it may stand still on its way to a server; no less than `stall`.
-    pub on_way: Duration,
+    pub forward_stall_timeout: Duration,
     /// It is not asked for before a server asks for it.
-    pub wait: bool,
+    pub awaits_continue: bool,
 }
 
 /// A body has to keep to so many bytes a second once a grace is over.
 #[derive(Clone, Copy)]
-pub(super) struct Pace {
+pub(super) struct MinPace {
     pub grace: Duration,
     pub bytes_per_second: u64,
 }
 
-impl Pace {
+impl MinPace {
     /// When the next byte has to be there, with so many there already.
-    fn due(&self, begun: Instant, got: u64) -> Instant {
+    fn next_byte_deadline(&self, begun: Instant, got: u64) -> Instant {
         begun + self.grace + Duration::from_secs_f64(got as f64 / self.bytes_per_second as f64)
     }
 }
 
 /// When the next piece has to be there.
-fn due(rules: &Rules, begun: Instant, got: u64) -> Instant {
-    let still = Instant::now() + rules.stall;
-    rules.pace.map_or(still, |pace| pace.due(begun, got).min(still))
+fn next_frame_deadline(rules: &BodyLimits, begun: Instant, got: u64) -> Instant {
+    let still = Instant::now() + rules.stall_timeout;
+    rules.min_pace.map_or(still, |pace| pace.next_byte_deadline(begun, got).min(still))
 }
 
 /// Takes the body of a request: whole if it is short enough, else as it comes.
-pub(super) async fn take(
+pub(super) async fn receive_body(
     mut body: Incoming,
-    rules: &Rules,
+    limits: &BodyLimits,
     budget: &Rc<Budget>,
     clock: Clock,
-    client: &Rc<Client>,
+    client: &Rc<ClientConnection>,
 ) -> Result<Payload, UploadError> {
     if body.is_end_stream() {
         return Ok(Payload::Buffered(Rc::new(BufferedBody::new(budget.lease()))));
     }
-    if body.size_hint().lower() > rules.most {
+    if body.size_hint().lower() > limits.max_bytes {
         return Err(UploadError::TooLarge);
     }
     let begun = Instant::now();
     let mut first = VecDeque::new();
     let (mut got, mut held) = (0, None);
-    if !rules.wait && body.size_hint().lower() <= rules.most_kept {
+    if !limits.awaits_continue && body.size_hint().lower() <= limits.max_buffered_bytes {
         let mut pieces = BufferedBody::new(budget.lease_for(body.size_hint().exact()));
         loop {
-            let next = timeout_at(due(rules, begun, got), body.frame()).await;
-            let next = next.map_err(|_| UploadError::Late)?;
+            let next = timeout_at(next_frame_deadline(limits, begun, got), body.frame()).await;
+            let next = next.map_err(|_| UploadError::TimedOut)?;
             let Some(frame) = next else { return Ok(Payload::Buffered(Rc::new(pieces))) };
-            let frame = frame.map_err(|_| UploadError::Broken)?;
+            let frame = frame.map_err(|_| UploadError::Incomplete)?;
             got += frame.data_ref().map_or(0, |d| d.len() as u64);
-            if got > rules.most {
+            if got > limits.max_bytes {
                 return Err(UploadError::TooLarge);
             }
-            let fits = |data: &Bytes| pieces.len() + data.len() as u64 <= rules.most_kept;
+            let fits = |data: &Bytes| pieces.len() + data.len() as u64 <= limits.max_buffered_bytes;
             if frame.data_ref().is_some_and(fits) {
                 let data = frame.into_data().unwrap_or_default();
                 if pieces.push(data.clone()) {
@@ -111,148 +111,152 @@
         held = Some(lease);
         kept.into_iter().rev().for_each(|data| first.push_front(Frame::data(data)));
     }
-    let progress = Rc::new(UploadProgress::new(clock.now(), rules.on_way.as_nanos() as u64));
-    let passing = Passing {
-        first,
-        held,
+    let progress = Rc::new(UploadProgress::new(clock.now(), limits.forward_stall_timeout.as_nanos() as u64));
+    let passing = StreamedBody {
+        read_frames: first,
+        read_lease: held,
         body: Some(body),
         client: client.clone(),
         progress: progress.clone(),
         clock,
-        rules: *rules,
+        limits: *limits,
         begun,
-        got,
-        timer: Box::pin(sleep(rules.stall)),
-        waiting: false,
+        received_bytes: got,
+        stall_timer: Box::pin(sleep(limits.stall_timeout)),
+        stall_timer_armed: false,
     };
     let body: ClientBody = Box::pin(passing);
     Ok(Payload::Stream(Upload::new(body, progress)))
 }
 
 /// A body as it comes, behind what of it has been read already.
-struct Passing {
-    first: VecDeque<Frame<Bytes>>,
+struct StreamedBody {
+    read_frames: VecDeque<Frame<Bytes>>,
     /// What holds these in the budget.
-    held: Option<Lease>,
+    read_lease: Option<Lease>,
     /// None once it has been handed back.
     body: Option<Incoming>,
-    client: Rc<Client>,
+    client: Rc<ClientConnection>,
     progress: Rc<UploadProgress>,
     clock: Clock,
-    rules: Rules,
+    limits: BodyLimits,
     begun: Instant,
-    got: u64,
-    timer: Pin<Box<Sleep>>,
+    received_bytes: u64,
+    stall_timer: Pin<Box<Sleep>>,
     /// The timer runs.
-    waiting: bool,
+    stall_timer_armed: bool,
 }
 
-impl Passing {
+impl StreamedBody {
     /// The last byte has come. Where its client has left behind it, it must not go on: the server would begin with it. False then.
-    fn end(&self) -> bool {
+    fn finish(&self) -> bool {
         let left = self.progress.ended_at.get().is_none() && self.client.socket.has_ended();
-        self.ended(left);
+        self.mark_ended(left);
         !left
     }
 
-    fn ended(&self, failed: bool) {
+    fn mark_ended(&self, failed: bool) {
         if self.progress.ended_at.get().is_none() {
             self.progress.ended_at.set(Some(self.clock.now()));
-            self.client.taken(self.clock.now());
+            self.client.mark_request_received(self.clock.now());
         }
         self.progress.client_failed.set(failed || self.progress.client_failed.get());
     }
 }
 
 /// What has not come of a body that nobody wants any longer is the front's to read.
-impl Drop for Passing {
+impl Drop for StreamedBody {
     fn drop(&mut self) {
-        let wanted = self.rules.hand_back && self.client.stage.get() == Stage::Waiting;
+        let wanted = self.limits.returns_unread && self.client.stage.get() == RequestStage::AwaitingAnswer;
         if let Some(body) = self.body.take().filter(|body| wanted && !body.is_end_stream()) {
-            self.client.rest.replace(Some(body));
+            self.client.unread_body.replace(Some(body));
         }
     }
 }
 
 /// Reads the rest of a body whose request is answered already, and throws it away: its client listens when it has sent
 /// all, and a reset in the middle would cost it the answer. False where the rest does not come.
-pub(super) async fn discard(mut body: Incoming, rules: &Rules) -> bool {
+pub(super) async fn discard_body(mut body: Incoming, rules: &BodyLimits) -> bool {
     let (begun, mut got) = (Instant::now(), 0);
     loop {
-        match timeout_at(due(rules, begun, got), body.frame()).await {
+        match timeout_at(next_frame_deadline(rules, begun, got), body.frame()).await {
             Ok(None) => return true,
             Ok(Some(Ok(frame))) => got += frame.data_ref().map_or(0, |d| d.len() as u64),
             Ok(Some(Err(_))) | Err(_) => return false,
         }
-        if got > rules.most {
+        if got > rules.max_bytes {
             return false;
         }
     }
 }
 
 /// A rest of a body that is read to its end, to keep the connection: no longer than this, in bytes,
-const SHORT: u64 = 64 << 10;
+const MAX_DISCARD_BYTES: u64 = 64 << 10;
 /// and there within this.
-const SOON: Duration = Duration::from_millis(250);
+const DISCARD_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Reads the rest of a body that nobody has asked for, where it is short and comes soon; false where it isn't.
-pub(super) async fn discard_short(rest: Incoming) -> bool {
-    if rest.size_hint().lower() > SHORT {
+pub(super) async fn discard_short_body(rest: Incoming) -> bool {
+    if rest.size_hint().lower() > MAX_DISCARD_BYTES {
         return false;
     }
-    let rules = Rules {
-        most_kept: 0,
-        most: SHORT,
-        stall: SOON,
-        on_way: SOON,
-        pace: None,
-        hand_back: false,
-        wait: false,
+    let rules = BodyLimits {
+        max_buffered_bytes: 0,
+        max_bytes: MAX_DISCARD_BYTES,
+        stall_timeout: DISCARD_TIMEOUT,
+        forward_stall_timeout: DISCARD_TIMEOUT,
+        min_pace: None,
+        returns_unread: false,
+        awaits_continue: false,
     };
-    timeout(SOON, discard(rest, &rules)).await.unwrap_or(false)
+    timeout(DISCARD_TIMEOUT, discard_body(rest, &rules)).await.unwrap_or(false)
 }
 
-impl Body for Passing {
+impl Body for StreamedBody {
     type Data = Bytes;
     type Error = IncompleteBody;
 
     fn poll_frame(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<BodyFrame>> {
         let this = self.get_mut();
-        if let Some(frame) = this.first.pop_front() {
+        if let Some(frame) = this.read_frames.pop_front() {
             this.progress.last_progress_at.set(this.clock.now());
             return Poll::Ready(Some(Ok(frame)));
         }
-        this.held = None;
+        this.read_lease = None;
         let Some(body) = &mut this.body else { return Poll::Ready(Some(Err(IncompleteBody))) };
         match Pin::new(&mut *body).poll_frame(cx) {
             Poll::Ready(Some(Ok(frame))) => {
                 let over = body.is_end_stream();
-                this.waiting = false;
+                this.stall_timer_armed = false;
                 this.progress.last_progress_at.set(this.clock.now());
-                this.got += frame.data_ref().map_or(0, |d| d.len() as u64);
-                if this.got > this.rules.most {
-                    this.ended(true);
+                this.received_bytes += frame.data_ref().map_or(0, |d| d.len() as u64);
+                if this.received_bytes > this.limits.max_bytes {
+                    this.mark_ended(true);
                     return Poll::Ready(Some(Err(IncompleteBody)));
                 }
-                if over && !this.end() {
+                if over && !this.finish() {
                     return Poll::Ready(Some(Err(IncompleteBody)));
                 }
                 Poll::Ready(Some(Ok(frame)))
             }
             Poll::Ready(Some(Err(_))) => {
-                this.ended(true);
+                this.mark_ended(true);
                 Poll::Ready(Some(Err(IncompleteBody)))
             }
-            Poll::Ready(None) => match this.end() {
+            Poll::Ready(None) => match this.finish() {
                 true => Poll::Ready(None),
                 false => Poll::Ready(Some(Err(IncompleteBody))),
             },
             Poll::Pending => {
-                if !std::mem::replace(&mut this.waiting, true) {
-                    this.timer.as_mut().reset(due(&this.rules, this.begun, this.got));
+                if !std::mem::replace(&mut this.stall_timer_armed, true) {
+                    this.stall_timer.as_mut().reset(next_frame_deadline(
+                        &this.limits,
+                        this.begun,
+                        this.received_bytes,
+                    ));
                 }
-                if this.timer.as_mut().poll(cx).is_ready() {
-                    this.ended(true);
+                if this.stall_timer.as_mut().poll(cx).is_ready() {
+                    this.mark_ended(true);
                     return Poll::Ready(Some(Err(IncompleteBody)));
                 }
                 Poll::Pending
@@ -261,11 +265,11 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        self.first.is_empty() && self.body.as_ref().is_none_or(Incoming::is_end_stream)
+        self.read_frames.is_empty() && self.body.as_ref().is_none_or(Incoming::is_end_stream)
     }
 
     fn size_hint(&self) -> SizeHint {
-        let first: u64 = self.first.iter().filter_map(|f| f.data_ref()).map(|d| d.len() as u64).sum();
+        let first: u64 = self.read_frames.iter().filter_map(|f| f.data_ref()).map(|d| d.len() as u64).sum();
         let rest = self.body.as_ref().map_or_else(SizeHint::default, Body::size_hint);
         // The upper bound first: a lower one beyond it is a panic.
         let mut hint = SizeHint::new();
--- a/crates/proxy/tests/closing.rs
+++ b/crates/proxy/tests/closing.rs
@@ -40,7 +40,7 @@
         };
         let site = ActivePlan::start(plan, &shared, 7, None).unwrap();
         let service = Rc::new(Service {
-            site: CurrentPlan::new(site),
+            current_plan: CurrentPlan::new(site),
             clock: shared.clock,
             budget: shared.budget,
             lifecycle: SharedLifecycle::default(),
