--- a/crates/corkhollow/src/commands/run.rs
+++ b/crates/corkhollow/src/commands/run.rs
@@ -13,10 +13,10 @@
 use corkhollow_plan::platform::{Config, ConfigError};
 use corkhollow_proxy::active_plan::{ActivePlan, CurrentPlan, PoolError};
 use corkhollow_proxy::background;
-use corkhollow_proxy::fleet::Place;
+use corkhollow_proxy::fleet::FleetCell;
 use corkhollow_proxy::http1::{ClientConnections, Service};
 use corkhollow_proxy::operator::Operator;
-use corkhollow_proxy::upstream::{Engines, Shared};
+use corkhollow_proxy::upstream::{Engines, PoolContext};
 use std::cell::Cell;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -34,7 +34,7 @@
 
 /// Connections that the kernel may hold for us while we are busy; it cuts this down to what it allows.
 const BACKLOG: u32 = 4096;
-/// How often figures and readiness are brought up to date.
+/// How often metrics and readiness are brought up to date.
 const WATCH: Duration = Duration::from_millis(50);
 /// Beyond `MANY` servers they are counted at one look of `SELDOM` only, which is once a second: each is looked at for that.
 const MANY: usize = 1_000;
@@ -104,7 +104,7 @@
             (Told::Platform(Box::new(config.shape.clone())), config.plan())
         }
     };
-    background::hush();
+    background::silence_panic_messages();
     let neighbours = neighbours(&handed);
     Ok(serve(hang_up, told, plan, handed, neighbours).await?)
 }
@@ -264,9 +264,9 @@
     let neighbours = neighbours.map(Rc::new);
     let own = if plan.fleet.is_some() { membership::DESCRIPTORS } else { 0 };
     let budget = Budget::new(plan.limits.descriptors.saturating_sub(own), plan.limits.memory);
-    let figures = Metrics::new()?;
+    let metrics = Metrics::new()?;
     let shared =
-        Shared { clock, budget: budget.clone(), figures: figures.clone(), engines: Engines::default() };
+        PoolContext { clock, budget: budget.clone(), metrics: metrics.clone(), engines: Engines::default() };
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let seed = plan.seed.unwrap_or(since.as_nanos() as u64 ^ u64::from(std::process::id()));
     let mut listeners = Listeners { handed, ..Listeners::default() };
@@ -279,11 +279,11 @@
         tokio::select! {
             // Nothing has been taken yet.
             _ = terminate.recv() => return Ok(()),
-            joined = member.join(&plan, &figures, seed) => joined?,
+            joined = member.join(&plan, &metrics, seed) => joined?,
         }
     }
     let site = ActivePlan::start(plan, &shared, seed, member.group.get())?;
-    figures.set_active_config(&site.plan.version.to_string(), None);
+    metrics.set_active_config(&site.plan.version.to_string(), None);
     let current = CurrentPlan::new(site.clone());
     let service = Rc::new(Service {
         current_plan: current.clone(),
@@ -291,15 +291,15 @@
         budget: budget.clone(),
         lifecycle: control.clone(),
         request_id_counter: Cell::new(seed),
-        metrics: figures.clone(),
+        metrics: metrics.clone(),
     });
     let clients = ClientConnections::new(service.clone());
     let changed = Arc::new(Notify::new());
     if let Some(calls) = calls {
         log(format_args!("operators call at {}", calls.local_addr()?));
-        let (control, figures, changed) = (control.clone(), figures.clone(), changed.clone());
+        let (control, metrics, changed) = (control.clone(), metrics.clone(), changed.clone());
         let fleet = member.place.clone();
-        Operator { control, figures, clock, changed, fleet }.start(calls)?;
+        Operator { control, metrics, clock, changed, fleet }.start(calls)?;
     }
     if let Some(neighbours) = &neighbours {
         budget.keep_to(neighbours.now().limit_share());
@@ -313,7 +313,7 @@
                 }
                 if succeeds {
                     if let Some(plan) = site.plan.share() {
-                        spawn_local(member.clone().succeed(plan, from, figures.clone(), seed));
+                        spawn_local(member.clone().succeed(plan, from, metrics.clone(), seed));
                     }
                 }
             }
@@ -323,7 +323,7 @@
         spawn_local(member.clone().follow(current.clone()));
     }
     let open = Rc::new(Cell::new(neighbours.is_none()));
-    spawn_local(watch(current.clone(), control.clone(), figures.clone(), budget.clone(), open.clone()));
+    spawn_local(watch(current.clone(), control.clone(), metrics.clone(), budget.clone(), open.clone()));
     spawn_local(tell_of_drains(member.place.clone(), control.clone()));
     if let Some(neighbours) = &neighbours {
         while !neighbours.now().accepts_connections(site.is_ready() && !control.lock().is_draining()) {
@@ -348,7 +348,7 @@
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
-            _ = hang_up.recv() => reloads.begin(&current, &figures),
+            _ = hang_up.recv() => reloads.begin(&current, &metrics),
             ready = reloads.compiled() => {
                 let target = Target {
                     current: &current,
@@ -359,7 +359,7 @@
                     place: &member.place,
                     group: member.group.get(),
                 };
-                reloads.finish(ready, target, &figures);
+                reloads.finish(ready, target, &metrics);
             }
         }
     }
@@ -388,11 +388,11 @@
     Ok(())
 }
 
-/// Keeps the figures and the node's readiness up to date, for good. It is not ready before its listeners are open.
+/// Keeps the metrics and the node's readiness up to date, for good. It is not ready before its listeners are open.
 async fn watch(
     current: Rc<CurrentPlan>,
     control: SharedLifecycle,
-    figures: Metrics,
+    metrics: Metrics,
     budget: Rc<Budget>,
     open: Rc<Cell<bool>>,
 ) {
@@ -403,14 +403,14 @@
         if listed < MANY || looks.is_multiple_of(SELDOM) {
             let ejected;
             (listed, ejected) = site.server_counts();
-            figures.discovered_servers.set(listed as i64);
-            figures.ejected_servers.set(ejected as i64);
+            metrics.discovered_servers.set(listed as i64);
+            metrics.ejected_servers.set(ejected as i64);
         }
         looks = looks.wrapping_add(1);
         for (held, (now, most)) in [
-            (&figures.client_connections, budget.clients()),
-            (&figures.server_connections, budget.servers()),
-            (&figures.body_bytes, budget.bytes()),
+            (&metrics.client_connections, budget.clients()),
+            (&metrics.server_connections, budget.servers()),
+            (&metrics.body_bytes, budget.bytes()),
         ] {
             held.set(now, most);
         }
@@ -450,12 +450,12 @@
 }
 
 /// Tells the fleet when the operator empties the node and when no longer, for good.
-async fn tell_of_drains(place: Place, control: SharedLifecycle) {
+async fn tell_of_drains(place: FleetCell, control: SharedLifecycle) {
     loop {
         if let Some(fleet) = place.get() {
             let drains = control.lock().is_draining();
-            if fleet.view().drains() != drains {
-                fleet.drain(drains);
+            if fleet.view().is_draining() != drains {
+                fleet.set_draining(drains);
             }
         }
         tokio::time::sleep(WATCH).await;
@@ -523,10 +523,10 @@
         for _ in 0..5 {
             tokio::time::sleep(Duration::from_millis(200)).await;
             clients.close_slow_heads();
-            current.get().pools.iter().for_each(|p| p.upstreams.cut_lingering());
+            current.get().pools.iter().for_each(|p| p.upstreams.abort_overdue_attempts());
         }
         clients.close_idle_and_stalled();
-        current.get().pools.iter().for_each(|p| p.upstreams.sweep());
+        current.get().pools.iter().for_each(|p| p.upstreams.close_expired_idle());
         if forgotten.elapsed() > FORGET {
             forgotten = tokio::time::Instant::now();
             current.get().pools.iter().for_each(|p| p.engine.forget_idle());
--- a/crates/proxy/src/http1/client_connection.rs
+++ b/crates/proxy/src/http1/client_connection.rs
@@ -124,7 +124,7 @@
         };
         ConnectionState {
             stage,
-            since_first_byte: since(self.socket.heard.get()),
+            since_first_byte: since(self.socket.first_byte_at.get()),
             since_accept: since(self.awaiting_first_request_since.get()),
             since_progress: Duration::from_nanos(now.saturating_sub(self.last_progress_at.get())),
         }
@@ -132,7 +132,7 @@
 
     /// Between requests, as far as has been read.
     pub(super) fn is_between_requests(&self) -> bool {
-        self.stage.get() == RequestStage::Idle && self.socket.heard.get().is_none()
+        self.stage.get() == RequestStage::Idle && self.socket.first_byte_at.get().is_none()
     }
 
     /// A request of this class is being read.
@@ -166,7 +166,7 @@
     /// hide their end.
     pub(super) async fn client_left(&self, one_at_a_time: bool) {
         poll_fn(|cx| match self.stage.get() == RequestStage::AwaitingAnswer && self.request_complete.get() {
-            true => self.socket.poll_left(cx, one_at_a_time.then_some(&self.close_after_answer)),
+            true => self.socket.poll_peer_closed(cx, one_at_a_time.then_some(&self.close_after_answer)),
             false => Poll::Pending,
         })
         .await
@@ -183,7 +183,7 @@
     pub(super) fn close_if_allowed(&self, reason: CloseReason, now: Nanos, limits: &CloseLimits) -> bool {
         // One that is closed behind its answer may still stall.
         let chosen = self.pending_close.get().is_some() && reason != CloseReason::Stalled;
-        let closes = !chosen && should_close(reason, &self.state(now), limits, || !self.socket.quiet());
+        let closes = !chosen && should_close(reason, &self.state(now), limits, || !self.socket.is_quiet());
         if closes {
             self.request_close(reason);
         }
--- a/crates/proxy/src/http1/client_connections.rs
+++ b/crates/proxy/src/http1/client_connections.rs
@@ -4,7 +4,7 @@
 use super::close_policy::{decide_close, CloseDecision, CloseReason, RequestStage};
 use super::respond::respond;
 use super::service::Service;
-use crate::socket::{exhausted, SocketIo};
+use crate::socket::{is_out_of_descriptors, SocketIo};
 use corkhollow_balance::interface::Nanos;
 use corkhollow_engine::log;
 use corkhollow_plan::plan::Dialect;
@@ -77,7 +77,7 @@
                 biased;
                 accepted = next() => match accepted {
                     Ok((stream, peer)) => self.start_serving(&name, stream, peer, waited()),
-                    Err(error) if exhausted(&error) => {
+                    Err(error) if is_out_of_descriptors(&error) => {
                         blocked_since.set(blocked_since.get().or(Some(Instant::now())));
                         self.close_longest_idle();
                         tokio::time::sleep(Duration::from_millis(10)).await;
@@ -167,7 +167,8 @@
     pub fn close_idle_and_stalled(&self) {
         let now = self.service.clock.now();
         for client in self.open.borrow().values() {
-            if client.socket.moved.replace(false) || client.stage.get() == RequestStage::AwaitingAnswer {
+            if client.socket.had_traffic.replace(false) || client.stage.get() == RequestStage::AwaitingAnswer
+            {
                 client.last_progress_at.set(now);
             }
         }
@@ -218,7 +219,7 @@
             () = client.client_left(one_at_a_time) => return service.record_close(&client, "client-left", false),
             _ = client.close_signal.notified() => {
                 let Some(reason) = client.pending_close.get() else { continue };
-                let unread = || !client.socket.quiet();
+                let unread = || !client.socket.is_quiet();
                 let state = client.state(service.clock.now());
                 match decide_close(reason, &state, &service.close_limits(), unread) {
                     CloseDecision::Keep => client.pending_close.set(None),
@@ -244,7 +245,7 @@
     service.record_close(&client, reason, false);
     if client.request_left_unread.get() {
         tokio::select! {
-            () = client.socket.linger(LINGER_SILENCE_TIMEOUT, MAX_LINGER) => {}
+            () = client.socket.lingering_close(LINGER_SILENCE_TIMEOUT, MAX_LINGER) => {}
             () = client.close_signal.notified() => {}
         }
     }
--- a/crates/proxy/src/http1/general.rs
+++ b/crates/proxy/src/http1/general.rs
@@ -6,8 +6,8 @@
 use super::service::Service;
 use super::upload::{self, UploadError};
 use crate::active_plan::ActivePlan;
-use crate::body::{AnswerBody, PieceBody};
-use crate::headers::strip;
+use crate::body::{AnswerBody, BufferedBodyReader};
+use crate::headers::strip_hop_by_hop;
 use bytes::Bytes;
 use corkhollow_balance::interface::{self, Nanos};
 use corkhollow_engine::{Answer, InterimHandler, Message, Payload};
@@ -159,7 +159,7 @@
         }
         Outcome::Forward { pool, rewrite } => {
             let class = site.plan.class_of(route.class, &head.method);
-            client.track_request(&site.class_figures[class]);
+            client.track_request(&site.class_metrics[class]);
             let sent = upstream_target(rewrite, &path, &head.uri)?;
             let tenant = site.plan.tenants.number(head.headers.get(&site.plan.tenants.header));
             let mut headers = head.headers;
@@ -205,7 +205,7 @@
                 class: places[class],
                 tenant: tenant.unwrap_or(u32::MAX),
                 is_write: !head.method.is_safe(),
-                streamed: matches!(payload, Payload::Stream(_)),
+                has_streaming_body: matches!(payload, Payload::Stream(_)),
                 ..interface::Request::new(0, give_up_at)
             };
             let interims = (head.version == Version::HTTP_11).then(|| interim_handler(client, listener));
@@ -238,10 +238,12 @@
 
 /// Turns away what two readers could read in two ways, and what is not passed on at all.
 fn check_framing(head: &Parts, client: &ClientConnection) -> Result<(), Problem> {
-    if head.headers.contains_key(header::TRANSFER_ENCODING) && client.socket.said("\ncontent-length:") {
+    if head.headers.contains_key(header::TRANSFER_ENCODING)
+        && client.socket.head_contains("\ncontent-length:")
+    {
         return Err(Problem::malformed("a length beside a transfer coding"));
     }
-    if client.socket.bare_line_feed() {
+    if client.socket.head_has_bare_line_feed() {
         return Err(Problem::malformed("a line that ends with a bare line feed"));
     }
     if head.method == Method::CONNECT {
@@ -309,7 +311,7 @@
     authority: &HeaderValue,
     service: &Service,
 ) {
-    strip(headers);
+    strip_hop_by_hop(headers);
     let trust = listener.trust_forwarded;
     if listener.x_forwarded {
         set_forwarding_header(headers, X_FORWARDED_FOR, client.address.clone(), trust, true);
@@ -368,7 +370,7 @@
 fn interim_handler(client: &Rc<ClientConnection>, listener: &Listener) -> InterimHandler {
     let (client, via) = (client.clone(), listener.via.clone());
     InterimHandler::new(move |status, mut headers| {
-        strip(&mut headers);
+        strip_hop_by_hop(&mut headers);
         headers.remove(header::CONTENT_LENGTH);
         if let Some(via) = &via {
             headers.append(header::VIA, via.clone());
@@ -379,7 +381,7 @@
             head.extend([name.as_str().as_bytes(), b": ", value.as_bytes(), b"\r\n"].concat());
         }
         head.extend(b"\r\n");
-        client.socket.say(&head);
+        client.socket.write_between(&head);
     })
 }
 
@@ -391,7 +393,7 @@
 ) -> Result<Response<AnswerBody>, Problem> {
     let (status, mut headers, body) = match answer {
         Answer::Buffered { status, headers, body } => {
-            (status, headers, AnswerBody::Whole(PieceBody::new(Rc::new(body))))
+            (status, headers, AnswerBody::Buffered(BufferedBodyReader::new(Rc::new(body))))
         }
         Answer::Stream { status, headers, length, frames: pieces } => {
             (status, headers, AnswerBody::Stream { pieces, length })
--- a/crates/proxy/src/http1/platform.rs
+++ b/crates/proxy/src/http1/platform.rs
@@ -6,8 +6,8 @@
 use super::service::Service;
 use super::upload::{self, BodyLimits, MinPace, UploadError};
 use crate::active_plan::ActivePlan;
-use crate::body::{AnswerBody, PieceBody};
-use crate::headers::{strip, ID, TIMEOUT};
+use crate::body::{AnswerBody, BufferedBodyReader};
+use crate::headers::{strip_hop_by_hop, REQUEST_ID, TIMEOUT_MS};
 use bytes::Bytes;
 use corkhollow_balance::interface::{self, Nanos, Settings};
 use corkhollow_engine::{Answer, Message, Payload};
@@ -38,7 +38,9 @@
         let up = service.lifecycle.lock().is_ready();
         return text_response(if up { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }, "");
     }
-    if head.headers.contains_key(header::TRANSFER_ENCODING) && client.socket.said("\ncontent-length:") {
+    if head.headers.contains_key(header::TRANSFER_ENCODING)
+        && client.socket.head_contains("\ncontent-length:")
+    {
         return with_connection_close(text_response(StatusCode::BAD_REQUEST, "two lengths\n"));
     }
     // The path goes on as it came, and is matched so.
@@ -57,7 +59,7 @@
         return with_connection_close(text_response(StatusCode::NOT_FOUND, "no such class of requests\n"));
     };
     let (pool, settings) = (&site.pools[at], &site.plan.pools[at].settings);
-    client.track_request(&site.class_figures[class]);
+    client.track_request(&site.class_metrics[class]);
     let rules = BodyLimits {
         max_buffered_bytes: site.plan.limits.replay_buffer,
         max_bytes: MOST_BODY,
@@ -90,18 +92,19 @@
         }
     };
     let mut headers = head.headers;
-    strip(&mut headers);
+    strip_hop_by_hop(&mut headers);
     headers.remove(header::EXPECT);
     headers.remove(header::TRAILER);
     // Servers know a request by its id, and take one that they have for a second copy.
-    let Some(id) = single_header(&headers, ID).filter(|id| !id.is_empty()).cloned() else {
+    let Some(id) = single_header(&headers, REQUEST_ID).filter(|id| !id.is_empty()).cloned() else {
         return with_connection_close(text_response(StatusCode::BAD_REQUEST, "one X-Request-ID is needed\n"));
     };
     let longest = settings.classes[class].give_up;
     // No client waits longer than its class: a longer figure would only hold memory.
-    let wait = match single_header(&headers, TIMEOUT).map(|v| v.to_str().ok()?.trim().parse::<u64>().ok()) {
+    let wait = match single_header(&headers, TIMEOUT_MS).map(|v| v.to_str().ok()?.trim().parse::<u64>().ok())
+    {
         Some(Some(ms)) => ms.saturating_mul(1_000_000).min(longest),
-        None if !headers.contains_key(TIMEOUT) => longest,
+        None if !headers.contains_key(TIMEOUT_MS) => longest,
         _ => {
             return with_connection_close(text_response(
                 StatusCode::BAD_REQUEST,
@@ -129,7 +132,7 @@
         is_write: headers
             .get("x-attrs")
             .is_some_and(|v| v.to_str().unwrap_or_default().split(',').any(|a| a.trim() == "write=1")),
-        streamed: matches!(payload, Payload::Stream(_)),
+        has_streaming_body: matches!(payload, Payload::Stream(_)),
         ..interface::Request::new(0, give_up_at)
     };
     match &payload {
@@ -144,7 +147,7 @@
     };
     let message =
         Message { method: head.method, uri, headers, payload, deadline: give_up_at, interim_handler: None };
-    pool.first_list().await;
+    pool.wait_for_servers().await;
     let Some(mut ticket) = pool.engine.submit(Some(id), request, message) else {
         return with_connection_close(text_response(
             StatusCode::CONFLICT,
@@ -164,7 +167,7 @@
     };
     let response = match answer {
         Answer::Buffered { headers, body, .. } => {
-            server_response(headers, AnswerBody::Whole(PieceBody::new(Rc::new(body))))
+            server_response(headers, AnswerBody::Buffered(BufferedBodyReader::new(Rc::new(body))))
         }
         Answer::Stream { headers, length, frames: pieces, .. } => {
             server_response(headers, AnswerBody::Stream { pieces, length })
--- a/crates/proxy/src/http1/respond.rs
+++ b/crates/proxy/src/http1/respond.rs
@@ -55,7 +55,7 @@
         self.client.unread_body.take();
         self.client.stage.set(RequestStage::Idle);
         self.client.idle_since.set(self.service.clock.now());
-        self.client.socket.forget(self.client.request_body_length.get());
+        self.client.socket.end_request(self.client.request_body_length.get());
     }
 }
 
@@ -72,7 +72,7 @@
     client.awaiting_first_request_since.set(None);
     client.request_backlog_wait.set(client.backlog_wait.take());
     let chunked = request.headers().contains_key(header::TRANSFER_ENCODING);
-    let seen = chunked && client.socket.has_head(request.method().as_str());
+    let seen = chunked && client.socket.has_whole_head(request.method().as_str());
     // Taken once: a new site takes over between two requests.
     let site = service.current_plan.get();
     let listener = site.plan.listeners.iter().position(|l| *l.name == *client.listener_name);
@@ -87,7 +87,7 @@
     };
     client.stage.set(RequestStage::WritingAnswer);
     if let Some(tally) = &mut *client.tracker.borrow_mut() {
-        let by_server = matches!(response.body(), AnswerBody::Whole(_) | AnswerBody::Stream { .. });
+        let by_server = matches!(response.body(), AnswerBody::Buffered(_) | AnswerBody::Stream { .. });
         tally.record_answer(service.clock.now(), response.status().as_u16(), by_server);
     }
     let last =
--- a/crates/proxy/tests/closing.rs
+++ b/crates/proxy/tests/closing.rs
@@ -6,7 +6,7 @@
 use corkhollow_plan::limits::Budget;
 use corkhollow_proxy::active_plan::{ActivePlan, CurrentPlan};
 use corkhollow_proxy::http1::{ClientConnections, Service};
-use corkhollow_proxy::upstream::{Engines, Shared};
+use corkhollow_proxy::upstream::{Engines, PoolContext};
 use std::cell::Cell;
 use std::io::{ErrorKind, Read, Write};
 use std::net::TcpStream;
@@ -32,10 +32,10 @@
 impl TestClients {
     async fn new() -> Self {
         let plan = parse_config(FILE, Path::new("")).unwrap_or_else(|faults| panic!("{}", faults[0])).plan;
-        let shared = Shared {
+        let shared = PoolContext {
             clock: Clock::start(),
             budget: Budget::new(1_000, 64 << 20),
-            figures: Metrics::new().unwrap(),
+            metrics: Metrics::new().unwrap(),
             engines: Engines::default(),
         };
         let site = ActivePlan::start(plan, &shared, 7, None).unwrap();
@@ -45,7 +45,7 @@
             budget: shared.budget,
             lifecycle: SharedLifecycle::default(),
             request_id_counter: Cell::new(1),
-            metrics: shared.figures,
+            metrics: shared.metrics,
         });
         let clients = ClientConnections::new(service);
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
