--- a/crates/plan/src/config/compile.rs
+++ b/crates/plan/src/config/compile.rs
@@ -1,4 +1,4 @@
-//! From the file to the plan: names are resolved, and what only shows when the whole is seen is checked.
+//! Compiles the configuration file to the plan: resolves names, and checks what involves more than one key.
 
 use super::model::{self, ConfigFile};
 use super::routes;
@@ -15,39 +15,40 @@
 use std::path::Path;
 use std::sync::Arc;
 
-/// Builds the plan; none where something in it could not be resolved. Faults go to the validator.
+/// Builds the plan, or returns `None` if there are errors. Diagnostics are reported to the validator.
 pub(super) fn compile(
     file: &ConfigFile,
     folder: &Path,
     version: Version,
     validator: &mut Validator<'_>,
 ) -> Option<Plan> {
-    let zones = zones(file);
+    let zones = collect_zones(file);
     if zones.len() > 127 {
-        validator.error("pool", "more than 126 zones");
+        validator.error("pool", "too many zones; at most 126 besides the node's own");
     }
     let zone = zones.iter().position(|z| Some(z) == file.node.zone.as_ref()).unwrap_or(0) as u8;
-    let fleet = fleet(file, folder, validator);
-    let listeners = listeners(file, validator);
-    let classes = classes(file, validator);
-    let tenants = tenants(file, validator)?;
-    let limits = limits(file, validator);
-    let told = |p: &model::Pool| settings(p, &classes, tenants.over_share_worth, zone, zones.len());
+    let fleet = build_fleet(file, folder, validator);
+    let listeners = build_listeners(file, validator);
+    let classes = build_classes(file, validator);
+    let tenants = build_tenants(file, validator)?;
+    let limits = build_limits(file, validator);
+    let pool_settings =
+        |p: &model::Pool| build_settings(p, &classes, tenants.over_share_worth, zone, zones.len());
     let pools: Vec<_> = file
         .pool
         .iter()
         .enumerate()
-        .map(|(k, p)| Arc::new(pool(p, k, told(p), &zones, folder, validator)))
+        .map(|(index, p)| Arc::new(build_pool(p, index, pool_settings(p), &zones, folder, validator)))
         .collect();
-    unique(file.pool.iter().map(|p| &p.name), "pool", validator);
-    let compiled = routes::routes(file, &listeners, validator);
+    check_unique_names(file.pool.iter().map(|p| &p.name), "pool", validator);
+    let routes = routes::build_routes(file, &listeners, validator);
     let (drain_timeout, operator) = (file.node.drain_timeout.0, file.operator.listen);
     if validator.has_errors() {
         return None;
     }
-    routes::warn_of_unused(file, validator);
-    let routes = RouteTable::new(compiled.into_iter().flatten().collect(), listeners.len());
-    routes::warn_of_covered(&routes, validator);
+    routes::warn_about_unused(file, validator);
+    let routes = RouteTable::new(routes.into_iter().flatten().collect(), listeners.len());
+    routes::warn_about_unreachable(&routes, validator);
     Some(Plan {
         version,
         zone,
@@ -65,22 +66,22 @@
     })
 }
 
-/// More than this multiple of its present capacity, for so long, pushes a cold server over.
-const TIP: (f64, u64) = (3.0, 2_000_000_000);
-/// The ramp also sets how fast the module forgets; so where servers are warm from the start.
-const MEMORY: u64 = 10_000_000_000;
-/// The longest advice on when to come back.
-const LONGEST_ADVICE: u64 = 30_000_000_000;
+/// A cold server collapses if it gets more than this multiple of its present capacity for this many nanoseconds.
+const COLD_OVERLOAD_MULTIPLE_AND_NANOS: (f64, u64) = (3.0, 2_000_000_000);
+/// The ramp of pools without slow start, where it only sets how fast averages in the decision module decay.
+const DEFAULT_RAMP_NANOS: u64 = 10_000_000_000;
+/// Upper limit for `Retry-After`.
+const MAX_RETRY_AFTER_NANOS: u64 = 30_000_000_000;
 
-/// What a pool's decision module is told.
-fn settings(
+/// The settings of a pool's decision module.
+fn build_settings(
     pool: &model::Pool,
     classes: &[RequestClass],
     over_share_worth: f64,
     zone: u8,
-    zones: usize,
+    zone_count: usize,
 ) -> Settings {
-    let longest = classes.iter().map(|c| c.class.give_up).max().unwrap_or(1);
+    let max_deadline = classes.iter().map(|c| c.class.give_up).max().unwrap_or(1);
     Settings {
         classes: classes.iter().map(|c| c.class.clone()).collect(),
         over_share_worth,
@@ -88,67 +89,70 @@
         max_attempts: pool.max_attempts,
         second_copies: pool.second_copies,
         slots: f64::from(pool.concurrency),
-        max_retry_after: longest.min(LONGEST_ADVICE),
+        max_retry_after: max_deadline.min(MAX_RETRY_AFTER_NANOS),
         cold_from: pool.cold_from,
-        ramp: pool.cold_ramp.map_or(MEMORY, |r| r.0),
-        tip_multiple: TIP.0,
-        fall: TIP.1,
-        // Behind all zones comes one of their backups each.
-        backup_zone: if pool.discovery.is_some() { u8::MAX } else { zones.min(127) as u8 },
-        ..Settings::single_class(1, longest)
+        ramp: pool.cold_ramp.map_or(DEFAULT_RAMP_NANOS, |r| r.0),
+        tip_multiple: COLD_OVERLOAD_MULTIPLE_AND_NANOS.0,
+        fall: COLD_OVERLOAD_MULTIPLE_AND_NANOS.1,
+        // The backups of zone `z` form the zone `backup_zone + z`.
+        backup_zone: if pool.discovery.is_some() { u8::MAX } else { zone_count.min(127) as u8 },
+        ..Settings::single_class(1, max_deadline)
     }
 }
 
-/// Names go along in every datagram.
-const LONGEST_FLEET_NAME: usize = 32;
+/// Maximum length of names that every datagram carries.
+const MAX_FLEET_NAME_BYTES: usize = 32;
 
-fn fleet(file: &ConfigFile, folder: &Path, validator: &mut Validator<'_>) -> Option<Fleet> {
-    let told = file.fleet.as_ref()?;
-    let [every, timeout, suspect] = [told.probe_every.0, told.probe_timeout.0, told.suspect_for.0];
-    if told.node.len() > LONGEST_FLEET_NAME {
-        validator.error("fleet.node", "a node's name in a fleet has at most 32 characters");
+fn build_fleet(file: &ConfigFile, folder: &Path, validator: &mut Validator<'_>) -> Option<Fleet> {
+    let fleet = file.fleet.as_ref()?;
+    let [probe_every, probe_timeout, suspect_for] =
+        [fleet.probe_every.0, fleet.probe_timeout.0, fleet.suspect_for.0];
+    if fleet.node.len() > MAX_FLEET_NAME_BYTES {
+        validator.error("fleet.node", "a node's name in a fleet must be at most 32 characters long");
     }
-    if file.node.zone.as_ref().is_some_and(|zone| zone.len() > LONGEST_FLEET_NAME) {
-        validator.error("node.zone", "in a fleet the name of a node's zone has at most 32 characters");
+    if file.node.zone.as_ref().is_some_and(|zone| zone.len() > MAX_FLEET_NAME_BYTES) {
+        validator
+            .error("node.zone", "the name of a node's zone in a fleet must be at most 32 characters long");
     }
-    if told.advertise.is_none() && told.listen.ip().is_unspecified() {
-        validator.error("fleet.listen", "others cannot reach this address; `advertise` says where they do");
+    if fleet.advertise.is_none() && fleet.listen.ip().is_unspecified() {
+        validator.error("fleet.listen", "other nodes cannot reach an unspecified address; set `advertise`");
     }
-    let reachable = |address: &std::net::SocketAddr| address.port() != 0 && !address.ip().is_unspecified();
-    if told.advertise.is_some_and(|address| !reachable(&address)) {
-        validator.error("fleet.advertise", "others cannot reach this address");
+    let is_reachable = |address: &std::net::SocketAddr| address.port() != 0 && !address.ip().is_unspecified();
+    if fleet.advertise.is_some_and(|address| !is_reachable(&address)) {
+        validator.error("fleet.advertise", "other nodes cannot reach this address");
     }
-    for (k, _) in told.seeds.iter().enumerate().filter(|(_, seed)| !reachable(seed)) {
-        validator.error(&format!("fleet.seeds[{k}]"), "nobody can be reached at this address");
+    for (index, _) in fleet.seeds.iter().enumerate().filter(|(_, seed)| !is_reachable(seed)) {
+        validator.error(&format!("fleet.seeds[{index}]"), "no node can be reached at this address");
     }
-    if !(50_000_000..=60_000_000_000).contains(&every) {
-        validator.error("fleet.probe_every", "out of range: 50ms to 1m");
+    if !(50_000_000..=60_000_000_000).contains(&probe_every) {
+        validator.error("fleet.probe_every", "must be from 50ms to 1m");
     }
-    if timeout >= every {
+    if probe_timeout >= probe_every {
         validator.error("fleet.probe_timeout", "must be shorter than `probe_every`");
     }
-    if suspect < 2 * every {
+    if suspect_for < 2 * probe_every {
         validator.error("fleet.suspect_for", "must be at least twice `probe_every`");
     }
     Some(Fleet {
-        name: told.name.clone(),
-        node: told.node.clone(),
-        listen: told.listen,
-        advertise: told.advertise,
-        seeds: told.seeds.clone(),
-        key_file: told.key_file.as_ref().map(|path| folder.join(path)),
-        probe_every: every,
-        probe_timeout: timeout,
-        suspect_for: suspect,
-        datagram: told.datagram_bytes,
+        name: fleet.name.clone(),
+        node: fleet.node.clone(),
+        listen: fleet.listen,
+        advertise: fleet.advertise,
+        seeds: fleet.seeds.clone(),
+        key_file: fleet.key_file.as_ref().map(|path| folder.join(path)),
+        probe_every,
+        probe_timeout,
+        suspect_for,
+        datagram: fleet.datagram_bytes,
     })
 }
 
-/// All zones that are named; the first is the program's own.
-fn zones(file: &ConfigFile) -> Vec<String> {
+/// The names of all zones; the first is the node's own, empty if it has none.
+fn collect_zones(file: &ConfigFile) -> Vec<String> {
     let mut zones = vec![file.node.zone.clone().unwrap_or_default()];
-    let named = file.pool.iter().flat_map(|p| p.servers.iter().flatten()).filter_map(|s| s.zone.clone());
-    for zone in file.node.zones.iter().cloned().chain(named) {
+    let server_zones =
+        file.pool.iter().flat_map(|p| p.servers.iter().flatten()).filter_map(|s| s.zone.clone());
+    for zone in file.node.zones.iter().cloned().chain(server_zones) {
         if !zones.contains(&zone) {
             zones.push(zone);
         }
@@ -156,27 +160,34 @@
     zones
 }
 
-pub(super) fn unique<'n>(names: impl Iterator<Item = &'n String>, list: &str, validator: &mut Validator<'_>) {
-    let mut first = BTreeMap::new();
-    for (k, name) in names.enumerate() {
-        if let Some(earlier) = first.insert(name, k) {
-            first.insert(name, earlier);
-            validator
-                .error(&format!("{list}[{k}].name"), format!("{list}[{earlier}] has the name `{name}` too"));
+/// Reports names that occur more than once in a list of tables.
+pub(super) fn check_unique_names<'n>(
+    names: impl Iterator<Item = &'n String>,
+    list: &str,
+    validator: &mut Validator<'_>,
+) {
+    let mut first_uses = BTreeMap::new();
+    for (index, name) in names.enumerate() {
+        if let Some(earlier) = first_uses.insert(name, index) {
+            first_uses.insert(name, earlier);
+            validator.error(
+                &format!("{list}[{index}].name"),
+                format!("the name `{name}` is already used by {list}[{earlier}]"),
+            );
         }
     }
 }
 
-fn listeners(file: &ConfigFile, validator: &mut Validator<'_>) -> Vec<Listener> {
+fn build_listeners(file: &ConfigFile, validator: &mut Validator<'_>) -> Vec<Listener> {
     if file.listener.is_empty() {
-        validator.error("listener", "there must be at least one listener");
+        validator.error("listener", "at least one listener is required");
     }
-    unique(file.listener.iter().map(|l| &l.name), "listener", validator);
-    let mut taken = BTreeMap::new();
-    for (k, l) in file.listener.iter().enumerate().filter(|(_, l)| l.address.port() != 0) {
-        if let Some(earlier) = taken.insert(l.address, k) {
-            let what = format!("listener[{earlier}] has the address {} too", l.address);
-            validator.error(&format!("listener[{k}].address"), what);
+    check_unique_names(file.listener.iter().map(|l| &l.name), "listener", validator);
+    let mut used_addresses = BTreeMap::new();
+    for (index, l) in file.listener.iter().enumerate().filter(|(_, l)| l.address.port() != 0) {
+        if let Some(earlier) = used_addresses.insert(l.address, index) {
+            let message = format!("the address {} is already used by listener[{earlier}]", l.address);
+            validator.error(&format!("listener[{index}].address"), message);
         }
     }
     let build = |l: &model::Listener| Listener {
@@ -187,27 +198,27 @@
         x_forwarded: matches!(l.forwarded, model::Forwarded::XForwarded | model::Forwarded::Both),
         forwarded: matches!(l.forwarded, model::Forwarded::Forwarded | model::Forwarded::Both),
         trust_forwarded: l.trust_forwarded,
-        request_id: header(&l.request_id).unwrap_or(HeaderName::from_static("x-request-id")),
+        request_id: parse_header_name(&l.request_id).unwrap_or(HeaderName::from_static("x-request-id")),
         paths: PathRules { merge_slashes: l.merge_slashes, keep_escaped_slashes: l.keep_escaped_slashes },
     };
     file.listener.iter().map(build).collect()
 }
 
-fn limits(file: &ConfigFile, validator: &mut Validator<'_>) -> Limits {
+fn build_limits(file: &ConfigFile, validator: &mut Validator<'_>) -> Limits {
     let l = &file.limits;
-    for (name, value, least, most) in [
+    for (name, value, min, max) in [
         ("memory", l.memory.0, 16_000_000, u64::MAX),
         ("header_bytes", l.header_bytes.0, 8 << 10, 1 << 20),
         ("replay_buffer", l.replay_buffer.0, 0, l.memory.0 / 8),
     ] {
-        if value < least || value > most {
+        if value < min || value > max {
             let allowed = match name {
                 "memory" => "16MB or more",
                 "header_bytes" => "8KiB to 1MiB",
                 _ => "at most an eighth of `limits.memory`",
             };
-            let what = "the size is out of range".to_owned();
-            validator.note(Severity::Error, &format!("limits.{name}"), what, allowed.to_owned());
+            let message = "the size is out of range".to_owned();
+            validator.report(Severity::Error, &format!("limits.{name}"), message, allowed.to_owned());
         }
     }
     Limits {
@@ -221,51 +232,58 @@
     }
 }
 
-const READS: [&str; 4] = ["GET", "HEAD", "OPTIONS", "TRACE"];
+/// Methods of the default class `read`.
+const READ_METHODS: [&str; 4] = ["GET", "HEAD", "OPTIONS", "TRACE"];
 
-/// The file's classes, and behind them the two that stand for what they leave open.
-pub(super) fn with_defaults(file: &ConfigFile) -> Vec<model::Class> {
+/// The file's classes, followed by the default classes `read` and `write` unless the file defines them.
+pub(super) fn classes_with_defaults(file: &ConfigFile) -> Vec<model::Class> {
     let mut classes = file.class.clone();
     for (name, effect, methods) in
-        [("read", model::Effect::Safe, &READS[..]), ("write", model::Effect::Unsafe, &[][..])]
+        [("read", model::Effect::Safe, &READ_METHODS[..]), ("write", model::Effect::Unsafe, &[][..])]
     {
         if !classes.iter().any(|c| c.name == name) {
             classes.push(model::Class::new(name, effect, methods));
         }
     }
-    // The last one stands for all methods that no class names.
-    if let Some(at) = classes.iter().position(|c| c.name == "write") {
-        let write = classes.remove(at);
+    // The last class applies to all methods that no class lists.
+    if let Some(index) = classes.iter().position(|c| c.name == "write") {
+        let write = classes.remove(index);
         classes.push(write);
     }
     classes
 }
 
-fn classes(file: &ConfigFile, validator: &mut Validator<'_>) -> Vec<RequestClass> {
-    unique(file.class.iter().map(|c| &c.name), "class", validator);
-    let mut by_method: BTreeMap<&str, usize> = BTreeMap::new();
-    for (k, class) in file.class.iter().enumerate() {
-        let at = |key: &str| format!("class[{k}].{key}");
+fn build_classes(file: &ConfigFile, validator: &mut Validator<'_>) -> Vec<RequestClass> {
+    check_unique_names(file.class.iter().map(|c| &c.name), "class", validator);
+    let mut class_by_method: BTreeMap<&str, usize> = BTreeMap::new();
+    for (index, class) in file.class.iter().enumerate() {
+        let key_path = |key: &str| format!("class[{index}].{key}");
         if class.aim > class.deadline {
-            validator.error(&at("aim"), format!("the aim is longer than the deadline, {}", class.deadline));
+            validator
+                .error(&key_path("aim"), format!("the aim is longer than the deadline, {}", class.deadline));
         }
         if class.effect != model::Effect::Keyed {
             if class.group != model::Group::All {
-                validator.error(&at("group"), "only classes of effect \"keyed\" have a group");
+                validator.error(&key_path("group"), "only classes of effect \"keyed\" have a group");
             }
         } else if class.window < class.deadline {
-            let what = "a repeat may come after the window; the module sends none then".to_owned();
-            validator.note(Severity::Warning, &at("window"), what, format!("at least {}", class.deadline));
+            let message = "shorter than the deadline: requests are not retried after the window".to_owned();
+            validator.report(
+                Severity::Warning,
+                &key_path("window"),
+                message,
+                format!("at least {}", class.deadline),
+            );
         }
-        for (n, method) in class.methods.iter().enumerate() {
-            if let Some(earlier) = by_method.insert(method, k) {
-                let what = format!("class[{earlier}] is for {method} too");
-                validator.error(&at(&format!("methods[{n}]")), what);
+        for (position, method) in class.methods.iter().enumerate() {
+            if let Some(earlier) = class_by_method.insert(method, index) {
+                let message = format!("{method} already belongs to class[{earlier}]");
+                validator.error(&key_path(&format!("methods[{position}]")), message);
             }
         }
     }
-    if with_defaults(file).len() > 255 {
-        validator.error("class", "more than 253 classes");
+    if classes_with_defaults(file).len() > 255 {
+        validator.error("class", "too many classes; at most 253 besides `read` and `write`");
     }
     let methods = |c: &model::Class| c.methods.iter().filter_map(|m| m.parse().ok()).collect();
     let build = |c: model::Class| RequestClass {
@@ -286,29 +304,29 @@
         methods: methods(&c),
         name: c.name,
     };
-    with_defaults(file).into_iter().map(build).collect()
+    classes_with_defaults(file).into_iter().map(build).collect()
 }
 
-fn tenants(file: &ConfigFile, validator: &mut Validator<'_>) -> Option<Tenants> {
+fn build_tenants(file: &ConfigFile, validator: &mut Validator<'_>) -> Option<Tenants> {
     let tenants = file.tenants.clone().unwrap_or_default();
-    unique(tenants.tenant.iter().map(|t| &t.name), "tenants.tenant", validator);
+    check_unique_names(tenants.tenant.iter().map(|t| &t.name), "tenants.tenant", validator);
     let shares = tenants.tenant.iter().map(|t| (t.name.clone(), t.rate));
-    Some(Tenants::new(header(&tenants.header)?, shares, tenants.over_share_worth))
+    Some(Tenants::new(parse_header_name(&tenants.header)?, shares, tenants.over_share_worth))
 }
 
-fn pool(
+fn build_pool(
     pool: &model::Pool,
-    k: usize,
+    index: usize,
     settings: Settings,
     zones: &[String],
     folder: &Path,
     validator: &mut Validator<'_>,
 ) -> Pool {
-    let at = |key: &str| format!("pool[{k}].{key}");
-    let told = [pool.servers.is_some(), pool.watch.is_some(), pool.discovery.is_some()];
-    if told.iter().filter(|t| **t).count() != 1 {
-        let what = "exactly one of `servers`, `watch` and `discovery` says who its servers are";
-        validator.error(&format!("pool[{k}]"), what);
+    let key_path = |key: &str| format!("pool[{index}].{key}");
+    let sources = [pool.servers.is_some(), pool.watch.is_some(), pool.discovery.is_some()];
+    if sources.iter().filter(|is_set| **is_set).count() != 1 {
+        let message = "exactly one of `servers`, `watch` and `discovery` must be set";
+        validator.error(&format!("pool[{index}]"), message);
     }
     let source = match (&pool.servers, &pool.watch, pool.discovery) {
         (_, Some(path), _) => Source::Watch(folder.join(path)),
@@ -321,10 +339,10 @@
         (list, ..) => {
             let list = list.as_deref().unwrap_or_default();
             if pool.servers.is_some() && list.is_empty() {
-                let what = "the pool has no servers: all its requests are refused".to_owned();
-                validator.note(Severity::Warning, &at("servers"), what, String::new());
+                let message = "the pool has no servers; all its requests are refused".to_owned();
+                validator.report(Severity::Warning, &key_path("servers"), message, String::new());
             }
-            Source::Static(servers(list, &at("servers"), settings.zone, zones, validator))
+            Source::Static(build_servers(list, &key_path("servers"), settings.zone, zones, validator))
         }
     };
     Pool {
@@ -348,47 +366,52 @@
     }
 }
 
-/// The servers of one list. Two of one name are an error; two of one address share a machine, which is worth a word.
-pub(super) fn servers(
+/// Builds the servers of one list. A duplicate name is an error; a duplicate address under two names is a warning.
+pub(super) fn build_servers(
     list: &[model::Server],
     path: &str,
-    zone: u8,
+    default_zone: u8,
     zones: &[String],
     validator: &mut Validator<'_>,
 ) -> Vec<Server> {
     let (mut names, mut addresses) = (BTreeMap::new(), BTreeMap::new());
-    let mut out = Vec::with_capacity(list.len());
-    for (k, server) in list.iter().enumerate() {
+    let mut servers = Vec::with_capacity(list.len());
+    for (index, server) in list.iter().enumerate() {
         let name = server.identity();
-        if let Some(earlier) = names.insert(name.clone(), k) {
-            validator.error(&format!("{path}[{k}]"), format!("{path}[{earlier}] has the name `{name}` too"));
-        } else if let Some(earlier) = addresses.insert(server.address, k) {
-            let what =
-                format!("{path}[{earlier}] has the address {} too: each gets a full share", server.address);
-            validator.note(Severity::Warning, &format!("{path}[{k}].address"), what, String::new());
+        if let Some(earlier) = names.insert(name.clone(), index) {
+            validator.error(
+                &format!("{path}[{index}]"),
+                format!("the name `{name}` is already used by {path}[{earlier}]"),
+            );
+        } else if let Some(earlier) = addresses.insert(server.address, index) {
+            let message = format!(
+                "the address {} is also that of {path}[{earlier}]; each entry gets a full share",
+                server.address
+            );
+            validator.report(Severity::Warning, &format!("{path}[{index}].address"), message, String::new());
         }
-        let own = match &server.zone {
-            None => Some(zone),
-            Some(name) => zones.iter().position(|z| z == name).map(|at| at as u8),
+        let zone = match &server.zone {
+            None => Some(default_zone),
+            Some(name) => zones.iter().position(|z| z == name).map(|position| position as u8),
         };
-        if own.is_none() {
+        if zone.is_none() {
             let allowed = zones.iter().filter(|z| !z.is_empty()).cloned().collect::<Vec<_>>().join(", ");
-            let what = "the operator's file names no such zone".to_owned();
-            validator.note(Severity::Error, &format!("{path}[{k}].zone"), what, allowed);
+            let message = "the configuration file lists no such zone".to_owned();
+            validator.report(Severity::Error, &format!("{path}[{index}].zone"), message, allowed);
         }
-        out.push(Server {
+        servers.push(Server {
             name,
             address: server.address,
             weight: server.weight,
-            zone: own.unwrap_or(zone),
+            zone: zone.unwrap_or(default_zone),
             kind: server.kind.clone(),
             drain: server.drain,
             backup: server.backup,
         });
     }
-    out
+    servers
 }
 
-pub(super) fn header(name: &str) -> Option<HeaderName> {
+pub(super) fn parse_header_name(name: &str) -> Option<HeaderName> {
     HeaderName::try_from(name).ok()
 }
--- a/crates/plan/src/config/mod.rs
+++ b/crates/plan/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! The operator's file: TOML in, a [`Plan`] or every fault out. Nothing here opens a file.
+//! The operator's configuration file: TOML text in, a [`Plan`] or all diagnostics out. Nothing here reads from disk.
 
 mod compile;
 pub mod model;
@@ -16,51 +16,52 @@
 use toml::Spanned;
 pub use validator::{Diagnostic, Severity};
 
-/// A plan with what should be said of its file all the same.
+/// A configuration without errors.
 #[derive(Debug)]
 pub struct CheckedConfig {
-    /// What the program does.
+    /// The compiled configuration.
     pub plan: Plan,
-    /// The file as it was read.
+    /// The deserialized file.
     pub file: model::ConfigFile,
-    /// Warnings only.
+    /// Diagnostics of severity [`Severity::Warning`] only.
     pub warnings: Vec<Diagnostic>,
 }
 
-/// Reads an operator's file. Files that it names are looked for in `folder`.
+/// Parses, checks and compiles a configuration file. Relative paths in it are resolved against `folder`.
 ///
 /// # Errors
-/// Every fault that was found, by its place in the file; at least one of them is an error.
+/// All diagnostics, sorted by position; at least one of them is an error.
 pub fn parse_config(text: &str, folder: &Path) -> Result<CheckedConfig, Vec<Diagnostic>> {
-    let (mut validator, document) = validator::Validator::read(text, &schema::CONFIG);
-    let built = parse::<model::ConfigFile>(document, &mut validator).and_then(|file| {
+    let (mut validator, document) = validator::Validator::validate(text, &schema::CONFIG);
+    let compiled = deserialize::<model::ConfigFile>(document, &mut validator).and_then(|file| {
         let plan = compile::compile(&file, folder, Version::of(text.as_bytes()), &mut validator)?;
         Some((plan, file))
     });
-    let failed = validator.has_errors();
-    let mut faults = validator.diagnostics;
-    faults.sort_by_key(|f| (f.line, f.column));
-    match built {
-        Some((plan, file)) if !failed => Ok(CheckedConfig { plan, file, warnings: faults }),
-        _ => Err(faults),
+    let has_errors = validator.has_errors();
+    let mut diagnostics = validator.diagnostics;
+    diagnostics.sort_by_key(|d| (d.line, d.column));
+    match compiled {
+        Some((plan, file)) if !has_errors => Ok(CheckedConfig { plan, file, warnings: diagnostics }),
+        _ => Err(diagnostics),
     }
 }
 
-/// Reads a file that a pool watches. Zones are looked up among the plan's; a server without one stands in the program's own.
+/// Parses the server list that a pool watches. Zone names are resolved to indexes into `zones`; a server without a zone
+/// gets `zone`, the node's own.
 ///
 /// # Errors
-/// Every fault that was found.
+/// All diagnostics.
 pub fn parse_server_list(text: &str, zone: u8, zones: &[String]) -> Result<Vec<Server>, Vec<Diagnostic>> {
-    let (mut validator, document) = validator::Validator::read(text, &schema::SERVER_LIST);
-    let servers = parse::<model::ServerList>(document, &mut validator)
-        .map(|file| compile::servers(&file.servers, "servers", zone, zones, &mut validator));
+    let (mut validator, document) = validator::Validator::validate(text, &schema::SERVER_LIST);
+    let servers = deserialize::<model::ServerList>(document, &mut validator)
+        .map(|list| compile::build_servers(&list.servers, "servers", zone, zones, &mut validator));
     match servers {
         Some(servers) if !validator.has_errors() => Ok(servers),
         _ => Err(validator.diagnostics),
     }
 }
 
-fn parse<T: DeserializeOwned>(
+fn deserialize<T: DeserializeOwned>(
     document: Spanned<DeTable<'_>>,
     validator: &mut validator::Validator<'_>,
 ) -> Option<T> {
@@ -69,7 +70,7 @@
     }
     match T::deserialize(toml::Deserializer::from(document)) {
         Ok(value) => Some(value),
-        // The schema lets through only what serde reads; should they differ, the operator hears of it all the same.
+        // Reached only if the schema accepts something that the serde model does not.
         Err(error) => {
             validator.error("", error.message().to_owned());
             None
--- a/crates/plan/src/config/model.rs
+++ b/crates/plan/src/config/model.rs
@@ -1,4 +1,4 @@
-//! The operator's file as serde reads and writes it. What each key means stands in [`super::schema`].
+//! The serde model of the configuration file. The keys are described in [`super::schema`].
 #![allow(missing_docs)] // Each key is documented once, in the schema.
 
 use super::values::{ByteSize, Duration};
@@ -41,29 +41,29 @@
     pub seeds: Vec<SocketAddr>,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub key_file: Option<String>,
-    #[serde(default = "probe_every")]
+    #[serde(default = "default_probe_every")]
     pub probe_every: Duration,
-    #[serde(default = "probe_timeout")]
+    #[serde(default = "default_probe_timeout")]
     pub probe_timeout: Duration,
-    #[serde(default = "suspect_for")]
+    #[serde(default = "default_suspect_for")]
     pub suspect_for: Duration,
-    #[serde(default = "datagram_bytes")]
+    #[serde(default = "default_datagram_bytes")]
     pub datagram_bytes: usize,
 }
 
-fn probe_every() -> Duration {
+fn default_probe_every() -> Duration {
     Duration::from_millis(500)
 }
 
-fn probe_timeout() -> Duration {
+fn default_probe_timeout() -> Duration {
     Duration::from_millis(200)
 }
 
-fn suspect_for() -> Duration {
+fn default_suspect_for() -> Duration {
     Duration::from_millis(2_500)
 }
 
-fn datagram_bytes() -> usize {
+fn default_datagram_bytes() -> usize {
     1_200
 }
 
@@ -129,19 +129,19 @@
     pub forwarded: Forwarded,
     #[serde(default)]
     pub trust_forwarded: bool,
-    #[serde(default = "request_id")]
+    #[serde(default = "default_request_id")]
     pub request_id: String,
-    #[serde(default = "yes")]
+    #[serde(default = "default_true")]
     pub merge_slashes: bool,
     #[serde(default)]
     pub keep_escaped_slashes: bool,
 }
 
-fn request_id() -> String {
+fn default_request_id() -> String {
     "x-request-id".to_owned()
 }
 
-fn yes() -> bool {
+fn default_true() -> bool {
     true
 }
 
@@ -168,42 +168,42 @@
     pub effect: Effect,
     #[serde(default)]
     pub methods: Vec<String>,
-    #[serde(default = "aim")]
+    #[serde(default = "one_second")]
     pub aim: Duration,
-    #[serde(default = "deadline")]
+    #[serde(default = "default_deadline")]
     pub deadline: Duration,
     #[serde(default = "one")]
     pub worth: f64,
-    #[serde(default = "half")]
+    #[serde(default = "default_late_worth")]
     pub late_worth: f64,
     #[serde(default)]
     pub group: Group,
-    #[serde(default = "window")]
+    #[serde(default = "ten_seconds")]
     pub window: Duration,
 }
 
 impl Class {
-    /// A class with nothing but its name, its effect and its methods told.
+    /// A class with defaults for all other keys.
     pub fn new(name: &str, effect: Effect, methods: &[&str]) -> Self {
         Class {
             name: name.to_owned(),
             effect,
             methods: methods.iter().map(|m| (*m).to_owned()).collect(),
-            aim: aim(),
-            deadline: deadline(),
+            aim: one_second(),
+            deadline: default_deadline(),
             worth: one(),
-            late_worth: half(),
+            late_worth: default_late_worth(),
             group: Group::All,
-            window: window(),
+            window: ten_seconds(),
         }
     }
 }
 
-fn aim() -> Duration {
+fn one_second() -> Duration {
     Duration::from_millis(1_000)
 }
 
-fn deadline() -> Duration {
+fn default_deadline() -> Duration {
     Duration::from_millis(30_000)
 }
 
@@ -211,11 +211,11 @@
     1.0
 }
 
-fn half() -> f64 {
+fn default_late_worth() -> f64 {
     0.5
 }
 
-fn window() -> Duration {
+fn ten_seconds() -> Duration {
     Duration::from_millis(10_000)
 }
 
@@ -254,17 +254,17 @@
     pub max_attempts: u32,
     #[serde(default)]
     pub second_copies: bool,
-    #[serde(default = "concurrency")]
+    #[serde(default = "default_concurrency")]
     pub concurrency: u32,
-    #[serde(default = "connect_timeout")]
+    #[serde(default = "default_connect_timeout")]
     pub connect_timeout: Duration,
-    #[serde(default = "window")]
+    #[serde(default = "ten_seconds")]
     pub idle_timeout: Duration,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub max_connections: Option<usize>,
-    #[serde(default = "max_waiting")]
+    #[serde(default = "default_max_waiting")]
     pub max_waiting: usize,
-    #[serde(default = "cold_from")]
+    #[serde(default = "default_cold_from")]
     pub cold_from: f64,
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub cold_ramp: Option<Duration>,
@@ -276,19 +276,19 @@
     3
 }
 
-fn concurrency() -> u32 {
+fn default_concurrency() -> u32 {
     64
 }
 
-fn connect_timeout() -> Duration {
+fn default_connect_timeout() -> Duration {
     Duration::from_millis(500)
 }
 
-fn max_waiting() -> usize {
+fn default_max_waiting() -> usize {
     256
 }
 
-fn cold_from() -> f64 {
+fn default_cold_from() -> f64 {
     0.3
 }
 
@@ -311,13 +311,13 @@
 }
 
 impl Server {
-    /// Its identity in the pool.
+    /// The server's identity within its pool: its name, or its address if it has none.
     pub fn identity(&self) -> String {
         self.name.clone().unwrap_or_else(|| self.address.to_string())
     }
 }
 
-/// A file that a pool watches.
+/// The file named by a pool's `watch`.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServerList {
@@ -328,19 +328,19 @@
 #[serde(deny_unknown_fields)]
 pub struct Check {
     pub path: String,
-    #[serde(default = "every")]
+    #[serde(default = "default_check_interval")]
     pub every: Duration,
-    #[serde(default = "aim")]
+    #[serde(default = "one_second")]
     pub timeout: Duration,
     #[serde(default = "two")]
     pub rise: u32,
     #[serde(default = "three")]
     pub fall: u32,
-    #[serde(default = "ok")]
+    #[serde(default = "default_check_status")]
     pub status: Vec<u16>,
 }
 
-fn every() -> Duration {
+fn default_check_interval() -> Duration {
     Duration::from_millis(2_000)
 }
 
@@ -348,7 +348,7 @@
     2
 }
 
-fn ok() -> Vec<u16> {
+fn default_check_status() -> Vec<u16> {
     vec![200]
 }
 
@@ -395,11 +395,11 @@
 #[serde(deny_unknown_fields)]
 pub struct Redirect {
     pub to: String,
-    #[serde(default = "found")]
+    #[serde(default = "default_redirect_status")]
     pub status: u16,
 }
 
-fn found() -> u16 {
+fn default_redirect_status() -> u16 {
     302
 }
 
@@ -409,11 +409,11 @@
     pub status: u16,
     #[serde(default)]
     pub body: String,
-    #[serde(default = "plain")]
+    #[serde(default = "default_content_type")]
     pub content_type: String,
 }
 
-fn plain() -> String {
+fn default_content_type() -> String {
     "text/plain; charset=utf-8".to_owned()
 }
 
--- a/crates/plan/src/config/routes.rs
+++ b/crates/plan/src/config/routes.rs
@@ -1,6 +1,6 @@
-//! Routes, from the file to the plan.
+//! Compiles the routes of the configuration file to those of the plan.
 
-use super::compile::{header, unique, with_defaults};
+use super::compile::{check_unique_names, classes_with_defaults, parse_header_name};
 use super::model::{self, ConfigFile};
 use super::validator::{Severity, Validator};
 use crate::plan::Listener;
@@ -13,91 +13,99 @@
 use http::Method;
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 
-pub(super) fn routes(
+pub(super) fn build_routes(
     file: &ConfigFile,
     listeners: &[Listener],
     validator: &mut Validator<'_>,
 ) -> Vec<Option<Route>> {
     if file.route.is_empty() {
-        validator.error("route", "there must be at least one route");
+        validator.error("route", "at least one route is required");
     }
-    unique(file.route.iter().map(|r| &r.name), "route", validator);
-    let classes: Vec<_> = with_defaults(file).into_iter().map(|c| c.name).collect();
-    let names = Names {
-        listeners: Named::new("listener", file.listener.iter().map(|l| l.name.as_str())),
-        classes: Named::new("class", classes.iter().map(String::as_str)),
-        pools: Named::new("pool", file.pool.iter().map(|p| p.name.as_str())),
+    check_unique_names(file.route.iter().map(|r| &r.name), "route", validator);
+    let classes: Vec<_> = classes_with_defaults(file).into_iter().map(|c| c.name).collect();
+    let tables = NameTables {
+        listeners: NameTable::new("listener", file.listener.iter().map(|l| l.name.as_str())),
+        classes: NameTable::new("class", classes.iter().map(String::as_str)),
+        pools: NameTable::new("pool", file.pool.iter().map(|p| p.name.as_str())),
     };
-    file.route.iter().enumerate().map(|(k, r)| route(r, k, &names, listeners, validator)).collect()
+    file.route
+        .iter()
+        .enumerate()
+        .map(|(index, route)| build_route(route, index, &tables, listeners, validator))
+        .collect()
 }
 
-/// Names of one kind, with the place of each; of two alike, the first's.
-struct Named<'f> {
-    what: &'static str,
-    places: HashMap<&'f str, usize>,
+/// The names in one list of tables, with the index of each. Of duplicates, the first counts.
+struct NameTable<'f> {
+    /// What the names stand for, for messages.
+    subject: &'static str,
+    indexes: HashMap<&'f str, usize>,
     all: Vec<&'f str>,
 }
 
-/// All that routes name.
-struct Names<'f> {
-    listeners: Named<'f>,
-    classes: Named<'f>,
-    pools: Named<'f>,
+/// The names that routes refer to.
+struct NameTables<'f> {
+    listeners: NameTable<'f>,
+    classes: NameTable<'f>,
+    pools: NameTable<'f>,
 }
 
-impl<'f> Named<'f> {
-    fn new(what: &'static str, names: impl Iterator<Item = &'f str>) -> Self {
+impl<'f> NameTable<'f> {
+    fn new(subject: &'static str, names: impl Iterator<Item = &'f str>) -> Self {
         let all: Vec<_> = names.collect();
-        let mut places = HashMap::with_capacity(all.len());
-        all.iter().enumerate().for_each(|(at, name)| {
-            places.entry(*name).or_insert(at);
+        let mut indexes = HashMap::with_capacity(all.len());
+        all.iter().enumerate().for_each(|(index, name)| {
+            indexes.entry(*name).or_insert(index);
         });
-        Named { what, places, all }
+        NameTable { subject, indexes, all }
     }
 
-    /// The place of a name; notes where there is none.
-    fn find(&self, name: &str, at: &str, validator: &mut Validator<'_>) -> Option<usize> {
-        let found = self.places.get(name).copied();
+    /// The index of a name; reports an error at `key_path` if there is none.
+    fn find(&self, name: &str, key_path: &str, validator: &mut Validator<'_>) -> Option<usize> {
+        let found = self.indexes.get(name).copied();
         if found.is_none() {
-            let message = format!("there is no {} `{name}`", self.what);
-            validator.note(Severity::Error, at, message, self.all.join(", "));
+            let message = format!("there is no {} `{name}`", self.subject);
+            validator.report(Severity::Error, key_path, message, self.all.join(", "));
         }
         found
     }
 }
 
-fn route(
-    r: &model::Route,
-    k: usize,
-    names: &Names<'_>,
+fn build_route(
+    route: &model::Route,
+    index: usize,
+    tables: &NameTables<'_>,
     listeners: &[Listener],
     validator: &mut Validator<'_>,
 ) -> Option<Route> {
-    let at = |key: &str| format!("route[{k}].{key}");
-    let own: Vec<_> = r
+    let key_path = |key: &str| format!("route[{index}].{key}");
+    let listener_indexes: Vec<_> = route
         .listeners
         .iter()
         .enumerate()
-        .filter_map(|(n, name)| names.listeners.find(name, &at(&format!("listeners[{n}]")), validator))
+        .filter_map(|(position, name)| {
+            tables.listeners.find(name, &key_path(&format!("listeners[{position}]")), validator)
+        })
         .collect();
-    let rules = rules_of(&own, listeners, k, r, validator);
-    let path = path(r, rules, k, validator);
-    let class = r.class.as_ref().and_then(|name| names.classes.find(name, &at("class"), validator));
-    let headers = fields(&r.headers, &at("headers"), true, validator);
-    let query = fields(&r.query, &at("query"), false, validator);
-    let told = [r.pool.is_some(), r.redirect.is_some(), r.answer.is_some()];
-    if told.iter().filter(|t| **t).count() != 1 {
-        let what = "exactly one of `pool`, `redirect` and `answer` says what becomes of a request";
-        validator.error(&format!("route[{k}]"), what);
+    let rules = common_path_rules(&listener_indexes, listeners, index, route, validator);
+    let path = build_path_pattern(route, rules, index, validator);
+    let class =
+        route.class.as_ref().and_then(|name| tables.classes.find(name, &key_path("class"), validator));
+    let headers = build_field_matches(&route.headers, &key_path("headers"), true, validator);
+    let query = build_field_matches(&route.query, &key_path("query"), false, validator);
+    let outcomes = [route.pool.is_some(), route.redirect.is_some(), route.answer.is_some()];
+    if outcomes.iter().filter(|is_set| **is_set).count() != 1 {
+        let message = "exactly one of `pool`, `redirect` and `answer` must be set";
+        validator.error(&format!("route[{index}]"), message);
         return None;
     }
-    if r.pool.is_none() && r.rewrite.is_some() {
-        validator.error(&at("rewrite"), "only a route with `pool` rewrites");
+    if route.pool.is_none() && route.rewrite.is_some() {
+        validator.error(&key_path("rewrite"), "`rewrite` requires `pool`");
     }
-    let outcome = match (&r.pool, &r.redirect, &r.answer) {
+    let outcome = match (&route.pool, &route.redirect, &route.answer) {
         (Some(name), ..) => {
-            let pool = names.pools.find(name, &at("pool"), validator)?;
-            Outcome::Forward { pool, rewrite: Box::new(rewrite(r, rules, k, validator)) }
+            let pool = tables.pools.find(name, &key_path("pool"), validator)?;
+            Outcome::Forward { pool, rewrite: Box::new(build_rewrite(route, rules, index, validator)) }
         }
         (_, Some(redirect), _) => Outcome::Redirect(Redirect::parse(&redirect.to, redirect.status).ok()?),
         (.., Some(answer)) => Outcome::Answer {
@@ -108,11 +116,11 @@
         _ => return None,
     };
     Some(Route {
-        name: r.name.clone(),
-        listeners: own,
-        hosts: r.hosts.iter().filter_map(|h| HostPattern::parse(h).ok()).collect(),
+        name: route.name.clone(),
+        listeners: listener_indexes,
+        hosts: route.hosts.iter().filter_map(|h| HostPattern::parse(h).ok()).collect(),
         path,
-        methods: r.methods.iter().filter_map(|m| m.parse::<Method>().ok()).collect(),
+        methods: route.methods.iter().filter_map(|m| m.parse::<Method>().ok()).collect(),
         headers,
         query,
         class,
@@ -120,87 +128,107 @@
     })
 }
 
-/// How the paths of a route's listeners are read. A written path has one form only if they all agree.
-fn rules_of(
-    own: &[usize],
+/// The path rules of a route's listeners. If they differ, a path in the route has no single normal form, which is an error.
+fn common_path_rules(
+    listener_indexes: &[usize],
     listeners: &[Listener],
-    k: usize,
-    r: &model::Route,
+    index: usize,
+    route: &model::Route,
     validator: &mut Validator<'_>,
 ) -> PathRules {
-    let all: Vec<_> = if own.is_empty() { (0..listeners.len()).collect() } else { own.to_vec() };
-    let rules: Vec<_> = all.iter().map(|l| listeners[*l].paths).collect();
+    let indexes: Vec<_> =
+        if listener_indexes.is_empty() { (0..listeners.len()).collect() } else { listener_indexes.to_vec() };
+    let rules: Vec<_> = indexes.iter().map(|l| listeners[*l].paths).collect();
     let first = rules.first().copied().unwrap_or_default();
-    if rules.iter().any(|r| *r != first) && (r.path.is_some() || r.path_prefix.is_some()) {
-        let what = "its listeners read paths in different ways: give each a route of its own";
-        validator.error(&format!("route[{k}].listeners"), what);
+    if rules.iter().any(|r| *r != first) && (route.path.is_some() || route.path_prefix.is_some()) {
+        let message = "its listeners normalise paths in different ways; use one route per listener";
+        validator.error(&format!("route[{index}].listeners"), message);
     }
     first
 }
 
-fn path(r: &model::Route, rules: PathRules, k: usize, validator: &mut Validator<'_>) -> Option<PathPattern> {
-    let at = |key: &str| format!("route[{k}].{key}");
-    let told = [r.path.is_some(), r.path_prefix.is_some(), r.path_regex.is_some()];
-    if told.iter().filter(|t| **t).count() > 1 {
-        validator.error(&format!("route[{k}]"), "at most one of `path`, `path_prefix` and `path_regex`");
+fn build_path_pattern(
+    route: &model::Route,
+    rules: PathRules,
+    index: usize,
+    validator: &mut Validator<'_>,
+) -> Option<PathPattern> {
+    let key_path = |key: &str| format!("route[{index}].{key}");
+    let conditions = [route.path.is_some(), route.path_prefix.is_some(), route.path_regex.is_some()];
+    if conditions.iter().filter(|is_set| **is_set).count() > 1 {
+        validator.error(
+            &format!("route[{index}]"),
+            "at most one of `path`, `path_prefix` and `path_regex` may be set",
+        );
     }
-    let (key, built) = match (&r.path, &r.path_prefix, &r.path_regex) {
+    let (key, pattern) = match (&route.path, &route.path_prefix, &route.path_regex) {
         (Some(path), ..) => ("path", PathPattern::exact(path, rules).map_err(|e| e.to_string())),
         (_, Some(path), _) => ("path_prefix", PathPattern::prefix(path, rules).map_err(|e| e.to_string())),
         (.., Some(text)) => ("path_regex", PathPattern::regex(text).map_err(|e| e.to_string())),
         _ => return None,
     };
-    built.map_err(|what| validator.error(&at(key), format!("no request has this path: {what}"))).ok()
+    pattern
+        .map_err(|error| validator.error(&key_path(key), format!("no request can match this path: {error}")))
+        .ok()
 }
 
-fn fields(
+fn build_field_matches(
     list: &[model::FieldCondition],
     path: &str,
-    headers: bool,
+    are_headers: bool,
     validator: &mut Validator<'_>,
 ) -> Vec<FieldMatch> {
-    let mut out = Vec::new();
-    for (k, field) in list.iter().enumerate() {
-        let at = format!("{path}[{k}]");
-        let told =
+    let mut matches = Vec::new();
+    for (index, field) in list.iter().enumerate() {
+        let item_path = format!("{path}[{index}]");
+        let tests =
             [field.is.is_some(), field.begins.is_some(), field.matches.is_some(), field.present.is_some()];
-        if told.iter().filter(|t| **t).count() != 1 {
-            validator.error(&at, "exactly one of `is`, `begins`, `matches` and `present`");
+        if tests.iter().filter(|is_set| **is_set).count() != 1 {
+            validator.error(&item_path, "exactly one of `is`, `begins`, `matches` and `present` must be set");
         }
-        if headers && header(&field.name).is_none() {
-            validator.error(&format!("{at}.name"), format!("{:?} is no header's name", field.name));
+        if are_headers && parse_header_name(&field.name).is_none() {
+            validator
+                .error(&format!("{item_path}.name"), format!("{:?} is not a valid header name", field.name));
         }
-        let whole = |text: &String| {
+        let match_whole = |text: &String| {
             regex::Regex::new(&format!("^(?:{text})$")).ok().map(|regex| FieldTest::Matches(regex.into()))
         };
         let test = match (&field.is, &field.begins, &field.matches, field.present) {
             (Some(text), ..) => Some(FieldTest::Is(text.clone())),
             (_, Some(text), ..) => Some(FieldTest::Begins(text.clone())),
-            (_, _, Some(text), _) => whole(text),
+            (_, _, Some(text), _) => match_whole(text),
             (.., Some(false)) => Some(FieldTest::Absent),
             _ => Some(FieldTest::Present),
         };
-        let name = if headers { field.name.to_ascii_lowercase() } else { field.name.clone() };
-        out.extend(test.map(|test| FieldMatch { name, test }));
+        let name = if are_headers { field.name.to_ascii_lowercase() } else { field.name.clone() };
+        matches.extend(test.map(|test| FieldMatch { name, test }));
     }
-    out
+    matches
 }
 
-fn rewrite(r: &model::Route, rules: PathRules, k: usize, validator: &mut Validator<'_>) -> Rewrite {
-    let Some(w) = &r.rewrite else { return Rewrite::default() };
-    let at = |key: &str| format!("route[{k}].rewrite.{key}");
-    let told = [w.path.is_some(), w.prefix.is_some(), w.regex.is_some()];
-    if told.iter().filter(|t| **t).count() > 1 {
-        validator.error(&format!("route[{k}].rewrite"), "at most one of `path`, `prefix` and `regex`");
+fn build_rewrite(
+    route: &model::Route,
+    rules: PathRules,
+    index: usize,
+    validator: &mut Validator<'_>,
+) -> Rewrite {
+    let Some(rewrite) = &route.rewrite else { return Rewrite::default() };
+    let key_path = |key: &str| format!("route[{index}].rewrite.{key}");
+    let path_rewrites = [rewrite.path.is_some(), rewrite.prefix.is_some(), rewrite.regex.is_some()];
+    if path_rewrites.iter().filter(|is_set| **is_set).count() > 1 {
+        validator.error(
+            &format!("route[{index}].rewrite"),
+            "at most one of `path`, `prefix` and `regex` may be set",
+        );
     }
-    if w.regex.is_some() != w.with.is_some() {
-        validator.error(&format!("route[{k}].rewrite"), "`regex` and `with` belong together");
+    if rewrite.regex.is_some() != rewrite.with.is_some() {
+        validator.error(&format!("route[{index}].rewrite"), "`regex` and `with` must be set together");
     }
-    let from = r.path_prefix.as_deref().map(|p| PathPattern::prefix(p, rules));
-    if w.prefix.is_some() && from.is_none() {
-        validator.error(&at("prefix"), "only a route with `path_prefix` has a prefix to rewrite");
+    let from = route.path_prefix.as_deref().map(|p| PathPattern::prefix(p, rules));
+    if rewrite.prefix.is_some() && from.is_none() {
+        validator.error(&key_path("prefix"), "`rewrite.prefix` requires `path_prefix`");
     }
-    let path = match (&w.path, &w.prefix, &w.regex) {
+    let path = match (&rewrite.path, &rewrite.prefix, &rewrite.regex) {
         (Some(path), ..) => Some(PathRewrite::Whole(path.clone())),
         (_, Some(to), _) => match from {
             Some(Ok(PathPattern::Prefix(from))) => {
@@ -209,33 +237,33 @@
             _ => None,
         },
         (.., Some(find)) => {
-            let with = w.with.clone().unwrap_or_default();
+            let with = rewrite.with.clone().unwrap_or_default();
             regex::Regex::new(find).ok().map(|find| PathRewrite::Regex { find: find.into(), with })
         }
         _ => None,
     };
     if let Some(PathRewrite::Regex { find, with }) = &path {
-        for name in unknown_groups(find, with) {
-            validator.error(&at("with"), format!("`regex` has no group `{name}`"));
+        for name in find_unknown_groups(find, with) {
+            validator.error(&key_path("with"), format!("`regex` has no group `{name}`"));
         }
     }
     Rewrite {
         path,
-        host: w.host.as_ref().and_then(|h| HeaderValue::from_str(h).ok()),
-        request: edits(&w.request),
-        response: edits(&w.response),
+        host: rewrite.host.as_ref().and_then(|h| HeaderValue::from_str(h).ok()),
+        request: build_header_edits(&rewrite.request),
+        response: build_header_edits(&rewrite.response),
     }
 }
 
-/// Groups that a replacement names and its expression does not have: each would silently stand for nothing.
-fn unknown_groups(find: &regex::Regex, with: &str) -> Vec<String> {
+/// Capture groups that a replacement refers to but the expression lacks. Each would expand to an empty string.
+fn find_unknown_groups(find: &regex::Regex, with: &str) -> Vec<String> {
     let named: BTreeSet<_> = find.capture_names().flatten().map(str::to_owned).collect();
-    let known =
+    let is_known =
         |name: &str| named.contains(name) || name.parse::<usize>().is_ok_and(|n| n < find.captures_len());
     let mut unknown = Vec::new();
     let mut rest = with;
-    while let Some(at) = rest.find('$') {
-        rest = &rest[at + 1..];
+    while let Some(dollar) = rest.find('$') {
+        rest = &rest[dollar + 1..];
         if let Some(after) = rest.strip_prefix('$') {
             rest = after;
             continue;
@@ -247,49 +275,53 @@
                 &rest[..end]
             }
         };
-        if !name.is_empty() && !known(name) {
+        if !name.is_empty() && !is_known(name) {
             unknown.push(name.to_owned());
         }
     }
     unknown
 }
 
-fn edits(edits: &model::HeaderEdits) -> HeaderEdits {
-    let pairs = |map: &BTreeMap<String, String>| {
-        map.iter().filter_map(|(n, v)| Some((header(n)?, HeaderValue::from_str(v).ok()?))).collect()
+fn build_header_edits(edits: &model::HeaderEdits) -> HeaderEdits {
+    let parse_headers = |map: &BTreeMap<String, String>| {
+        map.iter()
+            .filter_map(|(n, v)| Some((parse_header_name(n)?, HeaderValue::from_str(v).ok()?)))
+            .collect()
     };
     HeaderEdits {
-        remove: edits.remove.iter().filter_map(|n| header(n)).collect(),
-        set: pairs(&edits.set),
-        add: pairs(&edits.add),
+        remove: edits.remove.iter().filter_map(|n| parse_header_name(n)).collect(),
+        set: parse_headers(&edits.set),
+        add: parse_headers(&edits.add),
     }
 }
 
-pub(super) fn warn_of_unused(file: &ConfigFile, validator: &mut Validator<'_>) {
-    let named = |name: fn(&model::Route) -> Option<&String>| {
+/// Warns about pools and classes that no route uses.
+pub(super) fn warn_about_unused(file: &ConfigFile, validator: &mut Validator<'_>) {
+    let referenced = |name: fn(&model::Route) -> Option<&String>| {
         file.route.iter().filter_map(name).collect::<HashSet<_>>()
     };
-    let (pools, classes) = (named(|r| r.pool.as_ref()), named(|r| r.class.as_ref()));
-    for (k, pool) in file.pool.iter().enumerate() {
+    let (pools, classes) = (referenced(|r| r.pool.as_ref()), referenced(|r| r.class.as_ref()));
+    for (index, pool) in file.pool.iter().enumerate() {
         if !pools.contains(&pool.name) {
-            let what = "no route leads to this pool".to_owned();
-            validator.note(Severity::Warning, &format!("pool[{k}].name"), what, String::new());
+            let message = "no route uses this pool".to_owned();
+            validator.report(Severity::Warning, &format!("pool[{index}].name"), message, String::new());
         }
     }
-    for (k, class) in file.class.iter().enumerate() {
+    for (index, class) in file.class.iter().enumerate() {
         if !classes.contains(&class.name) && class.methods.is_empty() && class.name != "write" {
-            let what = "no route and no method leads to this class".to_owned();
-            validator.note(Severity::Warning, &format!("class[{k}].name"), what, String::new());
+            let message = "no route and no method uses this class".to_owned();
+            validator.report(Severity::Warning, &format!("class[{index}].name"), message, String::new());
         }
     }
 }
 
-pub(super) fn warn_of_covered(table: &RouteTable, validator: &mut Validator<'_>) {
-    for (k, earlier) in table.covered().into_iter().enumerate() {
+/// Warns about routes that are never taken because an earlier one matches all their requests.
+pub(super) fn warn_about_unreachable(table: &RouteTable, validator: &mut Validator<'_>) {
+    for (index, earlier) in table.covered().into_iter().enumerate() {
         if let Some(earlier) = earlier {
             let name = &table.routes()[earlier].name;
-            let what = format!("never taken: route `{name}` takes all its requests before");
-            validator.note(Severity::Warning, &format!("route[{k}].name"), what, String::new());
+            let message = format!("never taken: the earlier route `{name}` matches all its requests");
+            validator.report(Severity::Warning, &format!("route[{index}].name"), message, String::new());
         }
     }
 }
--- a/crates/plan/src/config/validator.rs
+++ b/crates/plan/src/config/validator.rs
@@ -1,4 +1,4 @@
-//! Holds a file against the schema: every fault with its place, not only the first.
+//! Checks a TOML document against the schema and reports every problem with its position, not only the first.
 
 use super::schema::{Key, KeyDefault, Kind, Table};
 use std::collections::BTreeMap;
@@ -6,29 +6,29 @@
 use toml::de::{DeTable, DeValue};
 use toml::Spanned;
 
-/// How grave a fault is.
+/// The severity of a diagnostic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Severity {
-    /// The file is not used.
+    /// The file is rejected.
     Error,
-    /// The file is used; this is probably not what was meant.
+    /// The file is accepted, but is probably not what the operator intended.
     Warning,
 }
 
-/// Something wrong with a file.
+/// A problem found in a file.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Diagnostic {
-    /// How grave it is.
+    /// Whether it rejects the file.
     pub severity: Severity,
-    /// Its line, from 1.
+    /// The line, counted from 1.
     pub line: usize,
-    /// Its column in characters, from 1.
+    /// The column in characters, counted from 1.
     pub column: usize,
-    /// The path of the key, such as `route[2].path`; empty for what is no TOML.
+    /// The path of the key, such as `route[2].path`; empty for TOML syntax errors.
     pub path: String,
-    /// What is wrong.
+    /// What is wrong, for the operator.
     pub message: String,
-    /// What is allowed there; empty where that goes without saying.
+    /// The values that are allowed there; empty if the message says enough.
     pub allowed: String,
 }
 
@@ -47,26 +47,26 @@
     }
 }
 
-/// Where the values of a file stand, and what was found wrong with it.
+/// Collects the diagnostics of a file and maps its keys to positions.
 #[derive(Debug)]
 pub struct Validator<'t> {
     text: &'t str,
-    /// Where each line begins.
-    lines: Vec<usize>,
-    /// By the path of the key, the place of its value; for a list of tables, of each table.
-    places: BTreeMap<String, Range<usize>>,
-    /// What is wrong, in the order in which it was found.
+    /// Byte offset of the start of each line.
+    line_starts: Vec<usize>,
+    /// Byte range of each value by the path of its key; array items have their own entries.
+    spans: BTreeMap<String, Range<usize>>,
+    /// Diagnostics, in the order in which they were found.
     pub diagnostics: Vec<Diagnostic>,
 }
 
 impl<'t> Validator<'t> {
-    /// Reads a text and holds it against a schema. What it holds comes with it, as far as it could be read.
-    pub fn read(text: &'t str, schema: &Table) -> (Self, Spanned<DeTable<'t>>) {
-        let lines = std::iter::once(0).chain(text.match_indices('\n').map(|(at, _)| at + 1)).collect();
-        let mut validator = Validator { text, lines, places: BTreeMap::new(), diagnostics: Vec::new() };
+    /// Parses a text and checks it against a schema. The document is returned as far as it could be parsed.
+    pub fn validate(text: &'t str, schema: &Table) -> (Self, Spanned<DeTable<'t>>) {
+        let line_starts = std::iter::once(0).chain(text.match_indices('\n').map(|(at, _)| at + 1)).collect();
+        let mut validator = Validator { text, line_starts, spans: BTreeMap::new(), diagnostics: Vec::new() };
         let (document, errors) = DeTable::parse_recoverable(text);
         for error in &errors {
-            let (line, column) = validator.position(error.span().map_or(0, |s| s.start));
+            let (line, column) = validator.line_and_column(error.span().map_or(0, |s| s.start));
             let message = error.message().to_owned();
             let (path, allowed) = (String::new(), String::new());
             validator.diagnostics.push(Diagnostic {
@@ -78,180 +78,180 @@
                 allowed,
             });
         }
-        // What was recovered from a broken text would give faults that are none.
+        // A document recovered after a syntax error would give spurious diagnostics.
         if errors.is_empty() {
-            validator.table("", document.span(), document.get_ref(), schema);
+            validator.check_table("", document.span(), document.get_ref(), schema);
         }
         (validator, document)
     }
 
-    /// Line and column of a byte.
-    fn position(&self, at: usize) -> (usize, usize) {
-        let mut at = at.min(self.text.len());
-        while !self.text.is_char_boundary(at) {
-            at -= 1;
+    /// Line and column, both from 1, of a byte offset.
+    fn line_and_column(&self, offset: usize) -> (usize, usize) {
+        let mut offset = offset.min(self.text.len());
+        while !self.text.is_char_boundary(offset) {
+            offset -= 1;
         }
-        let line = self.lines.partition_point(|start| *start <= at);
-        let start = self.lines[line - 1];
-        (line, self.text[start..at].chars().count() + 1)
+        let line = self.line_starts.partition_point(|start| *start <= offset);
+        let start = self.line_starts[line - 1];
+        (line, self.text[start..offset].chars().count() + 1)
     }
 
-    /// Notes a fault at a key that is, or should be, there. It stands at the nearest key that is.
-    pub fn note(&mut self, severity: Severity, path: &str, message: String, allowed: String) {
-        let mut near = path;
-        let at = loop {
-            if let Some(place) = self.places.get(near) {
-                break place.start;
+    /// Reports a problem with a key. If the key is absent, its closest enclosing table or array gives the position.
+    pub fn report(&mut self, severity: Severity, path: &str, message: String, allowed: String) {
+        let mut ancestor = path;
+        let offset = loop {
+            if let Some(span) = self.spans.get(ancestor) {
+                break span.start;
             }
-            match near.rfind(['.', '[']) {
-                Some(cut) => near = &near[..cut],
+            match ancestor.rfind(['.', '[']) {
+                Some(end) => ancestor = &ancestor[..end],
                 None => break 0,
             }
         };
-        let (line, column) = self.position(at);
+        let (line, column) = self.line_and_column(offset);
         self.diagnostics.push(Diagnostic { severity, line, column, path: path.to_owned(), message, allowed });
     }
 
-    /// Notes an error.
-    pub fn error(&mut self, path: &str, what: impl Into<String>) {
-        self.note(Severity::Error, path, what.into(), String::new());
+    /// Reports an error.
+    pub fn error(&mut self, path: &str, message: impl Into<String>) {
+        self.report(Severity::Error, path, message.into(), String::new());
     }
 
-    /// Whether anything found forbids the file's use.
+    /// Whether any diagnostic is an error.
     pub fn has_errors(&self) -> bool {
-        self.diagnostics.iter().any(|f| f.severity == Severity::Error)
+        self.diagnostics.iter().any(|d| d.severity == Severity::Error)
     }
 
-    fn table(&mut self, path: &str, span: Range<usize>, table: &DeTable<'_>, schema: &Table) {
-        self.places.insert(path.to_owned(), span);
-        let under = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
+    fn check_table(&mut self, path: &str, span: Range<usize>, table: &DeTable<'_>, schema: &Table) {
+        self.spans.insert(path.to_owned(), span);
+        let subpath = |name: &str| if path.is_empty() { name.to_owned() } else { format!("{path}.{name}") };
         for (key, value) in table {
             let name = key.get_ref().as_ref();
-            let at = under(name);
-            match schema.keys.iter().find(|f| f.name == name) {
-                Some(field) => self.value(&at, value, &field.kind),
+            let key_path = subpath(name);
+            match schema.keys.iter().find(|k| k.name == name) {
+                Some(known) => self.check_value(&key_path, value, &known.kind),
                 None => {
-                    self.places.insert(at.clone(), key.span());
-                    let names: Vec<_> = schema.keys.iter().map(|f| f.name).collect();
-                    let what = match nearest(name, &names) {
-                        Some(near) => format!("unknown key; did you mean `{near}`?"),
+                    self.spans.insert(key_path.clone(), key.span());
+                    let names: Vec<_> = schema.keys.iter().map(|k| k.name).collect();
+                    let message = match closest_match(name, &names) {
+                        Some(name) => format!("unknown key; did you mean `{name}`?"),
                         None => "unknown key".to_owned(),
                     };
-                    self.note(Severity::Error, &at, what, names.join(", "));
+                    self.report(Severity::Error, &key_path, message, names.join(", "));
                 }
             }
         }
-        let missing = |f: &&Key| f.default == KeyDefault::Required && !table.contains_key(f.name);
-        for field in schema.keys.iter().filter(missing) {
-            let what = format!("`{}` is missing", field.name);
-            self.note(Severity::Error, &under(field.name), what, field.kind.allowed());
+        let missing = |k: &&Key| k.default == KeyDefault::Required && !table.contains_key(k.name);
+        for key in schema.keys.iter().filter(missing) {
+            let message = format!("`{}` is missing", key.name);
+            self.report(Severity::Error, &subpath(key.name), message, key.kind.allowed());
         }
     }
 
-    fn value(&mut self, path: &str, value: &Spanned<DeValue<'_>>, kind: &Kind) {
-        self.places.insert(path.to_owned(), value.span());
+    fn check_value(&mut self, path: &str, value: &Spanned<DeValue<'_>>, kind: &Kind) {
+        self.spans.insert(path.to_owned(), value.span());
         let problem = match (kind, value.get_ref()) {
-            (Kind::Text(form), DeValue::String(text)) => (form.check)(text).err(),
-            (Kind::OneOf(texts), DeValue::String(text)) => {
-                let known = texts.contains(&text.as_ref());
-                (!known).then(|| match nearest(text, texts) {
-                    Some(near) => format!("{text:?} is not known; did you mean {near:?}?"),
+            (Kind::Text(format), DeValue::String(text)) => (format.check)(text).err(),
+            (Kind::OneOf(allowed), DeValue::String(text)) => {
+                let is_allowed = allowed.contains(&text.as_ref());
+                (!is_allowed).then(|| match closest_match(text, allowed) {
+                    Some(name) => format!("{text:?} is not known; did you mean {name:?}?"),
                     None => format!("{text:?} is not known"),
                 })
             }
             (Kind::Boolean, DeValue::Boolean(_)) => None,
-            (Kind::Integer(least, most), DeValue::Integer(n)) => {
-                let fits = whole(n).is_some_and(|n| (*least..=*most).contains(&n));
-                (!fits).then(|| format!("{n} is out of range"))
+            (Kind::Integer(min, max), DeValue::Integer(n)) => {
+                let in_range = parse_integer(n).is_some_and(|n| (*min..=*max).contains(&n));
+                (!in_range).then(|| format!("{n} is out of range"))
             }
-            (Kind::OneOfIntegers(all), DeValue::Integer(n)) => {
-                let fits = whole(n).is_some_and(|n| all.contains(&n));
-                (!fits).then(|| format!("{n} is not one of them"))
+            (Kind::OneOfIntegers(allowed), DeValue::Integer(n)) => {
+                let is_allowed = parse_integer(n).is_some_and(|n| allowed.contains(&n));
+                (!is_allowed).then(|| format!("{n} is not one of the allowed values"))
             }
-            (Kind::Number(least, most), DeValue::Integer(_) | DeValue::Float(_)) => {
+            (Kind::Number(min, max), DeValue::Integer(_) | DeValue::Float(_)) => {
                 let number = match value.get_ref() {
-                    DeValue::Integer(n) => whole(n).map(|n| n as f64),
+                    DeValue::Integer(n) => parse_integer(n).map(|n| n as f64),
                     DeValue::Float(n) => n.as_str().parse::<f64>().ok(),
                     _ => None,
                 };
-                let fits = number.is_some_and(|n| (*least..=*most).contains(&n));
-                (!fits).then(|| "the number is out of range".to_owned())
+                let in_range = number.is_some_and(|n| (*min..=*max).contains(&n));
+                (!in_range).then(|| "the number is out of range".to_owned())
             }
-            (Kind::Array(of), DeValue::Array(items)) => {
-                for (k, item) in items.iter().enumerate() {
-                    self.value(&format!("{path}[{k}]"), item, of);
+            (Kind::Array(item_kind), DeValue::Array(items)) => {
+                for (index, item) in items.iter().enumerate() {
+                    self.check_value(&format!("{path}[{index}]"), item, item_kind);
                 }
                 None
             }
             (Kind::Table(schema), DeValue::Table(table)) => {
-                self.table(path, value.span(), table, schema);
+                self.check_table(path, value.span(), table, schema);
                 None
             }
             (Kind::ArrayOfTables(schema), DeValue::Array(items)) => {
-                for (k, item) in items.iter().enumerate() {
-                    let at = format!("{path}[{k}]");
+                for (index, item) in items.iter().enumerate() {
+                    let item_path = format!("{path}[{index}]");
                     match item.get_ref() {
-                        DeValue::Table(table) => self.table(&at, item.span(), table, schema),
+                        DeValue::Table(table) => self.check_table(&item_path, item.span(), table, schema),
                         other => {
-                            self.places.insert(at.clone(), item.span());
-                            let what = format!("this is {}", article(other));
-                            self.note(Severity::Error, &at, what, "a table".to_owned());
+                            self.spans.insert(item_path.clone(), item.span());
+                            let message = format!("this is {}", describe_type(other));
+                            self.report(Severity::Error, &item_path, message, "a table".to_owned());
                         }
                     }
                 }
                 None
             }
-            (Kind::Map(keys, values), DeValue::Table(table)) => {
+            (Kind::Map(key_format, value_format), DeValue::Table(table)) => {
                 for (key, item) in table {
-                    let at = format!("{path}.{}", key.get_ref());
-                    if let Err(what) = (keys.check)(key.get_ref()) {
-                        self.places.insert(at.clone(), key.span());
-                        self.note(Severity::Error, &at, what, keys.allowed.to_owned());
+                    let key_path = format!("{path}.{}", key.get_ref());
+                    if let Err(message) = (key_format.check)(key.get_ref()) {
+                        self.spans.insert(key_path.clone(), key.span());
+                        self.report(Severity::Error, &key_path, message, key_format.allowed.to_owned());
                     } else {
-                        self.value(&at, item, &Kind::Text(values));
+                        self.check_value(&key_path, item, &Kind::Text(value_format));
                     }
                 }
                 None
             }
-            (_, other) => Some(format!("this is {}", article(other))),
+            (_, other) => Some(format!("this is {}", describe_type(other))),
         };
-        if let Some(what) = problem {
-            self.note(Severity::Error, path, what, kind.allowed());
+        if let Some(message) = problem {
+            self.report(Severity::Error, path, message, kind.allowed());
         }
     }
 }
 
-fn whole(n: &toml::de::DeInteger<'_>) -> Option<i64> {
+fn parse_integer(n: &toml::de::DeInteger<'_>) -> Option<i64> {
     i64::from_str_radix(n.as_str(), n.radix()).ok()
 }
 
-fn article(value: &DeValue<'_>) -> String {
+fn describe_type(value: &DeValue<'_>) -> String {
     match value.type_str() {
-        "integer" => "a whole number".to_owned(),
-        "array" => "a list".to_owned(),
-        "string" => "a text".to_owned(),
+        "integer" => "an integer".to_owned(),
+        "array" => "an array".to_owned(),
+        "string" => "a string".to_owned(),
         other => format!("a {other}"),
     }
 }
 
-/// The known name that a misspelt one most resembles.
-fn nearest<'n>(name: &str, names: &[&'n str]) -> Option<&'n str> {
-    let near = names.iter().map(|known| (distance(name, known), *known)).min()?;
-    (near.0 <= 2 && near.0 < near.1.len().max(3) / 2 + 1).then_some(near.1)
+/// The known name closest to a misspelt one, if any is close enough to suggest.
+fn closest_match<'n>(name: &str, names: &[&'n str]) -> Option<&'n str> {
+    let closest = names.iter().map(|known| (edit_distance(name, known), *known)).min()?;
+    (closest.0 <= 2 && closest.0 < closest.1.len().max(3) / 2 + 1).then_some(closest.1)
 }
 
-/// Edits of one character that lead from one text to the other (Levenshtein).
-fn distance(a: &str, b: &str) -> usize {
+/// The Levenshtein distance between two strings.
+fn edit_distance(a: &str, b: &str) -> usize {
     let b: Vec<char> = b.chars().collect();
     let mut row: Vec<usize> = (0..=b.len()).collect();
-    // A name is short; what is much longer resembles none.
+    // Bounds the work for overlong input, which matches no key anyway.
     for (i, x) in a.chars().take(100).enumerate() {
-        let mut corner = row[0];
+        let mut diagonal = row[0];
         row[0] = i + 1;
         for (j, y) in b.iter().enumerate() {
-            let substituted = corner + usize::from(x != *y);
-            corner = row[j + 1];
-            row[j + 1] = substituted.min(corner + 1).min(row[j] + 1);
+            let substituted = diagonal + usize::from(x != *y);
+            diagonal = row[j + 1];
+            row[j + 1] = substituted.min(diagonal + 1).min(row[j] + 1);
         }
     }
     row[b.len()]
--- a/crates/plan/src/config/values.rs
+++ b/crates/plan/src/config/values.rs
@@ -1,13 +1,15 @@
-//! Values that stand in the file as texts.
+//! Values that are strings in the configuration file, and checks of their format.
 
 use crate::routes::path::{normalise, PathPattern, PathRules};
 use crate::routes::{HostPattern, Redirect};
 use corkhollow_balance::interface::Nanos;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-const NANOS: [(&str, u64); 4] =
+/// Units of durations, in nanoseconds.
+const DURATION_UNITS: [(&str, u64); 4] =
     [("ms", 1_000_000), ("s", 1_000_000_000), ("m", 60_000_000_000), ("h", 3_600_000_000_000)];
-const BYTES: [(&str, u64); 7] = [
+/// Units of sizes, in bytes.
+const SIZE_UNITS: [(&str, u64); 7] = [
     ("KiB", 1 << 10),
     ("MiB", 1 << 20),
     ("GiB", 1 << 30),
@@ -16,38 +18,39 @@
     ("GB", 1_000_000_000),
     ("B", 1),
 ];
-/// A year in nanoseconds: far beyond any use, and times can be added to it.
-const MOST: u64 = 31_536_000_000_000_000;
+/// Upper limit for durations, in nanoseconds (one year), and for sizes, in bytes. Sums of a few of them do not overflow.
+const MAX_NANOS_OR_BYTES: u64 = 31_536_000_000_000_000;
 
-/// A whole number with its unit.
-fn measured(text: &str, units: &[(&str, u64)], least: u64) -> Result<u64, String> {
+/// Parses a whole number followed by a unit.
+fn parse_with_unit(text: &str, units: &[(&str, u64)], min: u64) -> Result<u64, String> {
     let end = text.find(|c: char| !c.is_ascii_digit()).unwrap_or(text.len());
     let (digits, unit) = text.split_at(end);
     let scale = units.iter().find(|(name, _)| *name == unit).map(|(_, scale)| *scale);
     let value = scale.zip(digits.parse::<u64>().ok()).and_then(|(scale, n)| n.checked_mul(scale));
     match value {
-        Some(value) if value < least => Err(format!("`{text}` is too small")),
-        Some(value) if value <= MOST => Ok(value),
+        Some(value) if value < min => Err(format!("`{text}` is too small")),
+        Some(value) if value <= MAX_NANOS_OR_BYTES => Ok(value),
         Some(_) => Err(format!("`{text}` is too large")),
         None => {
             let names: Vec<_> = units.iter().map(|u| u.0).collect();
-            Err(format!("`{text}` is no number with one of the units {}", names.join(", ")))
+            Err(format!("`{text}` is not a whole number followed by one of the units {}", names.join(", ")))
         }
     }
 }
 
-fn worded(value: u64, units: &[(&str, u64)]) -> String {
-    let fits = units.iter().filter(|(_, scale)| value.is_multiple_of(*scale));
-    let (unit, scale) = fits.max_by_key(|(_, scale)| *scale).unwrap_or(&units[0]);
+/// Formats a value in the largest unit that divides it.
+fn format_with_unit(value: u64, units: &[(&str, u64)]) -> String {
+    let divisors = units.iter().filter(|(_, scale)| value.is_multiple_of(*scale));
+    let (unit, scale) = divisors.max_by_key(|(_, scale)| *scale).unwrap_or(&units[0]);
     format!("{}{unit}", value / scale)
 }
 
-/// A length of time: whole milliseconds, at least one.
+/// A duration of at least one millisecond, in nanoseconds; a whole number of milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Duration(pub Nanos);
 
 impl Duration {
-    /// Of so many milliseconds.
+    /// Creates a duration from milliseconds.
     pub const fn from_millis(ms: u64) -> Self {
         Duration(ms * 1_000_000)
     }
@@ -57,18 +60,19 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ByteSize(pub u64);
 
-macro_rules! text_value {
-    ($type:ident, $units:ident, $least:expr) => {
+/// Implements parsing, formatting and serde as a string with a unit.
+macro_rules! impl_value_with_unit {
+    ($type:ident, $units:ident, $min:expr) => {
         impl std::str::FromStr for $type {
             type Err = String;
             fn from_str(text: &str) -> Result<Self, String> {
-                measured(text, &$units, $least).map($type)
+                parse_with_unit(text, &$units, $min).map($type)
             }
         }
 
         impl std::fmt::Display for $type {
             fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-                f.write_str(&worded(self.0, &$units))
+                f.write_str(&format_with_unit(self.0, &$units))
             }
         }
 
@@ -86,79 +90,83 @@
     };
 }
 
-text_value!(Duration, NANOS, 1);
-text_value!(ByteSize, BYTES, 0);
+impl_value_with_unit!(Duration, DURATION_UNITS, 1);
+impl_value_with_unit!(ByteSize, SIZE_UNITS, 0);
 
-pub(super) fn any(_: &str) -> Result<(), String> {
+pub(super) fn check_any(_: &str) -> Result<(), String> {
     Ok(())
 }
 
-pub(super) fn duration(text: &str) -> Result<(), String> {
+pub(super) fn check_duration(text: &str) -> Result<(), String> {
     text.parse::<Duration>().map(drop)
 }
 
-pub(super) fn size(text: &str) -> Result<(), String> {
+pub(super) fn check_size(text: &str) -> Result<(), String> {
     text.parse::<ByteSize>().map(drop)
 }
 
-pub(super) fn name(text: &str) -> Result<(), String> {
-    let fits = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-    if (1..=64).contains(&text.len()) && text.chars().all(fits) {
+pub(super) fn check_name(text: &str) -> Result<(), String> {
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
+    if (1..=64).contains(&text.len()) && text.chars().all(is_allowed) {
         Ok(())
     } else {
-        Err(format!("{text:?} is no name"))
+        Err(format!("{text:?} is not a valid name"))
     }
 }
 
-pub(super) fn address(text: &str) -> Result<(), String> {
-    text.parse::<std::net::SocketAddr>().map(drop).map_err(|_| format!("{text:?} is no address with a port"))
+pub(super) fn check_address(text: &str) -> Result<(), String> {
+    text.parse::<std::net::SocketAddr>()
+        .map(drop)
+        .map_err(|_| format!("{text:?} is not an IP address with a port"))
 }
 
-pub(super) fn host(text: &str) -> Result<(), String> {
+pub(super) fn check_host(text: &str) -> Result<(), String> {
     HostPattern::parse(text).map(drop).map_err(|e| e.to_string())
 }
 
-pub(super) fn path(text: &str) -> Result<(), String> {
+pub(super) fn check_path(text: &str) -> Result<(), String> {
     if text.contains(['?', '#']) {
-        return Err(format!("{text:?} holds more than a path"));
+        return Err(format!("{text:?} has a query or a fragment; only a path is allowed"));
     }
-    let lenient = PathRules { merge_slashes: false, keep_escaped_slashes: true };
-    normalise(text, lenient).map_err(|e| e.to_string())?;
+    let lenient_rules = PathRules { merge_slashes: false, keep_escaped_slashes: true };
+    normalise(text, lenient_rules).map_err(|e| e.to_string())?;
     http::uri::PathAndQuery::try_from(text).map(drop).map_err(|e| e.to_string())
 }
 
-pub(super) fn regex(text: &str) -> Result<(), String> {
-    let worded = |e: regex::Error| e.to_string().lines().last().unwrap_or_default().to_owned();
-    PathPattern::regex(text).map(drop).map_err(worded)
+pub(super) fn check_regex(text: &str) -> Result<(), String> {
+    // The last line holds the reason; those before it quote the expression.
+    let last_line = |e: regex::Error| e.to_string().lines().last().unwrap_or_default().to_owned();
+    PathPattern::regex(text).map(drop).map_err(last_line)
 }
 
-pub(super) fn method(text: &str) -> Result<(), String> {
-    let capitals = text.chars().all(|c| !c.is_ascii_lowercase());
-    if http::Method::from_bytes(text.as_bytes()).is_ok() && capitals && text != "CONNECT" {
+pub(super) fn check_method(text: &str) -> Result<(), String> {
+    let has_no_lowercase = text.chars().all(|c| !c.is_ascii_lowercase());
+    if http::Method::from_bytes(text.as_bytes()).is_ok() && has_no_lowercase && text != "CONNECT" {
         Ok(())
     } else {
-        Err(format!("{text:?} is no method that is served"))
+        Err(format!("{text:?} is not a supported method"))
     }
 }
 
-/// Headers that belong to the connection, not to the message: the program's own.
-const FRAMING: [&str; 6] =
+/// Connection-level headers, which the gateway sets itself.
+const CONNECTION_HEADERS: [&str; 6] =
     ["connection", "content-length", "keep-alive", "te", "transfer-encoding", "upgrade"];
 
-pub(super) fn header_name(text: &str) -> Result<(), String> {
-    let name = http::HeaderName::try_from(text).map_err(|_| format!("{text:?} is no header's name"))?;
-    if FRAMING.contains(&name.as_str()) {
-        return Err(format!("{text:?} belongs to the connection and is the program's own"));
+pub(super) fn check_header_name(text: &str) -> Result<(), String> {
+    let name =
+        http::HeaderName::try_from(text).map_err(|_| format!("{text:?} is not a valid header name"))?;
+    if CONNECTION_HEADERS.contains(&name.as_str()) {
+        return Err(format!("{text:?} is a connection-level header, which the gateway sets itself"));
     }
     Ok(())
 }
 
-pub(super) fn header_value(text: &str) -> Result<(), String> {
-    http::HeaderValue::from_str(text).map(drop).map_err(|_| format!("{text:?} cannot be a header's value"))
+pub(super) fn check_header_value(text: &str) -> Result<(), String> {
+    http::HeaderValue::from_str(text).map(drop).map_err(|_| format!("{text:?} is not a valid header value"))
 }
 
-pub(super) fn template(text: &str) -> Result<(), String> {
-    header_value(text)?;
+pub(super) fn check_location_template(text: &str) -> Result<(), String> {
+    check_header_value(text)?;
     Redirect::parse(text, 302).map(drop).map_err(|e| e.to_string())
 }
 
@@ -167,7 +175,7 @@
     use super::*;
 
     #[test]
-    fn measures_are_read_and_written() {
+    fn durations_and_sizes_are_parsed_and_formatted() {
         let cases = [("250ms", 250), ("2s", 2_000), ("5m", 300_000), ("1h", 3_600_000)];
         for (text, ms) in cases {
             assert_eq!(text.parse::<Duration>().unwrap(), Duration::from_millis(ms));
@@ -176,17 +184,17 @@
         assert_eq!("64KiB".parse::<ByteSize>().unwrap(), ByteSize(65_536));
         assert_eq!(ByteSize(192_000_000).to_string(), "192MB");
         assert_eq!(ByteSize(0).to_string().parse::<ByteSize>().unwrap(), ByteSize(0));
-        for bad in ["", "5", "s", "-1s", "1.5s", "0ms", "1 s", "99999999999999999999s", "9999999h"] {
-            assert!(bad.parse::<Duration>().is_err(), "{bad}");
+        for invalid in ["", "5", "s", "-1s", "1.5s", "0ms", "1 s", "99999999999999999999s", "9999999h"] {
+            assert!(invalid.parse::<Duration>().is_err(), "{invalid}");
         }
     }
 
     #[test]
-    fn the_programs_own_headers_cannot_be_set() {
-        assert!(header_name("X-Own").is_ok());
-        for bad in ["Content-Length", "transfer-encoding", "a b", ""] {
-            assert!(header_name(bad).is_err(), "{bad}");
+    fn connection_level_headers_cannot_be_set() {
+        assert!(check_header_name("X-Own").is_ok());
+        for invalid in ["Content-Length", "transfer-encoding", "a b", ""] {
+            assert!(check_header_name(invalid).is_err(), "{invalid}");
         }
-        assert!(header_value("a\r\nb: c").is_err());
+        assert!(check_header_value("a\r\nb: c").is_err());
     }
 }
--- a/crates/plan/tests/config.rs
+++ b/crates/plan/tests/config.rs
@@ -1,4 +1,4 @@
-//! The operator's file: what is parse_config, what is refused and where, and that what is printed is read again.
+//! Parsing the configuration file: defaults, diagnostics with their positions, and round trips.
 
 use corkhollow_plan::config::model::{self, ConfigFile};
 use corkhollow_plan::config::schema::{KeyDefault, Kind, Table, CONFIG};
@@ -14,7 +14,7 @@
 use proptest::sample::select;
 use std::path::Path;
 
-const SMALL: &str = r#"
+const MINIMAL_CONFIG: &str = r#"
 [[listener]]
 name = "web"
 address = "127.0.0.1:8080"
@@ -28,21 +28,21 @@
 pool = "boxes"
 "#;
 
-fn faults(text: &str) -> Vec<Diagnostic> {
+fn diagnose(text: &str) -> Vec<Diagnostic> {
     match parse_config(text, Path::new("")) {
         Ok(checked) => checked.warnings,
-        Err(faults) => faults,
+        Err(diagnostics) => diagnostics,
     }
 }
 
-/// Each fault as it is printed, for a file made from the small one.
-fn said(text: &str) -> String {
-    faults(text).iter().map(|f| format!("{f}\n")).collect()
+/// All diagnostics as printed, one per line.
+fn print_diagnostics(text: &str) -> String {
+    diagnose(text).iter().map(|d| format!("{d}\n")).collect()
 }
 
 #[test]
-fn a_small_file_is_enough() {
-    let checked = parse_config(SMALL, Path::new("")).unwrap_or_else(|f| panic!("{f:?}"));
+fn minimal_config_gets_default_classes() {
+    let checked = parse_config(MINIMAL_CONFIG, Path::new("")).unwrap_or_else(|d| panic!("{d:?}"));
     assert_eq!(checked.warnings, []);
     let plan = checked.plan;
     assert_eq!(plan.classes.iter().map(|c| c.name.as_str()).collect::<Vec<_>>(), ["read", "write"]);
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn every_fault_is_named_with_its_place_and_what_is_allowed() {
+fn every_error_has_a_position_and_the_allowed_values() {
     let text = r#"
 [limits]
 descriptors = 3
@@ -79,117 +79,126 @@
 hosts = ["a b"]
 path_regex = "(("
 "#;
-    let said = said(text);
+    let printed = print_diagnostics(text);
     for expected in [
-        "3:15: error: limits.descriptors: 3 is out of range; allowed: a whole number from 48 to 1000000",
-        "4:10: error: limits.memory: `lots` is no number with one of the units",
+        "3:15: error: limits.descriptors: 3 is out of range; allowed: an integer from 48 to 1000000",
+        "4:10: error: limits.memory: `lots` is not a whole number followed by one of the units",
         "8:1: error: listener[0].adress: unknown key; did you mean `address`?; allowed: name, address, via",
         "6:1: error: listener[0].address: `address` is missing; allowed: an IP address with a port",
         "12:10: error: class[0].effect: \"unsave\" is not known; did you mean \"unsafe\"?",
-        "17:16: error: pool[0].max_attempts: this is a text; allowed: a whole number from 1 to 16",
-        "18:24: error: pool[0].servers[0].address: \"localhost:80\" is no address with a port; allowed: an IP",
-        "22:8: error: route[0].pool: this is a whole number; allowed: a name of letters",
-        "23:12: error: route[0].methods[0]: \"get\" is no method that is served; allowed: a method in capitals",
+        "17:16: error: pool[0].max_attempts: this is a string; allowed: an integer from 1 to 16",
+        "18:24: error: pool[0].servers[0].address: \"localhost:80\" is not an IP address with a port; allowed: an IP",
+        "22:8: error: route[0].pool: this is an integer; allowed: a name of 1 to 64 letters",
+        "23:12: error: route[0].methods[0]: \"get\" is not a supported method; allowed: a method in upper case",
         "24:10: error: route[0].hosts[0]: `a b` is no host name",
         "25:14: error: route[0].path_regex: ",
     ] {
-        assert!(said.contains(expected), "not said: {expected}\n{said}");
+        assert!(printed.contains(expected), "missing: {expected}\n{printed}");
     }
-    assert_eq!(said.lines().count(), 11, "{said}");
+    assert_eq!(printed.lines().count(), 11, "{printed}");
 }
 
 #[test]
-fn what_is_no_toml_is_named_with_its_place() {
-    let said = said("[[listener]\nname = \"web\"\n");
-    assert!(said.starts_with("1:"), "{said}");
-    assert!(!faults("a = \n").is_empty() && !faults("\u{0}").is_empty());
+fn toml_syntax_errors_have_a_position() {
+    let printed = print_diagnostics("[[listener]\nname = \"web\"\n");
+    assert!(printed.starts_with("1:"), "{printed}");
+    assert!(!diagnose("a = \n").is_empty() && !diagnose("\u{0}").is_empty());
 }
 
-/// What only shows when the whole file is seen.
+/// Checks that involve more than one key.
 #[test]
-fn names_and_choices_are_checked() {
-    let with = |more: &str| format!("{SMALL}\n{more}");
-    let route = |body: &str| with(&format!("[[route]]\nname = \"r\"\n{body}"));
+fn names_and_combinations_of_keys_are_checked() {
+    let append = |more: &str| format!("{MINIMAL_CONFIG}\n{more}");
+    let route = |body: &str| append(&format!("[[route]]\nname = \"r\"\n{body}"));
     for (text, expected) in [
         (String::new(), "listener: `listener` is missing"),
         (
-            with("[[listener]]\nname = \"web\"\naddress = \"127.0.0.1:1\""),
-            "listener[0] has the name `web` too",
+            append("[[listener]]\nname = \"web\"\naddress = \"127.0.0.1:1\""),
+            "the name `web` is already used by listener[0]",
         ),
-        (with("[[listener]]\nname = \"b\"\naddress = \"127.0.0.1:8080\""), "listener[0] has the address"),
-        (with("[[pool]]\nname = \"p\""), "exactly one of `servers`, `watch` and `discovery`"),
         (
-            with("[[pool]]\nname = \"p\"\nservers = []\nwatch = \"x\""),
-            "exactly one of `servers`, `watch` and `discovery`",
+            append("[[listener]]\nname = \"b\"\naddress = \"127.0.0.1:8080\""),
+            "the address 127.0.0.1:8080 is already used by listener[0]",
+        ),
+        (append("[[pool]]\nname = \"p\""), "exactly one of `servers`, `watch` and `discovery` must be set"),
+        (
+            append("[[pool]]\nname = \"p\"\nservers = []\nwatch = \"x\""),
+            "exactly one of `servers`, `watch` and `discovery` must be set",
         ),
         (route("pool = \"nowhere\""), "route[1].pool: there is no pool `nowhere`; allowed: boxes"),
         (route("pool = \"boxes\"\nclass = \"x\""), "there is no class `x`; allowed: read, write"),
         (route("pool = \"boxes\"\nlisteners = [\"x\"]"), "there is no listener `x`; allowed: web"),
-        (route("path = \"/a\""), "exactly one of `pool`, `redirect` and `answer`"),
+        (route("path = \"/a\""), "exactly one of `pool`, `redirect` and `answer` must be set"),
         (route("pool = \"boxes\"\nanswer = { status = 200 }"), "exactly one of `pool`, `redirect`"),
         (route("pool = \"boxes\"\npath = \"/a\"\npath_prefix = \"/b\""), "at most one of `path`,"),
-        (route("pool = \"boxes\"\npath = \"/a%2Fb\""), "no request has this path"),
-        (route("pool = \"boxes\"\nrewrite = { prefix = \"/x\" }"), "only a route with `path_prefix`"),
-        (route("pool = \"boxes\"\nrewrite = { regex = \"a\" }"), "`regex` and `with` belong together"),
+        (route("pool = \"boxes\"\npath = \"/a%2Fb\""), "no request can match this path"),
+        (route("pool = \"boxes\"\nrewrite = { prefix = \"/x\" }"), "`rewrite.prefix` requires `path_prefix`"),
+        (route("pool = \"boxes\"\nrewrite = { regex = \"a\" }"), "`regex` and `with` must be set together"),
         (route("pool = \"boxes\"\nrewrite = { regex = \"(a)\", with = \"$2\" }"), "no group `2`"),
         (route("pool = \"boxes\"\nrewrite = { regex = \"a\", with = \"${b}x\" }"), "no group `b`"),
         (
             route("pool = \"boxes\"\nrewrite = { request = { set = { Connection = \"x\" } } }"),
-            "the program's own",
+            "is a connection-level header, which the gateway sets itself",
         ),
         (route("pool = \"boxes\"\nheaders = [{ name = \"x\" }]"), "exactly one of `is`, `begins`"),
-        (route("pool = \"boxes\"\nheaders = [{ name = \"x y\", is = \"\" }]"), "is no header's name"),
+        (route("pool = \"boxes\"\nheaders = [{ name = \"x y\", is = \"\" }]"), "is not a valid header name"),
         (route("redirect = { to = \"{port}\" }"), "`{port}` is not known in a redirect"),
         (route("redirect = { to = \"/\", status = 200 }"), "allowed: 301, 302, 303, 307, 308"),
         (route("answer = { status = 100 }"), "100 is out of range"),
         (
-            with("[[class]]\nname = \"c\"\neffect = \"safe\"\naim = \"1m\""),
+            append("[[class]]\nname = \"c\"\neffect = \"safe\"\naim = \"1m\""),
             "the aim is longer than the deadline",
         ),
         (
-            with("[[class]]\nname = \"c\"\neffect = \"safe\"\ngroup = \"zone\""),
+            append("[[class]]\nname = \"c\"\neffect = \"safe\"\ngroup = \"zone\""),
             "only classes of effect \"keyed\"",
         ),
         (
-            with("[[class]]\nname = \"c\"\neffect = \"safe\"\nmethods = [\"PUT\", \"PUT\"]"),
-            "class[0].methods[1]: class[0] is for PUT too",
+            append("[[class]]\nname = \"c\"\neffect = \"safe\"\nmethods = [\"PUT\", \"PUT\"]"),
+            "class[0].methods[1]: PUT already belongs to class[0]",
         ),
-        (with("[limits]\nreplay_buffer = \"100MB\""), "at most an eighth of `limits.memory`"),
-        (with("[limits]\nmemory = \"1MB\""), "16MB or more"),
+        (append("[limits]\nreplay_buffer = \"100MB\""), "at most an eighth of `limits.memory`"),
+        (append("[limits]\nmemory = \"1MB\""), "16MB or more"),
     ] {
-        let said = said(&text);
+        let printed = print_diagnostics(&text);
         assert!(
-            said.contains(": error: ") && said.contains(expected),
-            "{text}\nnot said: {expected}\n{said}"
+            printed.contains(": error: ") && printed.contains(expected),
+            "{text}\nmissing: {expected}\n{printed}"
         );
     }
-    let twins = "[{ address = \"127.0.0.1:1\" }, { address = \"127.0.0.1:1\" }]";
-    let twice =
-        SMALL.replace("[{ address = \"127.0.0.1:9001\" }, ", &format!("{}, ", &twins[..twins.len() - 1]));
-    assert!(said(&twice).contains("pool[0].servers[0] has the name `127.0.0.1:1` too"), "{}", said(&twice));
+    let duplicates = "[{ address = \"127.0.0.1:1\" }, { address = \"127.0.0.1:1\" }]";
+    let with_duplicates = MINIMAL_CONFIG.replace(
+        "[{ address = \"127.0.0.1:9001\" }, ",
+        &format!("{}, ", &duplicates[..duplicates.len() - 1]),
+    );
+    assert!(
+        print_diagnostics(&with_duplicates)
+            .contains("the name `127.0.0.1:1` is already used by pool[0].servers[0]"),
+        "{}",
+        print_diagnostics(&with_duplicates)
+    );
 }
 
-/// What is probably not meant is said, and the file is used.
 #[test]
-fn warnings_do_not_forbid() {
+fn warnings_do_not_reject_the_file() {
     for (more, expected) in [
         ("[[pool]]\nname = \"p\"\nservers = []", "the pool has no servers"),
-        ("[[pool]]\nname = \"p\"\nwatch = \"x\"", "no route leads to this pool"),
-        ("[[class]]\nname = \"c\"\neffect = \"safe\"", "no route and no method leads to this class"),
-        ("[[route]]\nname = \"late\"\npath = \"/a\"\nanswer = { status = 404 }", "route[1].name: never taken: route `all`"),
+        ("[[pool]]\nname = \"p\"\nwatch = \"x\"", "no route uses this pool"),
+        ("[[class]]\nname = \"c\"\neffect = \"safe\"", "no route and no method uses this class"),
+        ("[[route]]\nname = \"late\"\npath = \"/a\"\nanswer = { status = 404 }", "route[1].name: never taken: the earlier route `all` matches all its requests"),
         (
             "[[pool]]\nname = \"p\"\nservers = [{ address = \"127.0.0.1:1\", name = \"a\" }, { address = \"127.0.0.1:1\", name = \"b\" }]",
-            "has the address 127.0.0.1:1 too",
+            "the address 127.0.0.1:1 is also that of pool[1].servers[0]",
         ),
     ] {
-        let checked = parse_config(&format!("{SMALL}\n{more}"), Path::new("")).unwrap_or_else(|f| panic!("{f:?}"));
-        assert!(checked.warnings.iter().all(|f| f.severity == Severity::Warning));
-        let said: String = checked.warnings.iter().map(|f| format!("{f}\n")).collect();
-        assert!(said.contains(expected), "not said: {expected}\n{said}");
+        let checked = parse_config(&format!("{MINIMAL_CONFIG}\n{more}"), Path::new("")).unwrap_or_else(|d| panic!("{d:?}"));
+        assert!(checked.warnings.iter().all(|d| d.severity == Severity::Warning));
+        let printed: String = checked.warnings.iter().map(|d| format!("{d}\n")).collect();
+        assert!(printed.contains(expected), "missing: {expected}\n{printed}");
     }
 }
 
-fn explained(plan: &Plan, method: Method, host: &str, path: &str) -> String {
+fn explain(plan: &Plan, method: Method, host: &str, path: &str) -> String {
     let host = Host::parse(host).unwrap();
     let path = normalise(path, plan.listeners[0].paths).unwrap();
     let headers = HeaderMap::new();
@@ -205,41 +214,40 @@
 }
 
 #[test]
-fn a_request_is_explained() {
+fn explain_names_route_class_and_rewritten_path() {
     let text = format!(
         "{}{}",
-        SMALL.replace("[[route]]", "[[route]]\nname = \"api\"\nhosts = [\"*.a.org\"]\npath_prefix = \"/api\"\nmethods = [\"GET\"]\npool = \"boxes\"\nclass = \"read\"\n[route.rewrite]\nprefix = \"/\"\n[[route]]"),
+        MINIMAL_CONFIG.replace("[[route]]", "[[route]]\nname = \"api\"\nhosts = [\"*.a.org\"]\npath_prefix = \"/api\"\nmethods = [\"GET\"]\npool = \"boxes\"\nclass = \"read\"\n[route.rewrite]\nprefix = \"/\"\n[[route]]"),
         "path = \"/x\"\n"
     );
-    let plan = parse_config(&text, Path::new("")).unwrap_or_else(|f| panic!("{f:?}")).plan;
-    let api = explained(&plan, Method::GET, "WWW.A.Org:80", "/api/../api/v1");
+    let plan = parse_config(&text, Path::new("")).unwrap_or_else(|d| panic!("{d:?}")).plan;
+    let api = explain(&plan, Method::GET, "WWW.A.Org:80", "/api/../api/v1");
     for line in
         ["route     api (number 1 of 2)", "class     read (named by the route): safe", "sent as   GET /v1"]
     {
         assert!(api.contains(line), "{api}");
     }
-    let other = explained(&plan, Method::POST, "b.org", "/x");
+    let other = explain(&plan, Method::POST, "b.org", "/x");
     for line in ["passed    route api: it is for other hosts", "class     write (by the method): unsafe"] {
         assert!(other.contains(line), "{other}");
     }
-    assert!(explained(&plan, Method::POST, "w.a.org", "/api").contains("405: only with GET"));
-    assert!(explained(&plan, Method::GET, "b.org", "/y").contains("404"));
+    assert!(explain(&plan, Method::POST, "w.a.org", "/api").contains("405: only with GET"));
+    assert!(explain(&plan, Method::GET, "b.org", "/y").contains("404"));
 }
 
-/// Walks the schema, and calls with the path of each table and its schema.
-fn each_table(path: &str, table: &'static Table, f: &mut dyn FnMut(&str, &'static Table)) {
-    f(path, table);
-    for field in table.keys {
-        if let Kind::Table(inner) | Kind::ArrayOfTables(inner) = field.kind {
-            each_table(&format!("{path}/{}", field.name), inner, f);
+/// Calls `visit` with the path and the schema of each table, recursively.
+fn visit_tables(path: &str, table: &'static Table, visit: &mut dyn FnMut(&str, &'static Table)) {
+    visit(path, table);
+    for key in table.keys {
+        if let Kind::Table(inner) | Kind::ArrayOfTables(inner) = key.kind {
+            visit_tables(&format!("{path}/{}", key.name), inner, visit);
         }
     }
 }
 
-/// The defaults that the schema names are those that hold.
 #[test]
-fn the_schemas_defaults_are_the_programs() {
-    let minimal = |path: &str| match path {
+fn defaults_in_the_schema_match_those_of_the_model() {
+    let required_keys = |path: &str| match path {
         "/node"
         | "/operator"
         | "/limits"
@@ -260,66 +268,69 @@
         "/route" => "name = \"x\"\n",
         other => panic!("no minimal table for {other}"),
     };
-    fn printed<T: serde::Serialize + serde::de::DeserializeOwned>(text: &str) -> toml::Table {
+    fn serialize_defaults<T: serde::Serialize + serde::de::DeserializeOwned>(text: &str) -> toml::Table {
         let value: T = toml::from_str(text).unwrap();
         toml::Table::try_from(&value).unwrap()
     }
     let mut compared = 0;
-    each_table("", &CONFIG, &mut |path, table| {
+    visit_tables("", &CONFIG, &mut |path, table| {
         if path.is_empty() {
             return;
         }
-        let text = minimal(path);
-        let printed = match path {
-            "/node" => printed::<model::Node>(text),
-            "/operator" => printed::<model::Operator>(text),
-            "/limits" => printed::<model::Limits>(text),
-            "/fleet" => printed::<model::Fleet>(text),
-            "/listener" => printed::<model::Listener>(text),
-            "/class" => printed::<model::Class>(text),
-            "/tenants" => printed::<model::Tenants>(text),
-            "/tenants/tenant" => printed::<model::Tenant>(text),
-            "/pool" => printed::<model::Pool>(text),
-            "/pool/servers" => printed::<model::Server>(text),
-            "/pool/check" => printed::<model::Check>(text),
-            "/route" => printed::<model::Route>(text),
-            "/route/headers" | "/route/query" => printed::<model::FieldCondition>(text),
-            "/route/rewrite" => printed::<model::Rewrite>(text),
-            "/route/rewrite/request" | "/route/rewrite/response" => printed::<model::HeaderEdits>(text),
-            "/route/redirect" => printed::<model::Redirect>(text),
-            "/route/answer" => printed::<model::Answer>(text),
+        let text = required_keys(path);
+        let serialized = match path {
+            "/node" => serialize_defaults::<model::Node>(text),
+            "/operator" => serialize_defaults::<model::Operator>(text),
+            "/limits" => serialize_defaults::<model::Limits>(text),
+            "/fleet" => serialize_defaults::<model::Fleet>(text),
+            "/listener" => serialize_defaults::<model::Listener>(text),
+            "/class" => serialize_defaults::<model::Class>(text),
+            "/tenants" => serialize_defaults::<model::Tenants>(text),
+            "/tenants/tenant" => serialize_defaults::<model::Tenant>(text),
+            "/pool" => serialize_defaults::<model::Pool>(text),
+            "/pool/servers" => serialize_defaults::<model::Server>(text),
+            "/pool/check" => serialize_defaults::<model::Check>(text),
+            "/route" => serialize_defaults::<model::Route>(text),
+            "/route/headers" | "/route/query" => serialize_defaults::<model::FieldCondition>(text),
+            "/route/rewrite" => serialize_defaults::<model::Rewrite>(text),
+            "/route/rewrite/request" | "/route/rewrite/response" => {
+                serialize_defaults::<model::HeaderEdits>(text)
+            }
+            "/route/redirect" => serialize_defaults::<model::Redirect>(text),
+            "/route/answer" => serialize_defaults::<model::Answer>(text),
             other => panic!("no model for {other}"),
         };
-        for field in table.keys {
-            let value = printed.get(field.name);
-            match field.default {
+        for key in table.keys {
+            let value = serialized.get(key.name);
+            match key.default {
                 KeyDefault::Value(default) => {
                     let expected: toml::Table = toml::from_str(&format!("v = {default}")).unwrap();
-                    assert_eq!(value, Some(&expected["v"]), "{path}/{}", field.name);
+                    assert_eq!(value, Some(&expected["v"]), "{path}/{}", key.name);
                     compared += 1;
                 }
-                KeyDefault::Required => assert!(value.is_some(), "{path}/{}", field.name),
+                KeyDefault::Required => assert!(value.is_some(), "{path}/{}", key.name),
                 KeyDefault::Described(_) => {}
             }
         }
-        for key in printed.keys() {
-            assert!(table.keys.iter().any(|f| f.name == key), "{path}/{key} is not in the schema");
+        for name in serialized.keys() {
+            assert!(table.keys.iter().any(|key| key.name == name), "{path}/{name} is not in the schema");
         }
     });
     assert!(compared > 30, "{compared}");
 }
 
-/// The operators' guide holds the reference as the code has it.
+/// The configuration guide contains the generated reference.
 #[test]
-fn the_guide_is_not_stale() {
+fn reference_in_the_guide_is_up_to_date() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/operate/configuration.md");
     let text = std::fs::read_to_string(&path).unwrap_or_default();
     let (begin, end) =
         ("<!-- reference: made by `corkhollow reference` -->\n\n", "<!-- end of the reference -->");
-    let held = text.split_once(begin).and_then(|(_, rest)| rest.split_once(end)).map(|(held, _)| held);
+    let current =
+        text.split_once(begin).and_then(|(_, rest)| rest.split_once(end)).map(|(current, _)| current);
     assert!(
-        held == Some(&reference::render_markdown()),
-        "run `corkhollow reference` and put what it prints into {}",
+        current == Some(&reference::render_markdown()),
+        "run `corkhollow reference` and copy its output into {}",
         path.display()
     );
 }
@@ -379,7 +390,7 @@
         methods in vec(select(&["GET", "PUT"][..]).prop_map(str::to_owned), 0..2),
         headers in vec(field(), 0..2),
         query in vec(field(), 0..2),
-        end in 0..3,
+        outcome in 0..3,
         request in edits(),
         response in edits(),
         status in select(&[301u16, 302, 307][..]),
@@ -395,10 +406,10 @@
             path: text(1, "/a/b"),
             path_prefix: text(2, "/a"),
             path_regex: text(3, "/[a-z]+"),
-            pool: (end == 0).then(|| "p".to_owned()),
-            rewrite: (end == 0).then(|| model::Rewrite { request, response, ..Default::default() }),
-            redirect: (end == 1).then(|| model::Redirect { to: "https://{host}{path}".into(), status }),
-            answer: (end == 2).then(|| model::Answer { status: 404, body, content_type: "text/plain".into() }),
+            pool: (outcome == 0).then(|| "p".to_owned()),
+            rewrite: (outcome == 0).then(|| model::Rewrite { request, response, ..Default::default() }),
+            redirect: (outcome == 1).then(|| model::Redirect { to: "https://{host}{path}".into(), status }),
+            answer: (outcome == 2).then(|| model::Answer { status: 404, body, content_type: "text/plain".into() }),
             ..Default::default()
         }
     }
@@ -464,46 +475,48 @@
 }
 
 proptest! {
-    /// What is printed is read again as the same, by the schema and by serde.
     #[test]
-    fn a_printed_file_reads_the_same(file in file()) {
+    fn serialized_config_parses_to_the_same_value(file in file()) {
         let text = toml::to_string(&file).unwrap();
-        let checked = parse_config(&text, Path::new("")).unwrap_or_else(|f| panic!("{f:?}\n{text}"));
+        let checked = parse_config(&text, Path::new("")).unwrap_or_else(|d| panic!("{d:?}\n{text}"));
         prop_assert_eq!(&checked.file, &file, "{}", text);
         prop_assert_eq!(toml::to_string(&checked.file).unwrap(), text);
     }
 
-    /// No text makes it panic, and what is refused is refused with a reason.
     #[test]
-    fn no_text_panics(text in "([\\[\\]={}\",.#a-z0-9\n ]|listener|route|pool|name|\\[\\[|\"a\"){0,60}") {
-        if let Err(faults) = parse_config(&text, Path::new("")) {
-            prop_assert!(faults.iter().any(|f| f.severity == Severity::Error));
+    fn arbitrary_text_never_panics_and_is_rejected_only_with_an_error(text in "([\\[\\]={}\",.#a-z0-9\n ]|listener|route|pool|name|\\[\\[|\"a\"){0,60}") {
+        if let Err(diagnostics) = parse_config(&text, Path::new("")) {
+            prop_assert!(diagnostics.iter().any(|d| d.severity == Severity::Error));
         }
     }
 
-    /// A sound file with a piece torn out or changed is read or refused, and each fault has a place in it.
+    /// Replaces a piece of a valid file with random text.
     #[test]
-    fn a_torn_file_is_refused_in_its_lines(at in 0usize..250, cut in 0usize..40, put in "[\\[\\]=\"a-z0-9\n]{0,3}") {
-        let at = at.min(SMALL.len());
-        let end = (at + cut).min(SMALL.len());
-        let torn = format!("{}{put}{}", &SMALL[..at], &SMALL[end..]);
-        let lines = torn.lines().count() + 1;
-        for fault in faults(&torn) {
-            prop_assert!(fault.line <= lines && fault.column >= 1, "{fault}");
+    fn diagnostics_of_a_corrupted_file_lie_within_it(start in 0usize..250, length in 0usize..40, inserted in "[\\[\\]=\"a-z0-9\n]{0,3}") {
+        let start = start.min(MINIMAL_CONFIG.len());
+        let end = (start + length).min(MINIMAL_CONFIG.len());
+        let corrupted = format!("{}{inserted}{}", &MINIMAL_CONFIG[..start], &MINIMAL_CONFIG[end..]);
+        let lines = corrupted.lines().count() + 1;
+        for diagnostic in diagnose(&corrupted) {
+            prop_assert!(diagnostic.line <= lines && diagnostic.column >= 1, "{diagnostic}");
         }
     }
 }
 
-/// A watched file may name the zones that the operator's file names, and no others.
 #[test]
-fn zones_of_a_watched_file_are_named_in_the_operators() {
+fn watched_file_may_use_only_zones_of_the_config() {
     let plan =
-        parse_config(&format!("[node]\nzone = \"a\"\nzones = [\"b\"]\n{SMALL}"), Path::new("")).unwrap().plan;
+        parse_config(&format!("[node]\nzone = \"a\"\nzones = [\"b\"]\n{MINIMAL_CONFIG}"), Path::new(""))
+            .unwrap()
+            .plan;
     let list =
         |zone: &str| format!("[[servers]]\naddress = \"127.0.0.1:1\"\nzone = \"{zone}\"\nkind = \"m2\"\n");
     let servers = parse_server_list(&list("b"), plan.zone, &plan.zones).unwrap();
     assert_eq!((servers[0].zone, servers[0].kind.as_deref()), (1, Some("m2")));
-    let refused = parse_server_list(&list("c"), plan.zone, &plan.zones).unwrap_err();
-    let said = refused[0].to_string();
-    assert!(said.starts_with("3:8: error: servers[0].zone") && said.ends_with("allowed: a, b"), "{said}");
+    let diagnostics = parse_server_list(&list("c"), plan.zone, &plan.zones).unwrap_err();
+    let printed = diagnostics[0].to_string();
+    assert!(
+        printed.starts_with("3:8: error: servers[0].zone") && printed.ends_with("allowed: a, b"),
+        "{printed}"
+    );
 }
