--- a/crates/balance/src/balancer/mod.rs
+++ b/crates/balance/src/balancer/mod.rs
@@ -6,20 +6,20 @@
 
 mod admission;
 mod attempts;
-mod choice;
-mod cold;
 mod health;
-mod list;
-mod order;
-mod queue;
-mod ranking;
-mod retune;
+mod queue_estimate;
+mod score_order;
+mod scores;
+mod selection;
+mod server_list;
+mod settings_update;
+mod slow_start;
 mod start_times;
 
 use crate::interface::*;
-use order::Order;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
+use score_order::Order;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 
@@ -41,9 +41,9 @@
     report_at: Nanos,
     sent_since: f64,
     pub(crate) score: f64,
-    pub(crate) blocked_until: Nanos,
-    pub(crate) strikes: u32,
-    pub(crate) failures: Faded,
+    pub(crate) ejected_until: Nanos,
+    pub(crate) consecutive_failures: u32,
+    pub(crate) failure_rate: Faded,
     paced_from: f64,
     jitter: f64,
     reach: f64,
@@ -97,7 +97,7 @@
     epoch: Nanos,
     start_clock: start_times::StartClock,
     pending: BTreeMap<RequestId, Pending>,
-    pub(crate) places: Vec<retune::Place>,
+    pub(crate) places: Vec<settings_update::Place>,
     waits: Faded,
     sent: Faded,
     begun: Nanos,
@@ -147,7 +147,7 @@
             epoch: 0,
             start_clock: start_times::StartClock::default(),
             pending: BTreeMap::new(),
-            places: settings.classes.iter().map(retune::Place::new).collect(),
+            places: settings.classes.iter().map(settings_update::Place::new).collect(),
             waits: Faded::default(),
             sent: Faded::default(),
             begun: Nanos::MAX,
@@ -170,11 +170,11 @@
         match event {
             Event::List { kind, servers } => self.follow_list(now, kind, &servers, sink),
             Event::Request(request) => self.admit(now, request, sink),
-            Event::Outcome { request, server, attempt, finished, took, ending, spent, report } => {
+            Event::Outcome { request, server, attempt, finished, took, ending, body_consumed, report } => {
                 self.learn(now, server, report);
-                self.outcome(now, (request, attempt), finished, took, (ending, spent), sink)
+                self.outcome(now, (request, attempt), finished, took, (ending, body_consumed), sink)
             }
-            Event::Written { request, attempt } => self.written(now, request, attempt),
+            Event::BodyWritten { request, attempt } => self.written(now, request, attempt),
             Event::StreamStarted { request, .. } => {
                 self.pending.entry(request).and_modify(|p| p.streaming = true);
             }
@@ -201,14 +201,14 @@
     }
 
     /// How many servers it remembers, with those that have left.
-    pub fn remembered(&self) -> usize {
+    pub fn tracked_servers(&self) -> usize {
         self.nodes.len()
     }
 
     /// How many servers the list holds, and how many of these get nothing for now because of their failures.
-    pub fn census(&self, now: Nanos) -> (usize, usize) {
-        let listed = self.nodes.iter().filter(|n| n.server.phase != Phase::Gone);
-        listed.fold((0, 0), |(all, out), n| (all + 1, out + usize::from(n.blocked_until > now)))
+    pub fn server_counts(&self, now: Nanos) -> (usize, usize) {
+        let listed = self.nodes.iter().filter(|n| n.server.phase != Phase::Removed);
+        listed.fold((0, 0), |(all, out), n| (all + 1, out + usize::from(n.ejected_until > now)))
     }
 
     fn draw(&mut self, below: usize) -> usize {
--- a/crates/balance/tests/fleet.rs
+++ b/crates/balance/tests/fleet.rs
@@ -62,7 +62,7 @@
     let test_node = |ordinal| {
         let mut s = settings(Effect::Safe);
         (s.ordinal, s.group_size) = (ordinal, NODES);
-        (s.ramp, s.cold_from, s.fall, s.tip_multiple) = (RAMP, COLD_FROM, FALL, 3.0);
+        (s.ramp, s.cold_from, s.overload_window, s.tip_multiple) = (RAMP, COLD_FROM, FALL, 3.0);
         TestNode::new(s, list.to_vec(), u64::from(ordinal))
     };
     World {
@@ -111,7 +111,7 @@
     let now = START + 5_000 * MS;
     world.play(START, now);
     let cold = cold(replaced, now);
-    let gone = servers(replaced).into_iter().map(|s| Server { phase: Phase::Gone, ..s });
+    let gone = servers(replaced).into_iter().map(|s| Server { phase: Phase::Removed, ..s });
     for test_node in &mut world.test_nodes {
         test_node.now = now;
         test_node.list(ListKind::Changes, gone.clone().chain(cold.clone()).collect());
--- a/crates/corkhollow/src/commands/reload.rs
+++ b/crates/corkhollow/src/commands/reload.rs
@@ -7,15 +7,15 @@
 use corkhollow_engine::log;
 use corkhollow_fleet::Config as FleetConfig;
 use corkhollow_fleet::Group;
-use corkhollow_operate::Figures;
+use corkhollow_operate::Metrics;
 use corkhollow_plan::change::Change;
 use corkhollow_plan::plan::{Plan, Source};
 use corkhollow_plan::platform::{Config, Shape};
-use corkhollow_proxy::background::{self, Running};
-use corkhollow_proxy::fleet::Place;
-use corkhollow_proxy::http1::Clients;
-use corkhollow_proxy::site::{Current, Site};
-use corkhollow_proxy::upstream::Shared;
+use corkhollow_proxy::active_plan::{ActivePlan, CurrentPlan};
+use corkhollow_proxy::background::{self, Task};
+use corkhollow_proxy::fleet::FleetCell;
+use corkhollow_proxy::http1::ClientConnections;
+use corkhollow_proxy::upstream::PoolContext;
 use std::future::pending;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -76,7 +76,7 @@
 /// Files that are on their way.
 pub struct Reloads {
     told: Told,
-    running: Option<Running<Result<Compiled, Failure>>>,
+    running: Option<Task<Result<Compiled, Failure>>>,
     /// Another SIGHUP has come: the file may be newer than what is being compiled.
     again: bool,
     /// What was compiled last was passed over for that. The next one is put in force, or one file after another would keep all out.
@@ -85,12 +85,12 @@
 
 /// All that a file is put in force on.
 pub struct Target<'t> {
-    pub current: &'t Current,
+    pub current: &'t CurrentPlan,
     pub listeners: &'t mut Listeners,
-    pub clients: &'t Rc<Clients>,
-    pub shared: &'t Shared,
+    pub clients: &'t Rc<ClientConnections>,
+    pub shared: &'t PoolContext,
     pub seed: u64,
-    pub place: &'t Place,
+    pub place: &'t FleetCell,
     /// What the node counts as in its fleet.
     pub group: Option<Group>,
 }
@@ -102,14 +102,14 @@
     }
 
     /// SIGHUP has come.
-    pub fn begin(&mut self, current: &Current, figures: &Figures) {
+    pub fn begin(&mut self, current: &CurrentPlan, figures: &Metrics) {
         if self.running.is_some() {
             self.again = true;
             return;
         }
         let Some(old) = current.get().plan.share() else { return };
         let told = self.told.clone();
-        match background::begin(move || compile(&told, &old)) {
+        match background::spawn(move || compile(&told, &old)) {
             Ok(running) => self.running = Some(running),
             Err(why) => turn_down(figures, &why),
         }
@@ -118,7 +118,7 @@
     /// Waits for a file that is to be put in force, or is turned down. May be broken off and called again.
     pub async fn compiled(&mut self) -> Ready {
         let Some(running) = &mut self.running else { return pending().await };
-        let compiled = running.done().await;
+        let compiled = running.join().await;
         self.running = None;
         let newer = std::mem::take(&mut self.again);
         self.passed_over = newer && !self.passed_over;
@@ -133,13 +133,13 @@
     }
 
     /// Puts in force what has been compiled, unless it is passed over; begins with what is newer.
-    pub fn finish(&mut self, ready: Ready, mut target: Target<'_>, figures: &Figures) {
+    pub fn finish(&mut self, ready: Ready, mut target: Target<'_>, figures: &Metrics) {
         match ready
             .compiled
             .map(|compiled| compiled.and_then(|c| self.put(*c, &mut target).map_err(|e| e.to_string())))
         {
             None => {}
-            Some(Ok(())) => figures.applied.inc(),
+            Some(Ok(())) => figures.reloads_applied.inc(),
             Some(Err(why)) => turn_down(figures, &why),
         }
         if ready.newer {
@@ -152,7 +152,7 @@
         let begun = Instant::now();
         let old = target.current.get();
         let bound = target.listeners.bind(&plan)?;
-        let site = old.follow(plan, &change, target.shared, target.seed, target.group)?;
+        let site = old.reload(plan, &change, target.shared, target.seed, target.group)?;
         let (now, then) = (&site.plan.limits, &old.plan.limits);
         if (now.descriptors, now.memory) != (then.descriptors, then.memory) {
             log(format_args!("`limits.descriptors` and `limits.memory` change with a restart only"));
@@ -160,9 +160,9 @@
         if site.plan.operator != old.plan.operator {
             log(format_args!("the operator's address changes with a restart only"));
         }
-        target.current.put(site.clone());
+        target.current.set(site.clone());
         if let (Some(node), Some(told)) = (target.place.get(), fleet) {
-            node.retune(told);
+            node.reconfigure(told);
         }
         if let (Told::Platform(old), Some(new)) = (&mut self.told, shape) {
             *old = new;
@@ -172,7 +172,7 @@
         let times = [read, compared, swapped];
         tell(&site, &change, times);
         let told = (times.map(|time| time.as_secs_f64()), change.touched());
-        target.shared.figures.in_force(&change.to.to_string(), Some(told));
+        target.shared.figures.set_active_config(&change.to.to_string(), Some(told));
         Ok(())
     }
 }
@@ -185,12 +185,12 @@
     newer: bool,
 }
 
-fn turn_down(figures: &Figures, why: &dyn std::fmt::Display) {
-    figures.rejected.inc();
+fn turn_down(figures: &Metrics, why: &dyn std::fmt::Display) {
+    figures.reloads_rejected.inc();
     log(format_args!("not reloaded: {why}"));
 }
 
-fn tell(site: &Site, change: &Change, times: [Duration; 3]) {
+fn tell(site: &ActivePlan, change: &Change, times: [Duration; 3]) {
     let plan = &site.plan;
     for pool in &plan.pools {
         if let Source::Discovery(from) = &pool.source {
--- a/crates/corkhollow/src/commands/run.rs
+++ b/crates/corkhollow/src/commands/run.rs
@@ -5,18 +5,18 @@
 use super::Failure;
 use crate::cli::RunArgs;
 use crate::succession::{self, Neighbours};
-use corkhollow_engine::{log, Clock, Pace};
+use corkhollow_engine::{log, Clock, LogLimiter};
 use corkhollow_fleet::Group;
-use corkhollow_operate::{Control, Figures, FiguresError, FleetHandover, Handover};
+use corkhollow_operate::{FleetHandover, Handover, Metrics, MetricsError, SharedLifecycle};
 use corkhollow_plan::limits::Budget;
 use corkhollow_plan::plan::Plan;
 use corkhollow_plan::platform::{Config, ConfigError};
+use corkhollow_proxy::active_plan::{ActivePlan, CurrentPlan, PoolError};
 use corkhollow_proxy::background;
-use corkhollow_proxy::fleet::Place;
-use corkhollow_proxy::http1::{Clients, Service};
+use corkhollow_proxy::fleet::FleetCell;
+use corkhollow_proxy::http1::{ClientConnections, Service};
 use corkhollow_proxy::operator::Operator;
-use corkhollow_proxy::site::{Current, PoolError, Site};
-use corkhollow_proxy::upstream::{Engines, Shared};
+use corkhollow_proxy::upstream::{Engines, PoolContext};
 use std::cell::Cell;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -72,7 +72,7 @@
     #[error("{0}")]
     System(#[from] std::io::Error),
     #[error("{0}")]
-    Figures(#[from] FiguresError),
+    Metrics(#[from] MetricsError),
 }
 
 /// Serves until SIGTERM.
@@ -104,7 +104,7 @@
             (Told::Platform(Box::new(config.shape.clone())), config.plan())
         }
     };
-    background::hush();
+    background::silence_panic_messages();
     let neighbours = neighbours(&handed);
     Ok(serve(hang_up, told, plan, handed, neighbours).await?)
 }
@@ -208,7 +208,7 @@
         &mut self,
         plan: &Plan,
         bound: Vec<(String, SocketAddr, TcpListener)>,
-        clients: &Rc<Clients>,
+        clients: &Rc<ClientConnections>,
     ) -> std::io::Result<()> {
         let gone: Vec<_> = self
             .open
@@ -220,7 +220,7 @@
             if let Some(open) = self.open.remove(&name) {
                 open.stop.notify_one();
             }
-            clients.leave(&name);
+            clients.close_listener(&name);
             log(format_args!("listener {name} is closed"));
         }
         for (name, told, listener) in bound {
@@ -264,17 +264,17 @@
     let neighbours = neighbours.map(Rc::new);
     let own = if plan.fleet.is_some() { membership::DESCRIPTORS } else { 0 };
     let budget = Budget::new(plan.limits.descriptors.saturating_sub(own), plan.limits.memory);
-    let figures = Figures::new()?;
+    let figures = Metrics::new()?;
     let shared =
-        Shared { clock, budget: budget.clone(), figures: figures.clone(), engines: Engines::default() };
+        PoolContext { clock, budget: budget.clone(), figures: figures.clone(), engines: Engines::default() };
     let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     let seed = plan.seed.unwrap_or(since.as_nanos() as u64 ^ u64::from(std::process::id()));
     let mut listeners = Listeners { handed, ..Listeners::default() };
     let bound = listeners.bind(&plan)?;
     let calls = plan.operator.map(listen_for_calls).transpose()?;
-    let control = Control::default();
+    let control = SharedLifecycle::default();
     let member = Membership::default();
-    let succeeds = neighbours.as_ref().is_some_and(|n| n.now().older);
+    let succeeds = neighbours.as_ref().is_some_and(|n| n.now().has_predecessor);
     if !succeeds {
         tokio::select! {
             // Nothing has been taken yet.
@@ -282,18 +282,18 @@
             joined = member.join(&plan, &figures, seed) => joined?,
         }
     }
-    let site = Site::start(plan, &shared, seed, member.group.get())?;
-    figures.in_force(&site.plan.version.to_string(), None);
-    let current = Current::new(site.clone());
+    let site = ActivePlan::start(plan, &shared, seed, member.group.get())?;
+    figures.set_active_config(&site.plan.version.to_string(), None);
+    let current = CurrentPlan::new(site.clone());
     let service = Rc::new(Service {
         site: current.clone(),
         clock,
         budget: budget.clone(),
-        control: control.clone(),
-        ids: Cell::new(seed),
-        figures: figures.clone(),
+        lifecycle: control.clone(),
+        request_id_counter: Cell::new(seed),
+        metrics: figures.clone(),
     });
-    let clients = Clients::new(service.clone());
+    let clients = ClientConnections::new(service.clone());
     let changed = Arc::new(Notify::new());
     if let Some(calls) = calls {
         log(format_args!("operators call at {}", calls.local_addr()?));
@@ -302,14 +302,14 @@
         Operator { control, figures, clock, changed, fleet }.start(calls)?;
     }
     if let Some(neighbours) = &neighbours {
-        budget.keep_to(neighbours.now().share());
+        budget.keep_to(neighbours.now().limit_share());
         tokio::select! {
             // Nothing has been taken yet.
             _ = terminate.recv() => return Ok(()),
             from = learn(neighbours, &site, clock, &control) => {
                 if let Some(from) = &from {
                     let group = Group { ordinal: from.ordinal, size: from.size };
-                    member.regroup(&current, group, &mut Pace::new(1, 0.0)).await;
+                    member.regroup(&current, group, &mut LogLimiter::new(1, 0.0)).await;
                 }
                 if succeeds {
                     if let Some(plan) = site.plan.share() {
@@ -326,7 +326,7 @@
     spawn_local(watch(current.clone(), control.clone(), figures.clone(), budget.clone(), open.clone()));
     spawn_local(tell_of_drains(member.place.clone(), control.clone()));
     if let Some(neighbours) = &neighbours {
-        while !neighbours.now().accepts(site.ready() && !control.lock().drains()) {
+        while !neighbours.now().accepts_connections(site.is_ready() && !control.lock().is_draining()) {
             tokio::select! {
                 // Nothing has been taken yet.
                 _ = terminate.recv() => return Ok(()),
@@ -339,7 +339,7 @@
     listeners.start(&site.plan, bound, &clients)?;
     // It says yes when it takes clients, not before: the other process may end on that word.
     open.set(true);
-    control.lock().tell(site.ready());
+    control.lock().set_servers_known(site.is_ready());
     drop(site);
     spawn_local(sweep(current.clone(), clients.clone()));
     spawn_local(empty(clients.clone(), control.clone(), clock, changed));
@@ -363,15 +363,15 @@
             }
         }
     }
-    let succeeded = neighbours.is_some_and(|n| n.now().newer);
-    control.lock().leave(clock.now(), succeeded);
+    let succeeded = neighbours.is_some_and(|n| n.now().has_successor);
+    control.lock().begin_shutdown(clock.now(), succeeded);
     let within = current.get().plan.drain_timeout;
-    let (answered, gone) = control.lock().ends_by(within).unwrap_or_default();
+    let (answered, gone) = control.lock().shutdown_deadlines(within).unwrap_or_default();
     shared.engines.end_by(answered);
     if let (Some(fleet), true) = (member.place.get(), succeeded) {
         fleet.hand_over();
     }
-    while control.lock().accepts(clock.now()) && clock.now() < gone {
+    while control.lock().accepts_connections(clock.now()) && clock.now() < gone {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
     match succeeded {
@@ -390,27 +390,27 @@
 
 /// Keeps the figures and the node's readiness up to date, for good. It is not ready before its listeners are open.
 async fn watch(
-    current: Rc<Current>,
-    control: Control,
-    figures: Figures,
+    current: Rc<CurrentPlan>,
+    control: SharedLifecycle,
+    figures: Metrics,
     budget: Rc<Budget>,
     open: Rc<Cell<bool>>,
 ) {
     let (mut looks, mut listed) = (0u32, 0);
     loop {
         let site = current.get();
-        control.lock().tell(open.get() && site.ready());
+        control.lock().set_servers_known(open.get() && site.is_ready());
         if listed < MANY || looks.is_multiple_of(SELDOM) {
             let ejected;
-            (listed, ejected) = site.census();
-            figures.discovered.set(listed as i64);
-            figures.ejected.set(ejected as i64);
+            (listed, ejected) = site.server_counts();
+            figures.discovered_servers.set(listed as i64);
+            figures.ejected_servers.set(ejected as i64);
         }
         looks = looks.wrapping_add(1);
         for (held, (now, most)) in [
-            (&figures.clients, budget.clients()),
-            (&figures.servers, budget.servers()),
-            (&figures.bodies, budget.bytes()),
+            (&figures.client_connections, budget.clients()),
+            (&figures.server_connections, budget.servers()),
+            (&figures.body_bytes, budget.bytes()),
         ] {
             held.set(now, most);
         }
@@ -421,18 +421,23 @@
 /// Keeps to this process's share of the limits, for good.
 async fn share(neighbours: Rc<Neighbours>, budget: Rc<Budget>) {
     loop {
-        budget.keep_to(neighbours.now().share());
+        budget.keep_to(neighbours.now().limit_share());
         tokio::time::sleep(SHARE).await;
     }
 }
 
 /// Writes down what this process has learnt while there is one that comes to its place, for good.
-async fn teach(neighbours: Rc<Neighbours>, current: Rc<Current>, control: Control, member: Membership) {
+async fn teach(
+    neighbours: Rc<Neighbours>,
+    current: Rc<CurrentPlan>,
+    control: SharedLifecycle,
+    member: Membership,
+) {
     let mut failed = false;
     loop {
-        let newer = neighbours.now().newer;
+        let newer = neighbours.now().has_successor;
         if newer {
-            let drains = control.lock().drains();
+            let drains = control.lock().is_draining();
             let handover = Handover { fleet: member.handover(), ..current.get().handover(drains) };
             let told = neighbours.tell(&handover);
             if let (Err(why), false) = (&told, failed) {
@@ -445,12 +450,12 @@
 }
 
 /// Tells the fleet when the operator empties the node and when no longer, for good.
-async fn tell_of_drains(place: Place, control: Control) {
+async fn tell_of_drains(place: FleetCell, control: SharedLifecycle) {
     loop {
         if let Some(fleet) = place.get() {
-            let drains = control.lock().drains();
-            if fleet.view().drains() != drains {
-                fleet.drain(drains);
+            let drains = control.lock().is_draining();
+            if fleet.view().is_draining() != drains {
+                fleet.set_draining(drains);
             }
         }
         tokio::time::sleep(WATCH).await;
@@ -461,32 +466,32 @@
 /// it tells in time.
 async fn learn(
     neighbours: &Neighbours,
-    site: &Site,
+    site: &ActivePlan,
     clock: Clock,
-    control: &Control,
+    control: &SharedLifecycle,
 ) -> Option<FleetHandover> {
-    if !neighbours.now().older {
+    if !neighbours.now().has_predecessor {
         return None;
     }
-    while neighbours.now().waits {
+    while neighbours.now().is_queued {
         tokio::time::sleep(LOOK).await;
     }
     neighbours.begin();
     loop {
-        let told = neighbours.told(clock.now()).filter(|_| site.ready());
+        let told = neighbours.told(clock.now()).filter(|_| site.is_ready());
         if told.as_ref().is_some_and(|told| told.drains) {
             log(format_args!("begins drained, as the other process is; POST /-/resume ends that"));
             control.lock().drain(clock.now());
         }
         if let Some(told) = told {
-            match site.recall(&told) {
+            match site.restore_knowledge(&told) {
                 0 => log(format_args!("begins cold: nothing that the other process knows holds here")),
                 known => log(format_args!("begins with what is known of {known} servers")),
             }
             return told.fleet;
         }
         // One that has gone leaves its clients to this one, ready or not.
-        if !neighbours.now().older || (site.ready() && neighbours.age() > LEARN_WITHIN) {
+        if !neighbours.now().has_predecessor || (site.is_ready() && neighbours.age() > LEARN_WITHIN) {
             log(format_args!("begins cold: the other process has not told what it knows"));
             return None;
         }
@@ -495,15 +500,15 @@
 }
 
 /// Closes connections that have no request, as far as the node's life wants that; the number of those that are left.
-fn close_idle(clients: &Clients, control: &Control, clock: Clock) -> usize {
-    let before = control.lock().closes_idle_before(clock.now());
+fn close_idle(clients: &ClientConnections, control: &SharedLifecycle, clock: Clock) -> usize {
+    let before = control.lock().idle_close_cutoff(clock.now());
     clients.close_idle(before.unwrap_or(0))
 }
 
 /// Empties the node as long as its operator wants that, for good.
-async fn empty(clients: Rc<Clients>, control: Control, clock: Clock, changed: Arc<Notify>) {
+async fn empty(clients: Rc<ClientConnections>, control: SharedLifecycle, clock: Clock, changed: Arc<Notify>) {
     loop {
-        while control.lock().keeps() {
+        while control.lock().allows_keep_alive() {
             changed.notified().await;
         }
         close_idle(&clients, &control, clock);
@@ -512,16 +517,16 @@
 }
 
 /// Closes what stands still, for good.
-async fn sweep(current: Rc<Current>, clients: Rc<Clients>) {
+async fn sweep(current: Rc<CurrentPlan>, clients: Rc<ClientConnections>) {
     let mut forgotten = tokio::time::Instant::now();
     loop {
         for _ in 0..5 {
             tokio::time::sleep(Duration::from_millis(200)).await;
-            clients.cut_heads();
-            current.get().pools.iter().for_each(|p| p.upstreams.cut_lingering());
+            clients.close_slow_heads();
+            current.get().pools.iter().for_each(|p| p.upstreams.abort_overdue_attempts());
         }
-        clients.sweep();
-        current.get().pools.iter().for_each(|p| p.upstreams.sweep());
+        clients.close_idle_and_stalled();
+        current.get().pools.iter().for_each(|p| p.upstreams.close_expired_idle());
         if forgotten.elapsed() > FORGET {
             forgotten = tokio::time::Instant::now();
             current.get().pools.iter().for_each(|p| p.engine.forget_idle());
--- a/crates/operate/src/handover.rs
+++ b/crates/operate/src/handover.rs
@@ -8,7 +8,7 @@
 const FORM: &[u8] = b"corkhollow-handover 1\n";
 const HEAD: usize = FORM.len() + 8;
 /// The longest handover, in bytes.
-pub const LONGEST: usize = 4 << 20;
+pub const MAX_HANDOVER_BYTES: usize = 4 << 20;
 
 /// What a process knows that the next one goes on with.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -50,29 +50,29 @@
 /// Why bytes are no handover.
 #[derive(Debug, thiserror::Error)]
 pub enum HandoverError {
-    /// Over [`LONGEST`].
-    #[error("of {0} bytes; allowed: up to {LONGEST}")]
+    /// Over [`MAX_HANDOVER_BYTES`].
+    #[error("of {0} bytes; allowed: up to {MAX_HANDOVER_BYTES}")]
     TooLong(usize),
     /// Another program's, or another version's.
     #[error("of another form")]
-    Form,
+    UnknownFormat,
     /// Cut, longer than it says, or damaged.
     #[error("not whole")]
     Damaged,
     /// Whole, but not what this version writes.
     #[error("{0}")]
-    Body(#[from] serde_json::Error),
+    Json(#[from] serde_json::Error),
 }
 
 impl Handover {
     /// Writes it down.
     ///
     /// # Errors
-    /// Where it would be longer than [`LONGEST`].
+    /// Where it would be longer than [`MAX_HANDOVER_BYTES`].
     pub fn encode(&self) -> Result<Vec<u8>, HandoverError> {
         let body = serde_json::to_vec(self)?;
         let all = HEAD + body.len();
-        let length = u32::try_from(body.len()).ok().filter(|_| all <= LONGEST);
+        let length = u32::try_from(body.len()).ok().filter(|_| all <= MAX_HANDOVER_BYTES);
         let length = length.ok_or(HandoverError::TooLong(all))?;
         let mut bytes = Vec::with_capacity(all);
         bytes.extend(FORM);
@@ -87,10 +87,10 @@
     /// # Errors
     /// Where the bytes are not exactly one handover of this form.
     pub fn decode(bytes: &[u8]) -> Result<Self, HandoverError> {
-        if bytes.len() > LONGEST {
+        if bytes.len() > MAX_HANDOVER_BYTES {
             return Err(HandoverError::TooLong(bytes.len()));
         }
-        let rest = bytes.strip_prefix(FORM).ok_or(HandoverError::Form)?;
+        let rest = bytes.strip_prefix(FORM).ok_or(HandoverError::UnknownFormat)?;
         let (length, rest) = rest.split_first_chunk().ok_or(HandoverError::Damaged)?;
         let (sum, body) = rest.split_first_chunk().ok_or(HandoverError::Damaged)?;
         let whole = u32::from_be_bytes(*length) as usize == body.len();
@@ -102,14 +102,14 @@
 
     /// The same on another clock, on which the oldest of it was written down then. The two processes may have read a wall clock that was
     /// set in between, each at its start.
-    pub fn dated(mut self, written_at: u64) -> Self {
-        let ahead = self.written_at().map_or(0, |at| written_at.wrapping_sub(at) as i64);
+    pub fn rebased_to(mut self, written_at: u64) -> Self {
+        let ahead = self.oldest_written_at().map_or(0, |at| written_at.wrapping_sub(at) as i64);
         self.pools.iter_mut().for_each(|pool| pool.knowledge.shift(ahead));
         self
     }
 
     /// When the oldest of it was written down, in nanoseconds since the Unix epoch; none where nothing was.
-    pub fn written_at(&self) -> Option<u64> {
+    pub fn oldest_written_at(&self) -> Option<u64> {
         self.pools.iter().map(|pool| pool.knowledge.at).min()
     }
 }
@@ -118,23 +118,23 @@
 mod tests {
     use super::*;
     use corkhollow_balance::interface::ServerId;
-    use corkhollow_balance::{ClassKnown, ServerKnown};
+    use corkhollow_balance::{ClassKnowledge, ServerKnowledge};
     use proptest::prelude::*;
     use proptest::test_runner::RngSeed;
 
     fn handover(servers: u64, lag: f64) -> Handover {
-        let server = |k| ServerKnown {
+        let server = |k| ServerKnowledge {
             id: ServerId(u64::MAX - k),
             started_at: k,
             lag,
             lag_at: 7,
             score: 0.1 * k as f64,
-            strikes: 2,
-            blocked_until: u64::MAX,
-            failures: 0.25,
-            failures_at: 9,
+            consecutive_failures: 2,
+            ejected_until: u64::MAX,
+            failure_rate: 0.25,
+            failure_rate_at: 9,
         };
-        let classes = vec![ClassKnown { typical: 1.5e6, answers: 12.0, least: 0.5e6 }];
+        let classes = vec![ClassKnowledge { typical_nanos: 1.5e6, answer_count: 12.0, min_nanos: 0.5e6 }];
         let knowledge = Knowledge { at: 5, classes, servers: (0..servers).map(server).collect() };
         Handover {
             fleet: None,
@@ -167,10 +167,10 @@
     #[test]
     fn what_is_too_long_or_no_number_is_not_handed_over() {
         assert!(matches!(handover(60_000, 1.0).encode(), Err(HandoverError::TooLong(_))));
-        assert!(matches!(Handover::decode(&vec![0; LONGEST + 1]), Err(HandoverError::TooLong(_))));
+        assert!(matches!(Handover::decode(&vec![0; MAX_HANDOVER_BYTES + 1]), Err(HandoverError::TooLong(_))));
         // JSON has no word for it, so that it can't come back as another figure.
         let bytes = handover(1, f64::NAN).encode().unwrap();
-        assert!(matches!(Handover::decode(&bytes), Err(HandoverError::Body(_))));
+        assert!(matches!(Handover::decode(&bytes), Err(HandoverError::Json(_))));
     }
 
     proptest! {
--- a/crates/operate/src/figures.rs
+++ b/crates/operate/src/metrics.rs
@@ -1,7 +1,7 @@
 //! What the node has done and has in hand, in the words of the text format of Prometheus (version 0.0.4).
 
-use crate::events::Recorder;
-use crate::tally::{ClassFigures, Reason};
+use crate::events::EventLog;
+use crate::request_tracker::{ClassMetrics, UnservedReason};
 use corkhollow_balance::interface::{Ending, Refusal};
 use prometheus::core::Collector;
 use prometheus::{
@@ -34,18 +34,18 @@
 
 /// What the decision module proposed or a connection was about to do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Proposed {
+pub enum DenialPoint {
     /// To send an attempt or to give a final answer.
-    Send,
+    Decision,
     /// To write an attempt's first byte.
-    Begin,
+    FirstByte,
 }
 
-impl Proposed {
+impl DenialPoint {
     fn name(self) -> &'static str {
         match self {
-            Proposed::Send => "send",
-            Proposed::Begin => "begin",
+            DenialPoint::Decision => "send",
+            DenialPoint::FirstByte => "begin",
         }
     }
 }
@@ -57,7 +57,7 @@
 
 /// All figures. Cheap to clone; written by the serving thread, read by any.
 #[derive(Clone, Debug)]
-pub struct Figures {
+pub struct Metrics {
     registry: Registry,
     succeeded: IntCounterVec,
     declined: IntCounterVec,
@@ -69,30 +69,30 @@
     retries_after: IntCounterVec,
     refusals: IntCounterVec,
     /// The last events of requests and connections.
-    pub recorder: Recorder,
+    pub events: EventLog,
     hedges: IntCounterVec,
     denied: IntCounterVec,
     closes: IntCounterVec,
     violations: IntCounterVec,
     list_age: GaugeVec,
     /// Connections of clients.
-    pub clients: Held,
+    pub client_connections: UsageGauges,
     /// Connections to servers.
-    pub servers: Held,
+    pub server_connections: UsageGauges,
     /// Bytes of bodies.
-    pub bodies: Held,
+    pub body_bytes: UsageGauges,
     /// Attempts of which a server's connection has the last byte.
     pub forwards: IntCounter,
     /// Requests taken and not ended.
-    pub outstanding: IntGauge,
+    pub outstanding_requests: IntGauge,
     /// Servers in the list.
-    pub discovered: IntGauge,
+    pub discovered_servers: IntGauge,
     /// Servers in the list that get nothing now because of their failures.
-    pub ejected: IntGauge,
+    pub ejected_servers: IntGauge,
     /// Files that SIGHUP brought and that were taken.
-    pub applied: IntCounter,
+    pub reloads_applied: IntCounter,
     /// Files that SIGHUP brought and that were turned down.
-    pub rejected: IntCounter,
+    pub reloads_rejected: IntCounter,
     /// Which file is in force.
     version: IntGaugeVec,
     /// How long the steps of the last change took, in seconds.
@@ -103,7 +103,7 @@
 
 /// Where the attempts of one pool are counted.
 #[derive(Clone, Debug)]
-pub struct PoolFigures {
+pub struct PoolMetrics {
     /// By the ending's place in [`ENDINGS`].
     attempts: [IntCounter; ENDINGS.len()],
     /// Attempts that follow one that has ended.
@@ -115,40 +115,40 @@
     /// Attempts beside one that is still out.
     pub hedges: IntCounter,
     /// How long ago discovery has last told of servers, in seconds.
-    pub list_age: Gauge,
+    pub list_age_seconds: Gauge,
     denied: IntCounterVec,
     /// The pool's name.
     pub pool: Arc<str>,
     /// Where events are kept.
-    pub recorder: Recorder,
+    pub events: EventLog,
 }
 
-impl PoolFigures {
+impl PoolMetrics {
     /// An attempt has ended so.
-    pub fn ended(&self, ending: Ending) {
+    pub fn count_attempt(&self, ending: Ending) {
         self.attempts[place(ending)].inc();
     }
 
     /// An attempt follows one that has ended so.
-    pub fn retried(&self, ending: Ending) {
+    pub fn count_retry(&self, ending: Ending) {
         self.retries.inc();
         self.retries_after[place(ending)].inc();
     }
 
     /// A request is refused for this reason.
-    pub fn refused(&self, reason: Refusal) {
+    pub fn count_refusal(&self, reason: Refusal) {
         self.refusals[reason as usize].inc();
     }
 
     /// The rules have denied what was proposed, for this reason.
-    pub fn denied(&self, proposed: Proposed, reason: &str) {
+    pub fn count_denial(&self, proposed: DenialPoint, reason: &str) {
         self.denied.with_label_values(&[&self.pool, proposed.name(), reason]).inc();
     }
 }
 
 /// The node's view of its fleet.
 #[derive(Clone, Debug)]
-pub struct FleetFigures {
+pub struct FleetMetrics {
     pub(crate) members: IntGaugeVec,
     pub(crate) changes: IntCounter,
     pub(crate) refuted: IntCounter,
@@ -163,12 +163,12 @@
 
 /// Something that is held against a limit.
 #[derive(Clone, Debug)]
-pub struct Held {
+pub struct UsageGauges {
     now: IntGauge,
     most: IntGauge,
 }
 
-impl Held {
+impl UsageGauges {
     /// So much is held, of so much.
     pub fn set(&self, now: usize, most: usize) {
         self.now.set(now as i64);
@@ -176,7 +176,7 @@
     }
 }
 
-impl Figures {
+impl Metrics {
     /// All at 0.
     ///
     /// # Errors
@@ -190,7 +190,7 @@
         let gauge = |name: &str, help: &str| listed(&registry, IntGauge::new(name, help)?);
         let held = |name: &str, help: &str| -> Result<_, prometheus::Error> {
             let most = gauge(&format!("{name}_most"), &format!("{help}, at most, of this process."))?;
-            Ok(Held { now: gauge(name, &format!("{help}, now."))?, most })
+            Ok(UsageGauges { now: gauge(name, &format!("{help}, now."))?, most })
         };
         let times = HistogramOpts::new(
             "answer_seconds",
@@ -204,7 +204,7 @@
         for rule in [DROPPED_REQUEST, LATE_ANSWER] {
             violations.with_label_values(&[rule]);
         }
-        Ok(Figures {
+        Ok(Metrics {
             violations,
             succeeded: counters("succeeded", "Requests served.", &[CLASS])?,
             declined: counters("declined", "Requests refused; trying again is harmless.", &[CLASS])?,
@@ -223,7 +223,7 @@
                 "Requests that the program refused, by reason.",
                 &[POOL, "reason"],
             )?,
-            recorder: Recorder::default(),
+            events: EventLog::default(),
             hedges: counters("hedges", "Attempts beside one that is still out.", &[POOL])?,
             denied: counters(
                 "denied",
@@ -232,15 +232,18 @@
             )?,
             closes: counters("client_closes", "Connections of clients that ended, by reason.", &["reason"])?,
             list_age: listed(&registry, GaugeVec::new(age, &[POOL])?)?,
-            clients: held("client_connections", "Connections of clients")?,
-            servers: held("server_connections", "Connections to servers")?,
-            bodies: held("body_bytes", "Bytes of bodies")?,
+            client_connections: held("client_connections", "Connections of clients")?,
+            server_connections: held("server_connections", "Connections to servers")?,
+            body_bytes: held("body_bytes", "Bytes of bodies")?,
             forwards: counter("forwards", "Attempts written whole to servers.")?,
-            outstanding: gauge("outstanding", "Requests taken and not ended.")?,
-            discovered: gauge("discovered", "Servers in the list.")?,
-            ejected: gauge("ejected", "Listed servers that are avoided for their failures.")?,
-            applied: counter("sighup_applied", "Files that SIGHUP brought and that were taken.")?,
-            rejected: counter("sighup_rejected", "Files that SIGHUP brought and that were turned down.")?,
+            outstanding_requests: gauge("outstanding", "Requests taken and not ended.")?,
+            discovered_servers: gauge("discovered", "Servers in the list.")?,
+            ejected_servers: gauge("ejected", "Listed servers that are avoided for their failures.")?,
+            reloads_applied: counter("sighup_applied", "Files that SIGHUP brought and that were taken.")?,
+            reloads_rejected: counter(
+                "sighup_rejected",
+                "Files that SIGHUP brought and that were turned down.",
+            )?,
             version: listed(&registry, IntGaugeVec::new(version, &["version"])?)?,
             steps: listed(&registry, GaugeVec::new(steps, &["step"])?)?,
             touched: gauge("reload_pools", "Pools that the last change of the file has touched.")?,
@@ -249,7 +252,7 @@
     }
 
     /// A client's connection has ended for this reason; whether that dropped a request that was taken whole and not answered.
-    pub fn closed(&self, reason: &str, dropped: bool) {
+    pub fn count_client_close(&self, reason: &str, dropped: bool) {
         self.closes.with_label_values(&[reason]).inc();
         if dropped {
             self.violations.with_label_values(&[DROPPED_REQUEST]).inc();
@@ -257,13 +260,13 @@
     }
 
     /// An answer went out after its request's time and the slack that the rules give it.
-    pub fn answered_late(&self) {
+    pub fn count_late_answer(&self) {
         self.violations.with_label_values(&[LATE_ANSWER]).inc();
     }
 
     /// This file is in force. Where it took another one's place: how long reading and checking, comparing and putting it in force
     /// took, in seconds, and how many pools that touched.
-    pub fn in_force(&self, version: &str, change: Option<([f64; 3], usize)>) {
+    pub fn set_active_config(&self, version: &str, change: Option<([f64; 3], usize)>) {
         self.version.reset();
         self.version.with_label_values(&[version]).set(1);
         let Some((times, touched)) = change else { return };
@@ -274,27 +277,28 @@
     }
 
     /// Where requests of a class are counted; from here on the class is shown.
-    pub fn class(&self, name: &str) -> ClassFigures {
-        ClassFigures {
+    pub fn for_class(&self, name: &str) -> ClassMetrics {
+        ClassMetrics {
             succeeded: self.succeeded.with_label_values(&[name]),
             declined: self.declined.with_label_values(&[name]),
             aborted: self.aborted.with_label_values(&[name]),
-            unserved: Reason::ALL.map(|reason| self.unserved.with_label_values(&[name, reason.name()])),
+            unserved: UnservedReason::ALL
+                .map(|reason| self.unserved.with_label_values(&[name, reason.name()])),
             answered: self.answered.with_label_values(&[name]),
-            outstanding: self.outstanding.clone(),
+            outstanding: self.outstanding_requests.clone(),
         }
     }
 
     /// Where attempts of a pool are counted; from here on the pool is shown.
-    pub fn pool(&self, name: &str) -> PoolFigures {
-        PoolFigures {
+    pub fn for_pool(&self, name: &str) -> PoolMetrics {
+        PoolMetrics {
             attempts: ENDINGS.map(|(_, ending)| self.attempts.with_label_values(&[name, ending])),
             retries: self.retries.with_label_values(&[name]),
             hedges: self.hedges.with_label_values(&[name]),
-            list_age: self.list_age.with_label_values(&[name]),
+            list_age_seconds: self.list_age.with_label_values(&[name]),
             denied: self.denied.clone(),
             pool: name.into(),
-            recorder: self.recorder.clone(),
+            events: self.events.clone(),
             retries_after: ENDINGS.map(|(_, ending)| self.retries_after.with_label_values(&[name, ending])),
             refusals: Refusal::ALL.map(|reason| self.refusals.with_label_values(&[name, reason.name()])),
         }
@@ -304,7 +308,7 @@
     ///
     /// # Errors
     /// Where this was asked for before.
-    pub fn fleet(&self) -> Result<FleetFigures, prometheus::Error> {
+    pub fn for_fleet(&self) -> Result<FleetMetrics, prometheus::Error> {
         let counters = |name: &str, help: &str, labels: &[&str]| {
             listed(&self.registry, IntCounterVec::new(Opts::new(name, help), labels)?)
         };
@@ -312,7 +316,7 @@
         let gauge = |name: &str, help: &str| listed(&self.registry, IntGauge::new(name, help)?);
         let seconds = |name: &str, help: &str| listed(&self.registry, Gauge::new(name, help)?);
         let members = Opts::new("fleet_members", "Members of the fleet, by what this node holds them for.");
-        Ok(FleetFigures {
+        Ok(FleetMetrics {
             members: listed(&self.registry, IntGaugeVec::new(members, &["state"])?)?,
             changes: counter("fleet_changes", "Changes of a member's state, as this node saw them.")?,
             refuted: counter("fleet_refuted", "Accusations of this node that it has refuted.")?,
@@ -330,7 +334,7 @@
     ///
     /// # Errors
     /// Where a figure cannot be written.
-    pub fn page(&self) -> Result<(Vec<u8>, &'static str), prometheus::Error> {
+    pub fn render(&self) -> Result<(Vec<u8>, &'static str), prometheus::Error> {
         let mut page = Vec::new();
         TextEncoder::new().encode(&self.registry.gather(), &mut page)?;
         Ok((page, prometheus::TEXT_FORMAT))
@@ -347,18 +351,18 @@
 mod tests {
     use super::*;
 
-    fn page(figures: &Figures) -> String {
-        String::from_utf8(figures.page().unwrap().0).unwrap()
+    fn page(figures: &Metrics) -> String {
+        String::from_utf8(figures.render().unwrap().0).unwrap()
     }
 
     /// A scraper must be able to tell 0 from a figure that is not there.
     #[test]
     fn all_figures_stand_there_from_the_start() {
-        let figures = Figures::new().unwrap();
-        figures.class("a \"b\"\\");
-        let pool = figures.pool("main");
-        ENDINGS.iter().for_each(|(ending, _)| pool.ended(*ending));
-        figures.bodies.set(0, 7);
+        let figures = Metrics::new().unwrap();
+        figures.for_class("a \"b\"\\");
+        let pool = figures.for_pool("main");
+        ENDINGS.iter().for_each(|(ending, _)| pool.count_attempt(*ending));
+        figures.body_bytes.set(0, 7);
         let page = page(&figures);
         for name in [
             "succeeded{service=\"a \\\"b\\\"\\\\\"}",
--- a/crates/operate/tests/golden.rs
+++ b/crates/operate/tests/golden.rs
@@ -1,7 +1,7 @@
 //! Golden files of what other versions and operators' tools read: the hand-over, the fleet page, events and metric names.
 
 use corkhollow_balance::interface::{Ending, Refusal, ServerId};
-use corkhollow_balance::{ClassKnown, Knowledge, ServerKnown};
+use corkhollow_balance::{ClassKnowledge, Knowledge, ServerKnowledge};
 use corkhollow_fleet::{Group, MemberView, Snapshot, State, Stats};
 use corkhollow_operate::*;
 use std::collections::BTreeSet;
@@ -20,18 +20,19 @@
 
 /// A pool with two classes and two servers, every field away from its default.
 fn pool(name: &str, at: u64) -> PoolHandover {
-    let server = |k: u64| ServerKnown {
+    let server = |k: u64| ServerKnowledge {
         id: ServerId(0x0a00_0001_1f90 + k),
         started_at: 1_700_000_000_000_000_000 + k,
         lag: 1.25,
         lag_at: at - 1,
         score: 17.5 + k as f64,
-        strikes: 3,
-        blocked_until: at + 2_000_000_000,
-        failures: 0.125,
-        failures_at: at - 2,
+        consecutive_failures: 3,
+        ejected_until: at + 2_000_000_000,
+        failure_rate: 0.125,
+        failure_rate_at: at - 2,
     };
-    let class = |typical: f64| ClassKnown { typical, answers: 42.5, least: 250_000.0 };
+    let class =
+        |typical_nanos: f64| ClassKnowledge { typical_nanos, answer_count: 42.5, min_nanos: 250_000.0 };
     PoolHandover {
         name: name.to_owned(),
         classes: vec!["read".to_owned(), "write".to_owned()],
@@ -76,7 +77,7 @@
         old,
     ]
     .concat();
-    let classes = vec![ClassKnown { typical: 2.0, answers: 3.0, least: 0.0 }];
+    let classes = vec![ClassKnowledge { typical_nanos: 2.0, answer_count: 3.0, min_nanos: 0.0 }];
     let knowledge = Knowledge { at: 7, classes, servers: Vec::new() };
     let pool = PoolHandover { name: "main".to_owned(), classes: vec!["read".to_owned()], knowledge };
     assert_eq!(
@@ -109,10 +110,10 @@
 #[test]
 fn fleet_page_keeps_its_json() {
     let page = FleetPage::new(&snapshot(), Some(address("127.0.0.1:7999")), 2_000_000);
-    assert_golden("fleet-page.json", page.json().as_bytes());
-    assert_eq!(FleetPage::read(page.json().as_bytes()).unwrap(), page);
+    assert_golden("fleet-page.json", page.to_json().as_bytes());
+    assert_eq!(FleetPage::from_json(page.to_json().as_bytes()).unwrap(), page);
     let alone = FleetPage::new(&Snapshot { members: Vec::new(), settled: false, ..snapshot() }, None, 0);
-    assert_golden("fleet-page-alone.json", alone.json().as_bytes());
+    assert_golden("fleet-page-alone.json", alone.to_json().as_bytes());
 }
 
 const ENDINGS: [Ending; 9] = [
@@ -129,9 +130,9 @@
 
 #[test]
 fn events_page_keeps_its_lines() {
-    let recorder = Recorder::default();
+    let recorder = EventLog::default();
     let request = || Subject::Request { pool: "main".into(), number: 7 };
-    recorder.record(1_500_000_000, request(), Event::Taken(ClientId::new(b"9b1f")));
+    recorder.record(1_500_000_000, request(), Event::Received(ClientRequestId::new(b"9b1f")));
     recorder.record(
         1_500_000_000,
         request(),
@@ -145,27 +146,27 @@
     recorder.record(1_700_000_000, request(), Event::ClientLeft);
     recorder.record(1_800_000_000, Subject::Connection(3), Event::Closed("leaving"));
     recorder.record(1_800_000_000, Subject::Connection(3), Event::ClientLeft);
-    assert_golden("events.txt", recorder.page().as_bytes());
+    assert_golden("events.txt", recorder.render().as_bytes());
 }
 
 /// Metric names with their types and labels; help texts and values are left out.
 #[test]
 fn metrics_keep_names_types_and_labels() {
-    let figures = Figures::new().unwrap();
-    figures.closed("idle-timeout", true);
-    figures.answered_late();
-    figures.in_force("v1", Some(([0.1, 0.2, 0.3], 4)));
-    figures.class("status");
-    let pool = figures.pool("main");
+    let figures = Metrics::new().unwrap();
+    figures.count_client_close("idle-timeout", true);
+    figures.count_late_answer();
+    figures.set_active_config("v1", Some(([0.1, 0.2, 0.3], 4)));
+    figures.for_class("status");
+    let pool = figures.for_pool("main");
     for ending in ENDINGS {
-        pool.ended(ending);
-        pool.retried(ending);
+        pool.count_attempt(ending);
+        pool.count_retry(ending);
     }
-    Refusal::ALL.into_iter().for_each(|reason| pool.refused(reason));
-    pool.denied(Proposed::Send, "may-have-run");
-    pool.denied(Proposed::Begin, "out-of-time");
-    figures.fleet().unwrap().set(&snapshot(), &Stats::default());
-    let (page, content_type) = figures.page().unwrap();
+    Refusal::ALL.into_iter().for_each(|reason| pool.count_refusal(reason));
+    pool.count_denial(DenialPoint::Decision, "may-have-run");
+    pool.count_denial(DenialPoint::FirstByte, "out-of-time");
+    figures.for_fleet().unwrap().update(&snapshot(), &Stats::default());
+    let (page, content_type) = figures.render().unwrap();
     assert_eq!(content_type, "text/plain; version=0.0.4");
     let page = String::from_utf8(page).unwrap();
     let shown = page.lines().filter(|line| !line.starts_with("# HELP "));
--- a/crates/plan/src/config/compile.rs
+++ b/crates/plan/src/config/compile.rs
@@ -67,7 +67,7 @@
 }
 
 /// A cold server collapses if it gets more than this multiple of its present capacity for this many nanoseconds.
-const COLD_OVERLOAD_MULTIPLE_AND_NANOS: (f64, u64) = (3.0, 2_000_000_000);
+const OVERLOAD_MULTIPLE_AND_WINDOW_NANOS: (f64, u64) = (3.0, 2_000_000_000);
 /// The ramp of pools without slow start, where it only sets how fast averages in the decision module decay.
 const DEFAULT_RAMP_NANOS: u64 = 10_000_000_000;
 /// Upper limit for `Retry-After`.
@@ -92,8 +92,8 @@
         max_retry_after: max_deadline.min(MAX_RETRY_AFTER_NANOS),
         cold_from: pool.cold_from,
         ramp: pool.cold_ramp.map_or(DEFAULT_RAMP_NANOS, |r| r.0),
-        tip_multiple: COLD_OVERLOAD_MULTIPLE_AND_NANOS.0,
-        fall: COLD_OVERLOAD_MULTIPLE_AND_NANOS.1,
+        tip_multiple: OVERLOAD_MULTIPLE_AND_WINDOW_NANOS.0,
+        overload_window: OVERLOAD_MULTIPLE_AND_WINDOW_NANOS.1,
         // The backups of zone `z` form the zone `backup_zone + z`.
         backup_zone: if pool.discovery.is_some() { u8::MAX } else { zone_count.min(127) as u8 },
         ..Settings::single_class(1, max_deadline)
--- a/crates/proxy/src/http1/client.rs
+++ b/crates/proxy/src/http1/client.rs
@@ -3,7 +3,7 @@
 use super::closing::{should_close, CloseLimits, CloseReason, ConnectionState, Stage};
 use crate::socket::Socket;
 use corkhollow_balance::interface::Nanos;
-use corkhollow_operate::{ClassFigures, Tally};
+use corkhollow_operate::{ClassMetrics, RequestTracker};
 use corkhollow_plan::limits::Slot;
 use hyper::body::Incoming;
 use hyper::header::HeaderValue;
@@ -70,7 +70,7 @@
     pub(super) unread: Cell<bool>,
     pub(super) close: Notify,
     /// The request under way, once its class is known.
-    pub(super) tally: RefCell<Option<Tally>>,
+    pub(super) tally: RefCell<Option<RequestTracker>>,
     /// The rest of a body that was passed on in part and is not wanted any longer.
     pub(super) rest: RefCell<Option<Incoming>>,
     pub(super) _slot: Slot,
@@ -117,7 +117,7 @@
         };
         ConnectionState {
             stage,
-            head_for: since(self.socket.heard.get()),
+            head_for: since(self.socket.first_byte_at.get()),
             silent_for: since(self.fresh_since.get()),
             still_for: Duration::from_nanos(now.saturating_sub(self.still_since.get())),
         }
@@ -125,12 +125,12 @@
 
     /// Between requests, as far as has been read.
     pub(super) fn resting(&self) -> bool {
-        self.stage.get() == Stage::Idle && self.socket.heard.get().is_none()
+        self.stage.get() == Stage::Idle && self.socket.first_byte_at.get().is_none()
     }
 
     /// A request of this class is being read.
-    pub(super) fn count(&self, class: &ClassFigures) {
-        let mut tally = Tally::new(class.clone());
+    pub(super) fn count(&self, class: &ClassMetrics) {
+        let mut tally = RequestTracker::new(class.clone());
         if self.surplus {
             tally.no_place();
         }
@@ -159,7 +159,7 @@
     /// hide their end.
     pub(super) async fn leaves(&self, one_at_a_time: bool) {
         poll_fn(|cx| match self.stage.get() == Stage::Waiting && self.whole.get() {
-            true => self.socket.poll_left(cx, one_at_a_time.then_some(&self.last)),
+            true => self.socket.poll_peer_closed(cx, one_at_a_time.then_some(&self.last)),
             false => Poll::Pending,
         })
         .await
@@ -176,7 +176,7 @@
     pub(super) fn close_if(&self, reason: CloseReason, now: Nanos, limits: &CloseLimits) -> bool {
         // One that is closed behind its answer may still stall.
         let chosen = self.closing.get().is_some() && reason != CloseReason::Stalled;
-        let closes = !chosen && should_close(reason, &self.state(now), limits, || !self.socket.quiet());
+        let closes = !chosen && should_close(reason, &self.state(now), limits, || !self.socket.is_quiet());
         if closes {
             self.close_for(reason);
         }
--- a/crates/proxy/src/http1/general.rs
+++ b/crates/proxy/src/http1/general.rs
@@ -5,12 +5,12 @@
 use super::closing::Stage;
 use super::service::Service;
 use super::upload::{self, UploadError};
+use crate::active_plan::ActivePlan;
 use crate::body::{AnswerBody, PieceBody};
-use crate::headers::strip;
-use crate::site::Site;
+use crate::headers::strip_hop_by_hop;
 use bytes::Bytes;
 use corkhollow_balance::interface::{self, Nanos};
-use corkhollow_engine::{Answer, Interims, Message, Payload};
+use corkhollow_engine::{Answer, InterimHandler, Message, Payload};
 use corkhollow_plan::plan::Listener;
 use corkhollow_plan::routes::path::normalise;
 use corkhollow_plan::routes::{Host, Outcome, Rewrite, Target};
@@ -81,7 +81,7 @@
 /// Answers one request.
 pub(super) async fn answer(
     service: &Rc<Service>,
-    site: &Site,
+    site: &ActivePlan,
     client: &Rc<Client>,
     listener: Option<usize>,
     request: Request<Incoming>,
@@ -111,7 +111,7 @@
 
 async fn handle(
     service: &Rc<Service>,
-    site: &Site,
+    site: &ActivePlan,
     client: &Rc<Client>,
     listener: Option<usize>,
     head: Parts,
@@ -157,7 +157,7 @@
         }
         Outcome::Forward { pool, rewrite } => {
             let class = site.plan.class_of(route.class, &head.method);
-            client.count(&site.figures[class]);
+            client.count(&site.class_figures[class]);
             let sent = sent(rewrite, &path, &head.uri)?;
             let tenant = site.plan.tenants.number(head.headers.get(&site.plan.tenants.header));
             let mut headers = head.headers;
@@ -191,26 +191,32 @@
                     UploadError::Broken => Problem::unreadable("the body broke off or cannot be read"),
                 },
             )?;
-            if let Payload::Whole(pieces) = &payload {
+            if let Payload::Buffered(pieces) = &payload {
                 if !headers.contains_key(header::CONTENT_LENGTH) && !pieces.is_empty() {
                     headers.insert(header::CONTENT_LENGTH, HeaderValue::from(pieces.len()));
                 }
                 headers.remove(header::EXPECT);
             }
-            let (pool, places) = (&site.pools[*pool], &site.places[*pool]);
+            let (pool, places) = (&site.pools[*pool], &site.class_indexes[*pool]);
             let give_up_at = service.clock.now() + site.plan.classes[class].class.give_up;
             let request = interface::Request {
                 class: places[class],
                 tenant: tenant.unwrap_or(u32::MAX),
                 is_write: !head.method.is_safe(),
-                streamed: matches!(payload, Payload::Stream(_)),
+                has_streaming_body: matches!(payload, Payload::Stream(_)),
                 ..interface::Request::new(0, give_up_at)
             };
             let interims = (head.version == Version::HTTP_11).then(|| interims(client, listener));
-            let message =
-                Message { method: head.method, uri: Uri::from(sent), headers, payload, give_up_at, interims };
+            let message = Message {
+                method: head.method,
+                uri: Uri::from(sent),
+                headers,
+                payload,
+                deadline: give_up_at,
+                interim_handler: interims,
+            };
             client.stage.set(Stage::Waiting);
-            if matches!(message.payload, Payload::Whole(_)) {
+            if matches!(message.payload, Payload::Buffered(_)) {
                 client.taken(service.clock.now());
             }
             let coming = message.upload().map(|upload| upload.progress.clone());
@@ -230,10 +236,12 @@
 
 /// Turns away what two readers could read in two ways, and what is not passed on at all.
 fn sound(head: &Parts, client: &Client) -> Result<(), Problem> {
-    if head.headers.contains_key(header::TRANSFER_ENCODING) && client.socket.said("\ncontent-length:") {
+    if head.headers.contains_key(header::TRANSFER_ENCODING)
+        && client.socket.head_contains("\ncontent-length:")
+    {
         return Err(Problem::unreadable("a length beside a transfer coding"));
     }
-    if client.socket.bare_line_feed() {
+    if client.socket.head_has_bare_line_feed() {
         return Err(Problem::unreadable("a line that ends with a bare line feed"));
     }
     if head.method == Method::CONNECT {
@@ -283,7 +291,7 @@
     }
 }
 
-fn no_route(site: &Site, target: &Target<'_>) -> Problem {
+fn no_route(site: &ActivePlan, target: &Target<'_>) -> Problem {
     let allowed = site.plan.routes.other_methods(target);
     if allowed.is_empty() {
         return Problem::new(StatusCode::NOT_FOUND, "no-route", "no route takes this request");
@@ -301,7 +309,7 @@
     authority: &HeaderValue,
     service: &Service,
 ) {
-    strip(headers);
+    strip_hop_by_hop(headers);
     let trust = listener.trust_forwarded;
     if listener.x_forwarded {
         put(headers, X_FORWARDED_FOR, client.address.clone(), trust, true);
@@ -351,10 +359,10 @@
 
 /// Passes interim answers on. The server side of hyper has no words for them: they are written beside it, which the
 /// socket allows between two messages only.
-fn interims(client: &Rc<Client>, listener: &Listener) -> Interims {
+fn interims(client: &Rc<Client>, listener: &Listener) -> InterimHandler {
     let (client, via) = (client.clone(), listener.via.clone());
-    Interims::new(move |status, mut headers| {
-        strip(&mut headers);
+    InterimHandler::new(move |status, mut headers| {
+        strip_hop_by_hop(&mut headers);
         headers.remove(header::CONTENT_LENGTH);
         if let Some(via) = &via {
             headers.append(header::VIA, via.clone());
@@ -365,17 +373,17 @@
             head.extend([name.as_str().as_bytes(), b": ", value.as_bytes(), b"\r\n"].concat());
         }
         head.extend(b"\r\n");
-        client.socket.say(&head);
+        client.socket.write_between(&head);
     })
 }
 
 /// What the client gets for what became of its request.
 fn answered(answer: Answer, rewrite: &Rewrite, listener: &Listener) -> Result<Response<AnswerBody>, Problem> {
     let (status, mut headers, body) = match answer {
-        Answer::Whole { status, headers, body } => {
+        Answer::Buffered { status, headers, body } => {
             (status, headers, AnswerBody::Whole(PieceBody::new(Rc::new(body))))
         }
-        Answer::Stream { status, headers, length, pieces } => {
+        Answer::Stream { status, headers, length, frames: pieces } => {
             (status, headers, AnswerBody::Stream { pieces, length })
         }
         Answer::Refused { retry_after } => {
@@ -383,11 +391,11 @@
             let problem = Problem::new(StatusCode::SERVICE_UNAVAILABLE, "refused", detail);
             return Err(Problem { retry_after: Some(retry_after), ..problem });
         }
-        Answer::Failed { late: true } => {
+        Answer::Failed { timed_out: true } => {
             let detail = "no answer in time; it may have run";
             return Err(Problem::new(StatusCode::GATEWAY_TIMEOUT, "late", detail));
         }
-        Answer::Failed { late: false } => {
+        Answer::Failed { timed_out: false } => {
             let detail = "no server answered; it may have run";
             return Err(Problem::new(StatusCode::BAD_GATEWAY, "failed", detail));
         }
--- a/crates/proxy/src/http1/platform.rs
+++ b/crates/proxy/src/http1/platform.rs
@@ -5,9 +5,9 @@
 use super::closing::Stage;
 use super::service::Service;
 use super::upload::{self, Pace, Rules, UploadError};
+use crate::active_plan::ActivePlan;
 use crate::body::{AnswerBody, PieceBody};
-use crate::headers::{strip, ID, TIMEOUT};
-use crate::site::Site;
+use crate::headers::{strip_hop_by_hop, REQUEST_ID, TIMEOUT_MS};
 use bytes::Bytes;
 use corkhollow_balance::interface::{self, Nanos, Settings};
 use corkhollow_engine::{Answer, Message, Payload};
@@ -29,16 +29,18 @@
 
 pub(super) async fn answer(
     service: &Rc<Service>,
-    site: &Site,
+    site: &ActivePlan,
     client: &Rc<Client>,
     request: Request<Incoming>,
 ) -> Response<AnswerBody> {
     let (head, body) = request.into_parts();
     if head.uri.path() == "/up" && head.method == Method::GET {
-        let up = service.control.lock().up();
+        let up = service.lifecycle.lock().is_ready();
         return text(if up { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }, "");
     }
-    if head.headers.contains_key(header::TRANSFER_ENCODING) && client.socket.said("\ncontent-length:") {
+    if head.headers.contains_key(header::TRANSFER_ENCODING)
+        && client.socket.head_contains("\ncontent-length:")
+    {
         return closing(text(StatusCode::BAD_REQUEST, "two lengths\n"));
     }
     // The path goes on as it came, and is matched so.
@@ -57,7 +59,7 @@
         return closing(text(StatusCode::NOT_FOUND, "no such class of requests\n"));
     };
     let (pool, settings) = (&site.pools[at], &site.plan.pools[at].settings);
-    client.count(&site.figures[class]);
+    client.count(&site.class_figures[class]);
     let rules = Rules {
         most_kept: site.plan.limits.replay_buffer,
         most: MOST_BODY,
@@ -85,24 +87,24 @@
         Err(UploadError::Broken) => return closing(text(StatusCode::BAD_REQUEST, "the body broke off\n")),
     };
     let mut headers = head.headers;
-    strip(&mut headers);
+    strip_hop_by_hop(&mut headers);
     headers.remove(header::EXPECT);
     headers.remove(header::TRAILER);
     // Servers know a request by its id, and take one that they have for a second copy.
-    let Some(id) = only(&headers, ID).filter(|id| !id.is_empty()).cloned() else {
+    let Some(id) = only(&headers, REQUEST_ID).filter(|id| !id.is_empty()).cloned() else {
         return closing(text(StatusCode::BAD_REQUEST, "one X-Request-ID is needed\n"));
     };
     let longest = settings.classes[class].give_up;
     // No client waits longer than its class: a longer figure would only hold memory.
-    let wait = match only(&headers, TIMEOUT).map(|v| v.to_str().ok()?.trim().parse::<u64>().ok()) {
+    let wait = match only(&headers, TIMEOUT_MS).map(|v| v.to_str().ok()?.trim().parse::<u64>().ok()) {
         Some(Some(ms)) => ms.saturating_mul(1_000_000).min(longest),
-        None if !headers.contains_key(TIMEOUT) => longest,
+        None if !headers.contains_key(TIMEOUT_MS) => longest,
         _ => return closing(text(StatusCode::BAD_REQUEST, "X-Timeout-Ms is no whole number\n")),
     };
     // A client's time runs while its connection waits to be accepted.
     let wait = wait.saturating_sub(client.waited());
     client.stage.set(Stage::Waiting);
-    let whole_body = matches!(payload, Payload::Whole(_));
+    let whole_body = matches!(payload, Payload::Buffered(_));
     if whole_body {
         client.taken(service.clock.now());
     }
@@ -111,7 +113,7 @@
     let number = |name: &str| headers.get(name).and_then(|v| v.to_str().ok()?.trim().parse::<f64>().ok());
     let tenant = site.plan.tenants.number(headers.get(&site.plan.tenants.header));
     let request = interface::Request {
-        class: site.places[at][class],
+        class: site.class_indexes[at][class],
         tenant: tenant.unwrap_or(u32::MAX),
         key: headers.get("x-route-key").map_or(0, |k| route_key(k.as_bytes())),
         work_hint: number("x-cost").filter(|us| *us > 0.0).map(|us| (us * 1000.0) as Nanos),
@@ -119,11 +121,11 @@
         is_write: headers
             .get("x-attrs")
             .is_some_and(|v| v.to_str().unwrap_or_default().split(',').any(|a| a.trim() == "write=1")),
-        streamed: matches!(payload, Payload::Stream(_)),
+        has_streaming_body: matches!(payload, Payload::Stream(_)),
         ..interface::Request::new(0, give_up_at)
     };
     match &payload {
-        Payload::Whole(body) if !headers.contains_key(header::CONTENT_LENGTH) && !body.is_empty() => {
+        Payload::Buffered(body) if !headers.contains_key(header::CONTENT_LENGTH) && !body.is_empty() => {
             headers.insert(header::CONTENT_LENGTH, HeaderValue::from(body.len()));
         }
         _ => {}
@@ -132,14 +134,15 @@
         Some(path) if head.uri.scheme().is_some() => Uri::from(path.clone()),
         _ => head.uri,
     };
-    let message = Message { method: head.method, uri, headers, payload, give_up_at, interims: None };
-    pool.first_list().await;
+    let message =
+        Message { method: head.method, uri, headers, payload, deadline: give_up_at, interim_handler: None };
+    pool.wait_for_servers().await;
     let Some(mut ticket) = pool.engine.submit(Some(id), request, message) else {
         return closing(text(StatusCode::CONFLICT, "a request with this X-Request-ID is open\n"));
     };
     let answer = ticket.answer().await;
     if whole_body && service.clock.now() > give_up_at + LATE_ANSWER {
-        service.figures.answered_late();
+        service.metrics.count_late_answer();
     }
     // Nobody reads the body any longer, or somebody has read all of it.
     drop(ticket);
@@ -149,15 +152,15 @@
         None => true,
     };
     let response = match answer {
-        Answer::Whole { headers, body, .. } => {
+        Answer::Buffered { headers, body, .. } => {
             served(headers, AnswerBody::Whole(PieceBody::new(Rc::new(body))))
         }
-        Answer::Stream { headers, length, pieces, .. } => {
+        Answer::Stream { headers, length, frames: pieces, .. } => {
             served(headers, AnswerBody::Stream { pieces, length })
         }
         Answer::Refused { retry_after } => refused(retry_after, settings),
-        Answer::Failed { late: true } => text(StatusCode::GATEWAY_TIMEOUT, "no answer in time\n"),
-        Answer::Failed { late: false } => text(StatusCode::BAD_GATEWAY, "failed\n"),
+        Answer::Failed { timed_out: true } => text(StatusCode::GATEWAY_TIMEOUT, "no answer in time\n"),
+        Answer::Failed { timed_out: false } => text(StatusCode::BAD_GATEWAY, "failed\n"),
     };
     if whole {
         response
--- a/crates/proxy/src/http1/respond.rs
+++ b/crates/proxy/src/http1/respond.rs
@@ -7,7 +7,7 @@
 use super::{general, platform};
 use crate::body::AnswerBody;
 use bytes::Bytes;
-use corkhollow_engine::Broken;
+use corkhollow_engine::IncompleteBody;
 use corkhollow_plan::plan::Dialect;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use hyper::header::{self, HeaderValue};
@@ -26,9 +26,12 @@
 
 impl Body for Outgoing {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = IncompleteBody;
 
-    fn poll_frame(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    fn poll_frame(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, IncompleteBody>>> {
         let this = self.get_mut();
         let piece = std::task::ready!(Pin::new(&mut this.body).poll_frame(cx));
         if let (Some(Err(_)), Some(tally)) = (&piece, &mut *this.client.tally.borrow_mut()) {
@@ -52,7 +55,7 @@
         self.client.rest.take();
         self.client.stage.set(Stage::Idle);
         self.client.idle_since.set(self.service.clock.now());
-        self.client.socket.forget(self.client.body_length.get());
+        self.client.socket.end_request(self.client.body_length.get());
     }
 }
 
@@ -69,7 +72,7 @@
     client.fresh_since.set(None);
     client.request_waited.set(client.waited.take());
     let chunked = request.headers().contains_key(header::TRANSFER_ENCODING);
-    let seen = chunked && client.socket.has_head(request.method().as_str());
+    let seen = chunked && client.socket.has_whole_head(request.method().as_str());
     // Taken once: a new site takes over between two requests.
     let site = service.site.get();
     let listener = site.plan.listeners.iter().position(|l| *l.name == *client.listener);
@@ -87,7 +90,7 @@
         let by_server = matches!(response.body(), AnswerBody::Whole(_) | AnswerBody::Stream { .. });
         tally.answer(service.clock.now(), response.status().as_u16(), by_server);
     }
-    let last = !service.control.lock().keeps() || client.surplus || client.last.get();
+    let last = !service.lifecycle.lock().allows_keep_alive() || client.surplus || client.last.get();
     if last || hides || listener.is_none() {
         response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
--- a/crates/proxy/src/operator.rs
+++ b/crates/proxy/src/operator.rs
@@ -1,12 +1,12 @@
 //! The operator's address (HTTP/1.1, one call to a connection): ready, figures, drain, resume. It has a thread and a
 //! runtime of its own, so that no load keeps an answer back.
 
-use crate::fleet::{Fleet, Place};
+use crate::fleet::{Fleet, FleetCell};
 use crate::socket::{Socket, SocketIo};
 use bytes::Bytes;
 use corkhollow_engine::{log, Clock};
 use corkhollow_fleet::Standing;
-use corkhollow_operate::{Control, Figures, FleetPage};
+use corkhollow_operate::{FleetPage, Metrics, SharedLifecycle};
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
 use hyper::header::{self, HeaderMap, HeaderValue};
@@ -25,7 +25,7 @@
 
 /// Callers that may be connected at once; the oldest goes for a new one. Calls take milliseconds: one that is still
 /// there says nothing.
-pub const MOST_CALLERS: usize = 8;
+pub const MAX_CONNECTIONS: usize = 8;
 /// A head that is not there after this will not come.
 const HEAD_WITHIN: Duration = Duration::from_secs(2);
 /// The whole of a call takes no longer, whoever reads slowly.
@@ -40,15 +40,15 @@
 #[derive(Clone)]
 pub struct Operator {
     /// The node's life.
-    pub control: Control,
+    pub control: SharedLifecycle,
     /// What it has done.
-    pub figures: Figures,
+    pub figures: Metrics,
     /// The clock that its life goes by.
     pub clock: Clock,
     /// Tells the serving side that the life has changed.
     pub changed: Arc<Notify>,
     /// The node's place in its fleet, if it has one.
-    pub fleet: Place,
+    pub fleet: FleetCell,
 }
 
 impl Operator {
@@ -75,7 +75,7 @@
                 continue;
             };
             callers.retain(|caller| !caller.is_finished());
-            while callers.len() >= MOST_CALLERS {
+            while callers.len() >= MAX_CONNECTIONS {
                 callers.pop_front().inspect(AbortHandle::abort);
             }
             callers.push_back(tokio::task::spawn_local(call(self.clone(), stream)).abort_handle());
@@ -95,9 +95,9 @@
             return response;
         }
         match path {
-            "/-/ready" if self.control.lock().up() => text(StatusCode::OK, "ready\n"),
+            "/-/ready" if self.control.lock().is_ready() => text(StatusCode::OK, "ready\n"),
             "/-/ready" => text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
-            "/-/metrics" => match self.figures.page() {
+            "/-/metrics" => match self.figures.render() {
                 Ok((page, kind)) => {
                     let mut response = Response::new(Full::new(Bytes::from(page)));
                     response.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static(kind));
@@ -105,7 +105,7 @@
                 }
                 Err(_) => text(StatusCode::INTERNAL_SERVER_ERROR, "the figures cannot be written\n"),
             },
-            "/-/events" => plain(Bytes::from(self.figures.recorder.page())),
+            "/-/events" => plain(Bytes::from(self.figures.events.render())),
             "/-/fleet" => match self.fleet.get() {
                 Some(fleet) => json(page(fleet)),
                 None => text(StatusCode::NOT_FOUND, "no member of a fleet\n"),
@@ -136,7 +136,7 @@
         Standing::Refused { by } => Some(by),
         _ => None,
     };
-    FleetPage::new(&view.snapshot, refused_by, view.at.elapsed().as_nanos() as u64).json()
+    FleetPage::new(&view.snapshot, refused_by, view.at.elapsed().as_nanos() as u64).to_json()
 }
 
 fn json(page: String) -> Response<Full<Bytes>> {
@@ -170,7 +170,7 @@
 /// Waits for all of a call: what its caller never finishes must not have acted. Two lengths are no length (RFC 9112, 6.3).
 async fn whole(headers: &HeaderMap, socket: &Socket, mut body: Incoming) -> Result<(), Refusal> {
     // hyper keeps one of the two only.
-    if headers.contains_key(header::TRANSFER_ENCODING) && socket.said("\ncontent-length:") {
+    if headers.contains_key(header::TRANSFER_ENCODING) && socket.head_contains("\ncontent-length:") {
         return Err((StatusCode::BAD_REQUEST, "both Content-Length and Transfer-Encoding\n"));
     }
     let reading = async {
--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -4,7 +4,7 @@
 use super::upstreams::Upstreams;
 use super::{general, platform};
 use crate::body::{PieceBody, RequestBody};
-use crate::headers::TIMEOUT;
+use crate::headers::TIMEOUT_MS;
 use crate::socket::Socket;
 use corkhollow_balance::interface::{Ending, Nanos, ServerId};
 use corkhollow_engine::{AttemptId, ClientBody, Engine, Message, Payload};
@@ -38,8 +38,8 @@
     let _fault = Fault { engine: &engine, id };
     if let Err(ending) = exchange(&upstreams, &engine, id, server, &message, &seen).await {
         // What a client spoils says nothing of the server.
-        let spoilt = message.upload().is_some_and(|upload| upload.progress.failed.get());
-        engine.ended(id, if spoilt { Ending::Cancelled } else { ending });
+        let spoilt = message.upload().is_some_and(|upload| upload.progress.client_failed.get());
+        engine.on_attempt_ended(id, if spoilt { Ending::Cancelled } else { ending });
     }
 }
 
@@ -52,7 +52,7 @@
 impl Drop for Fault<'_> {
     fn drop(&mut self) {
         if std::thread::panicking() {
-            self.engine.ended(self.id, Ending::Cancelled);
+            self.engine.on_attempt_ended(self.id, Ending::Cancelled);
         }
     }
 }
@@ -97,18 +97,18 @@
         if !engine.may_begin(id) {
             return Err(Ending::NotSent);
         }
-        let heard = message.interims.as_ref().map(|_| link.interims());
+        let heard = message.interim_handler.as_ref().map(|_| link.interims());
         let Some(request) = request(upstreams, message, begun, heard.clone()) else {
             return Err(Ending::NotSent);
         };
         *seen.borrow_mut() = Some(link.socket.clone());
         // A server of the platform begins a request with its last byte; any other may do so with its head.
         let body = match (&message.payload, upstreams.dialect) {
-            (Payload::Whole(body), Dialect::Platform) => body.len(),
+            (Payload::Buffered(body), Dialect::Platform) => body.len(),
             (Payload::Stream(_), Dialect::Platform) => length(message),
             _ => 0,
         };
-        link.socket.expect_request(body, upstreams.forwards.clone());
+        link.socket.begin_request(body, upstreams.forwards.clone());
         let socket = link.socket.clone();
         let mut coming = message.upload().is_some();
         let mut response = pin!(link.sender.try_send_request(request));
@@ -118,11 +118,11 @@
                 .iter()
                 .filter_map(Heard::take)
                 .flatten()
-                .for_each(|(status, headers)| engine.interim(id, status, headers));
+                .for_each(|(status, headers)| engine.on_interim_answer(id, status, headers));
             let polled = response.as_mut().poll(cx);
-            if coming && socket.written() {
+            if coming && socket.is_request_written() {
                 coming = false;
-                engine.written(id);
+                engine.on_request_written(id);
             }
             polled
         });
@@ -130,8 +130,8 @@
             Ok(response) => {
                 let now = upstreams.clock.now();
                 upstreams.fleet(|f| f.lives.note(now, rested, false));
-                if let Some(took) = socket.since_written() {
-                    engine.answering(id, took.as_nanos() as Nanos);
+                if let Some(took) = socket.time_since_written() {
+                    engine.on_answer_head(id, took.as_nanos() as Nanos);
                 }
                 let keep = answer(upstreams, engine, id, message, &mut link, response).await;
                 let reusable = keep && link.reusable().await;
@@ -144,7 +144,7 @@
                 }
                 Ok(())
             }
-            Err(_) if socket.written() => {
+            Err(_) if socket.is_request_written() => {
                 let now = upstreams.clock.now();
                 let lost = now.saturating_sub(begun) < AT_ONCE;
                 upstreams.fleet(|f| f.lives.note(now, rested, lost));
@@ -157,7 +157,7 @@
                 }
                 // A kept connection that the server was just closing: it does not have the request, whose
                 // attempt has not begun. A new connection tells whether the server is there.
-                if rested.is_some() && !message.spent() {
+                if rested.is_some() && !message.is_body_consumed() {
                     continue;
                 }
                 Err(Ending::ConnectFailed)
@@ -198,9 +198,9 @@
 ) -> Option<Request<RequestBody>> {
     let asked = message.headers.contains_key(header::EXPECT).then(|| Arc::new(Notify::new()));
     let body = match &message.payload {
-        Payload::Whole(pieces) => RequestBody::Whole(PieceBody::new(pieces.clone())),
+        Payload::Buffered(pieces) => RequestBody::Whole(PieceBody::new(pieces.clone())),
         Payload::Stream(upload) => {
-            let body: ClientBody = upload.take()?;
+            let body: ClientBody = upload.take_body()?;
             RequestBody::Stream { body, wait: asked.clone().map(until_asked) }
         }
     };
@@ -209,8 +209,8 @@
     *request.uri_mut() = message.uri.clone();
     *request.headers_mut() = message.headers.clone();
     if upstreams.dialect == Dialect::Platform {
-        let left = message.give_up_at.saturating_sub(now).div_ceil(1_000_000).max(1);
-        request.headers_mut().insert(TIMEOUT, HeaderValue::from(left));
+        let left = message.deadline.saturating_sub(now).div_ceil(1_000_000).max(1);
+        request.headers_mut().insert(TIMEOUT_MS, HeaderValue::from(left));
     }
     if asked.is_some() || heard.is_some() {
         // `100 Continue` is the program's own affair: it asks its client by itself.
--- a/crates/proxy/src/upstream/discovery.rs
+++ b/crates/proxy/src/upstream/discovery.rs
@@ -5,7 +5,7 @@
 use super::upstreams::Upstreams;
 use crate::socket::{Socket, SocketIo};
 use corkhollow_balance::interface::{ListKind, Phase, Server, ServerId};
-use corkhollow_engine::{log, Engine, ListCall};
+use corkhollow_engine::{log, DiscoveryCall, Engine};
 use corkhollow_plan::hosts::{Health, Host, HostList, ListError, ListReader, LONGEST_LIST};
 use http_body_util::{BodyExt, Empty};
 use hyper::body::{Bytes, Incoming};
@@ -168,17 +168,17 @@
     }
 
     /// Lists come to those who ask: the module says when.
-    pub async fn obey(mut self, mut calls: mpsc::UnboundedReceiver<ListCall>) {
+    pub async fn obey(mut self, mut calls: mpsc::UnboundedReceiver<DiscoveryCall>) {
         let mut moves = self.address.clone();
         let mut next = calls.recv().await;
         while let Some(call) = next.take() {
             self.opened_at = None;
             let error = match call {
-                ListCall::Fetch => tokio::select! {
+                DiscoveryCall::Fetch => tokio::select! {
                     fetched = self.fetch() => fetched.err(),
                     () = moved(&mut moves) => { next = Some(call); continue }
                 },
-                ListCall::Subscribe => tokio::select! {
+                DiscoveryCall::Subscribe => tokio::select! {
                     error = self.watch() => Some(error),
                     asked = calls.recv() => { next = asked; continue }
                     () = moved(&mut moves) => { next = Some(call); continue }
@@ -192,7 +192,7 @@
                     next = Some(call);
                     continue;
                 }
-                self.engine.list(ListKind::Failed, Vec::new());
+                self.engine.on_server_list(ListKind::Failed, Vec::new());
             }
             next = calls.recv().await;
         }
@@ -284,14 +284,14 @@
                 phase: match h.health {
                     Health::Active => Phase::Ready,
                     Health::Leaving => Phase::Draining,
-                    Health::Left => Phase::Gone,
+                    Health::Left => Phase::Removed,
                 },
                 size: h.share.filter(|s| s.is_finite()).unwrap_or(0.0),
                 started_at: h.born_ms.unwrap_or(0).saturating_mul(1_000_000),
             },
         };
         let servers = self.upstreams.follow(kind, hosts.into_iter().map(entry).collect());
-        self.engine.list(kind, servers);
+        self.engine.on_server_list(kind, servers);
     }
 
     /// Opens a watch and waits for the first that it says.
--- a/crates/proxy/src/upstream/general.rs
+++ b/crates/proxy/src/upstream/general.rs
@@ -2,9 +2,9 @@
 
 use super::link::Link;
 use super::upstreams::Upstreams;
-use crate::headers::{strip, NOT_PROCESSED};
+use crate::headers::{strip_hop_by_hop, NOT_PROCESSED};
 use corkhollow_balance::interface::Ending;
-use corkhollow_engine::{Answer, AttemptId, Broken, Engine, Piece, Pieces};
+use corkhollow_engine::{Answer, AttemptId, BodyFrame, BufferedBody, Engine, IncompleteBody};
 use hyper::body::{Body, Incoming};
 use hyper::header;
 use hyper::{Response, StatusCode};
@@ -45,20 +45,20 @@
     let not_processed = head.headers.get(NOT_PROCESSED).is_some_and(|v| v == "1");
     let ending = ending(head.status, not_processed);
     // Two lengths: the next answer on this connection might begin inside this one (RFC 9112, 6.3).
-    let two_lengths =
-        head.headers.contains_key(header::TRANSFER_ENCODING) && link.socket.said("\ncontent-length:");
+    let two_lengths = head.headers.contains_key(header::TRANSFER_ENCODING)
+        && link.socket.head_contains("\ncontent-length:");
     let (status, mut headers) = (head.status, head.headers);
-    strip(&mut headers);
+    strip_hop_by_hop(&mut headers);
     if !bodiless && status != StatusCode::NOT_MODIFIED {
         headers.remove(header::CONTENT_LENGTH);
     }
     let length = body.size_hint().exact();
-    let mut gathered = Pieces::new(upstreams.budget.lease());
+    let mut gathered = BufferedBody::new(upstreams.budget.lease());
     let over = loop {
         match at_hand(link, &mut body).await {
             None => break None,
             Some(None) => {
-                tell(engine, id, ending, Answer::Whole { status, headers, body: gathered });
+                tell(engine, id, ending, Answer::Buffered { status, headers, body: gathered });
                 return !two_lengths;
             }
             Some(Some(Ok(frame))) => {
@@ -69,11 +69,11 @@
                     Err(trailers) => break Some(Ok(trailers)),
                 }
             }
-            Some(Some(Err(_))) => break Some(Err(Broken)),
+            Some(Some(Err(_))) => break Some(Err(IncompleteBody)),
         }
     };
     let (to_client, pieces) = mpsc::channel(1);
-    if !tell(engine, id, ending, Answer::Stream { status, headers, length, pieces }) {
+    if !tell(engine, id, ending, Answer::Stream { status, headers, length, frames: pieces }) {
         return false;
     }
     let (gathered, _lease) = gathered.into_parts();
@@ -88,8 +88,8 @@
     upstreams: &Upstreams,
     link: &mut Link,
     body: &mut Incoming,
-    first: impl Iterator<Item = Piece>,
-    to_client: mpsc::Sender<Piece>,
+    first: impl Iterator<Item = BodyFrame>,
+    to_client: mpsc::Sender<BodyFrame>,
 ) -> bool {
     for piece in first {
         let broken = piece.is_err();
@@ -103,13 +103,13 @@
 /// Tells the engine; false where nobody wants the answer.
 fn tell(engine: &Rc<Engine>, id: AttemptId, ending: Ending, answer: Answer) -> bool {
     match (ending, answer) {
-        (Ending::Ok, Answer::Whole { status, headers, body }) => {
-            engine.served(id, status, headers, body);
+        (Ending::Ok, Answer::Buffered { status, headers, body }) => {
+            engine.on_buffered_answer(id, status, headers, body);
             true
         }
-        (Ending::Ok, answer) => engine.streams(id, answer),
+        (Ending::Ok, answer) => engine.on_answer(id, answer),
         (ending, answer) => {
-            engine.errored(id, ending, answer);
+            engine.on_error_answer(id, ending, answer);
             true
         }
     }
@@ -137,7 +137,7 @@
     upstreams: &Upstreams,
     link: &mut Link,
     body: &mut Incoming,
-    to_client: &mpsc::Sender<Piece>,
+    to_client: &mpsc::Sender<BodyFrame>,
 ) -> bool {
     loop {
         let next = poll_fn(|cx| Pin::new(&mut *body).poll_frame(cx));
@@ -145,7 +145,7 @@
             Ok(None) => return true,
             Ok(Some(Ok(frame))) => frame,
             Ok(Some(Err(_))) | Err(_) => {
-                let _ = to_client.send(Err(Broken)).await;
+                let _ = to_client.send(Err(IncompleteBody)).await;
                 return false;
             }
         };
--- a/crates/proxy/src/upstream/platform.rs
+++ b/crates/proxy/src/upstream/platform.rs
@@ -3,10 +3,10 @@
 
 use super::link::Link;
 use super::upstreams::Upstreams;
-use crate::headers::{strip, NOT_PROCESSED};
+use crate::headers::{strip_hop_by_hop, NOT_PROCESSED};
 use bytes::Bytes;
 use corkhollow_balance::interface::Ending;
-use corkhollow_engine::{Answer, AttemptId, Broken, Engine, Pieces};
+use corkhollow_engine::{Answer, AttemptId, BufferedBody, Engine, IncompleteBody};
 use corkhollow_plan::limits::MOST_BODY;
 use http_body_util::BodyExt;
 use hyper::body::{Body, Frame, Incoming};
@@ -44,29 +44,29 @@
         };
         // An attempt is out as long as its answer is on its way, and another may not be allowed beside it.
         let whole = Box::pin(drain(link, body)).await;
-        engine.ended(id, ending);
+        engine.on_attempt_ended(id, ending);
         return whole;
     }
     let mut headers = head.headers;
-    strip(&mut headers);
+    strip_hop_by_hop(&mut headers);
     headers.remove(header::CONTENT_LENGTH);
     headers.remove(header::TRAILER);
     let length = body.size_hint().exact();
     if length.is_some_and(|l| l > LONGEST) {
-        engine.ended(id, Ending::Reset);
+        engine.on_attempt_ended(id, Ending::Reset);
         return false;
     }
-    let mut pieces = Pieces::new(upstreams.budget.lease());
+    let mut pieces = BufferedBody::new(upstreams.budget.lease());
     let mut next = None;
     while length.is_none_or(|l| l <= WHOLE) {
         match tokio::time::timeout(SHORT_STALL, link.drive(body.frame())).await {
             Ok(None) => {
-                engine.served(id, head.status, headers, pieces);
+                engine.on_buffered_answer(id, head.status, headers, pieces);
                 return true;
             }
             // It may have run. Waited for to the deadline it would look to the module like a server in a jam.
             Ok(Some(Err(_))) | Err(_) => {
-                engine.ended(id, Ending::Reset);
+                engine.on_attempt_ended(id, Ending::Reset);
                 return false;
             }
             Ok(Some(Ok(frame))) => {
@@ -109,12 +109,12 @@
     link: &mut Link,
     headers: HeaderMap,
     length: Option<u64>,
-    held: Pieces,
+    held: BufferedBody,
     mut next: Option<Bytes>,
     mut body: Incoming,
 ) -> bool {
     let (to_client, pieces) = mpsc::channel(1);
-    if !engine.streams(id, Answer::Stream { status: StatusCode::OK, headers, length, pieces }) {
+    if !engine.on_answer(id, Answer::Stream { status: StatusCode::OK, headers, length, frames: pieces }) {
         return false;
     }
     let (held, _lease) = held.into_parts();
@@ -130,13 +130,13 @@
                     Err(_) => continue,
                 },
                 Ok(Some(Err(_))) | Err(_) => {
-                    let _ = to_client.send(Err(Broken)).await;
+                    let _ = to_client.send(Err(IncompleteBody)).await;
                     return false;
                 }
             },
         };
         let Some(rest) = left.checked_sub(piece.len() as u64) else {
-            let _ = to_client.send(Err(Broken)).await;
+            let _ = to_client.send(Err(IncompleteBody)).await;
             return false;
         };
         left = rest;
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -9,7 +9,7 @@
 };
 use corkhollow_engine::{log, Clock, Engine};
 use corkhollow_fleet::Group;
-use corkhollow_operate::Figures;
+use corkhollow_operate::Metrics;
 use corkhollow_plan::change::Differs;
 use corkhollow_plan::config::parse_server_list;
 use corkhollow_plan::limits::Budget;
@@ -36,13 +36,13 @@
 
 /// What all pools share.
 #[derive(Clone)]
-pub struct Shared {
+pub struct PoolContext {
     /// The program's clock.
     pub clock: Clock,
     /// What it may hold.
     pub budget: Rc<Budget>,
     /// What it has done.
-    pub figures: Figures,
+    pub figures: Metrics,
     /// The engines of all pools, those with them that no plan has any longer and that have requests under way.
     pub engines: Engines,
 }
@@ -60,19 +60,19 @@
 
     /// Answers all that is under way by then, for the node leaves.
     pub fn end_by(&self, at: Nanos) {
-        self.0.borrow().iter().filter_map(Weak::upgrade).for_each(|engine| engine.end_by(at));
+        self.0.borrow().iter().filter_map(Weak::upgrade).for_each(|engine| engine.set_shutdown_deadline(at));
     }
 }
 
 /// What all pools are told beside their own settings.
-pub struct Terms {
+pub struct CommonSettings {
     /// The tenants' shares, one table for all.
     pub quotas: Quotas,
     /// What the node counts as, where that isn't told by the settings.
     pub group: Option<Group>,
 }
 
-impl Terms {
+impl CommonSettings {
     /// What a pool's decision module goes by.
     pub fn settings(&self, pool: &plan::Pool) -> Settings {
         let own = &pool.settings;
@@ -122,14 +122,14 @@
     pub fn start(
         plan: &Plan,
         at: usize,
-        shared: &Shared,
+        shared: &PoolContext,
         seed: u64,
-        terms: &Terms,
+        terms: &CommonSettings,
     ) -> Result<Rc<Self>, SettingsError> {
         let told = plan.pools[at].clone();
         let (list_calls, calls) = mpsc::unbounded_channel();
         let upstreams = Upstreams::new(&told, &plan.limits, shared, list_calls);
-        let (sender, figures) = (Rc::new(Sender(upstreams.clone())), shared.figures.pool(&told.name));
+        let (sender, figures) = (Rc::new(Sender(upstreams.clone())), shared.figures.for_pool(&told.name));
         let engine = Engine::new(terms.settings(&told), seed, shared.clock, sender, figures)?;
         shared.engines.add(&engine);
         let retired = Rc::new(Cell::new(false));
@@ -190,13 +190,13 @@
     ///
     /// # Errors
     /// Where no node could act on the settings; all is as it was.
-    pub fn go_on(
+    pub fn update(
         &self,
         plan: &Plan,
         at: usize,
         differs: Differs,
         quotas: bool,
-        terms: &Terms,
+        terms: &CommonSettings,
         predecessors: impl FnOnce() -> Vec<Option<u16>>,
     ) -> Result<Option<Vec<u16>>, SettingsError> {
         let told = &plan.pools[at];
@@ -252,7 +252,7 @@
     }
 
     /// Waits until the pool has been told who its servers are, or its process is no longer new.
-    pub async fn first_list(&self) {
+    pub async fn wait_for_servers(&self) {
         if !*self.ready.borrow() {
             let until = self.engine.clock().instant(self.waits_until);
             let _ = tokio::time::timeout_at(until, self.ready.subscribe().wait_for(|ready| *ready)).await;
@@ -294,7 +294,7 @@
     fn tell(&self, kind: ListKind, listed: Vec<Listed>) {
         let entries = listed.into_iter().map(entry).collect();
         let servers = self.upstreams.follow(kind, entries);
-        self.engine.list(kind, servers);
+        self.engine.on_server_list(kind, servers);
     }
 }
 
--- a/crates/proxy/src/upstream/upstreams.rs
+++ b/crates/proxy/src/upstream/upstreams.rs
@@ -2,10 +2,10 @@
 
 use super::attempt::attempt;
 use super::fleet::{Entry, Fleet, Rests};
-use super::Shared;
+use super::PoolContext;
 use crate::socket::Socket;
 use corkhollow_balance::interface::{ListKind, Nanos, Server, ServerId};
-use corkhollow_engine::{log, AttemptId, Carrier, Clock, Engine, ListCall, Message, Running};
+use corkhollow_engine::{log, AttemptId, Clock, DiscoveryCall, Engine, Message, RunningAttempt, Transport};
 use corkhollow_operate::IntCounter;
 use corkhollow_plan::limits::Budget;
 use corkhollow_plan::plan::{Dialect, Limits, Pool};
@@ -40,7 +40,7 @@
     /// Attempts that were given up and go on for a while; bounded by the connections to servers.
     lingering: Rc<RefCell<VecDeque<(Nanos, AbortHandle)>>>,
     /// Bounded by the module, which asks again only after an answer.
-    list_calls: mpsc::UnboundedSender<ListCall>,
+    list_calls: mpsc::UnboundedSender<DiscoveryCall>,
 }
 
 /// Connections that a pool may hold, and requests that wait for one.
@@ -90,8 +90,8 @@
     pub fn new(
         pool: &Pool,
         limits: &Limits,
-        shared: &Shared,
-        list_calls: mpsc::UnboundedSender<ListCall>,
+        shared: &PoolContext,
+        list_calls: mpsc::UnboundedSender<DiscoveryCall>,
     ) -> Rc<Self> {
         let rests = match pool.dialect {
             Dialect::Platform => Rests::Always,
@@ -136,13 +136,13 @@
     }
 
     /// Closes what has stood idle for too long or was closed by its server.
-    pub fn sweep(&self) {
+    pub fn close_expired_idle(&self) {
         self.fleet(|f| f.sweep(self.clock.now()));
         while self.budget.servers_over() && self.evict() {}
     }
 
     /// Ends attempts that have lingered for long enough.
-    pub fn cut_lingering(&self) {
+    pub fn abort_overdue_attempts(&self) {
         let now = self.clock.now();
         let mut lingering = self.lingering.borrow_mut();
         while let Some((_, task)) = lingering.pop_front_if(|(at, _)| *at <= now) {
@@ -189,14 +189,14 @@
 /// A handle on the upstreams that an engine can own.
 pub struct Sender(pub Rc<Upstreams>);
 
-impl Carrier for Sender {
+impl Transport for Sender {
     fn send(
         &self,
         engine: &Rc<Engine>,
         id: AttemptId,
         server: ServerId,
         message: Rc<Message>,
-    ) -> Box<dyn Running> {
+    ) -> Box<dyn RunningAttempt> {
         let socket = Rc::default();
         let task = attempt(self.0.clone(), engine.clone(), id, server, message, Rc::clone(&socket));
         Box::new(Sent {
@@ -207,17 +207,17 @@
         })
     }
 
-    fn ask(&self, call: ListCall) {
+    fn call_discovery(&self, call: DiscoveryCall) {
         let _ = self.0.list_calls.send(call);
     }
 
-    fn name(&self, server: ServerId) -> Option<Arc<str>> {
+    fn server_name(&self, server: ServerId) -> Option<Arc<str>> {
         self.0.fleet(|f| f.name(server))
     }
 
     fn log(&self, server: Option<ServerId>, text: &str) {
         let pool = &self.0.name;
-        match server.and_then(|id| Carrier::name(self, id)) {
+        match server.and_then(|id| Transport::server_name(self, id)) {
             Some(server) => log(format_args!("pool {pool}: server {server}: {text}")),
             None => log(format_args!("pool {pool}: {text}")),
         }
@@ -234,12 +234,12 @@
 
 impl Sent {
     fn written(&self) -> bool {
-        self.socket.borrow().as_ref().is_some_and(|s| s.written())
+        self.socket.borrow().as_ref().is_some_and(|s| s.is_request_written())
     }
 }
 
-impl Running for Sent {
-    fn withdraw(&self) -> bool {
+impl RunningAttempt for Sent {
+    fn cancel_if_unsent(&self) -> bool {
         let unwritten = !self.written();
         if unwritten {
             self.task.abort();
@@ -247,7 +247,7 @@
         unwritten
     }
 
-    fn give_up(self: Box<Self>) {
+    fn abandon(self: Box<Self>) {
         if self.written() {
             self.lingering.borrow_mut().push_back((self.clock.now() + LINGER, self.task));
         } else {
