--- a/crates/plan/src/config/mod.rs
+++ b/crates/plan/src/config/mod.rs
@@ -1,4 +1,4 @@
-//! The operator's configuration file: TOML text in, a [`Plan`] or all diagnostics out. Nothing here reads from disk.
+//! The operator's configuration file: TOML text in, a [`Plan`] or all diagnostics out. Nothing here reads files.
 
 mod compile;
 pub mod model;
@@ -46,8 +46,8 @@
     }
 }
 
-/// Parses the server list that a pool watches. Zone names are resolved to indexes into `zones`; a server without a zone
-/// gets `zone`, the node's own.
+/// Parses the server list that a pool watches. Zone names are resolved to indexes into `zones`; a server without
+/// a zone gets `zone`, the node's own.
 ///
 /// # Errors
 /// All diagnostics.
--- a/crates/plan/src/config/routes.rs
+++ b/crates/plan/src/config/routes.rs
@@ -128,7 +128,8 @@
     })
 }
 
-/// The path rules of a route's listeners. If they differ, a path in the route has no single normal form, which is an error.
+/// The path rules of a route's listeners. If they differ, a path in the route has no single normal form, which is
+/// an error.
 fn common_path_rules(
     listener_indexes: &[usize],
     listeners: &[Listener],
--- a/crates/plan/src/config/schema.rs
+++ b/crates/plan/src/config/schema.rs
@@ -1,4 +1,5 @@
-//! The schema of the configuration file. The validator, its messages and the reference of all keys are derived from it.
+//! The schema of the configuration file, from which its validation, the messages and the reference of all keys
+//! are derived.
 
 use super::values;
 
@@ -97,7 +98,7 @@
 }
 
 text_formats! {
-    ANY: "a string", values::check_any;
+    ANY_STRING: "a string", values::check_any;
     NAME: "a name of 1 to 64 letters, digits, `-`, `_` and `.`", values::check_name;
     DURATION: "a duration such as \"250ms\", \"2s\" or \"5m\"", values::check_duration;
     SIZE: "a size such as \"64KiB\" or \"192MB\"", values::check_size;
@@ -106,9 +107,10 @@
     PATH: "a path that begins with `/`", values::check_path;
     REGEX: "a regular expression in the syntax of Rust's regex crate", values::check_regex;
     METHOD: "a method in upper case, such as \"GET\"", values::check_method;
-    HEADER: "a header name", values::check_header_name;
+    HEADER_NAME: "a header name", values::check_header_name;
     HEADER_VALUE: "a header value: visible ASCII characters, spaces and tabs", values::check_header_value;
-    TEMPLATE: "a location; {scheme}, {host}, {path} and {query} are replaced with those of the request", values::check_location_template;
+    LOCATION: "a location; {scheme}, {host}, {path} and {query} are replaced with those of the request",
+        values::check_location_template;
 }
 
 macro_rules! table {
@@ -127,20 +129,23 @@
     zone: Text(&NAME), Described("no zone"),
         "The zone that the node runs in. Servers of this zone are preferred.";
     zones: Array(&Text(&NAME)), Value("[]"),
-        "Further zones. Zones of servers listed in this file are known without it; those of watched files and of \
-         discovery must be listed here.";
+        "Further zones. Zones of servers listed in this file are known without it; those of watched files \
+         and of discovery must be listed here.";
     drain_timeout: Text(&DURATION), Value("\"30s\""),
         "How long the process waits after SIGTERM for requests in progress.";
 }
 
 table! { OPERATOR, "The operator endpoint.",
     listen: Text(&ADDRESS), Described("no endpoint"),
-        "The address of the endpoint for readiness, metrics, drain and resume. Changing it requires a restart.";
+        "The address of the endpoint for readiness, metrics, drain and resume. Changing it requires a \
+         restart.";
 }
 
-table! { FLEET, "The fleet that the node is a member of. Its nodes track each other by UDP datagrams, so that what is meant for \
-    the fleet as a whole is divided among the nodes that are alive. Without this table no UDP socket is opened.",
-    name: Text(&NAME), Required, "The name of the fleet, the same on all its nodes. Changing it requires a restart.";
+table! { FLEET, "The fleet that the node is a member of. Its nodes track each other by UDP datagrams, so \
+    that what is meant for the fleet as a whole is divided among the nodes that are alive. Without this \
+    table no UDP socket is opened.",
+    name: Text(&NAME), Required,
+        "The name of the fleet, the same on all its nodes. Changing it requires a restart.";
     node: Text(&NAME), Required,
         "The name of this node, unique in the fleet, at most 32 characters. Changing it requires a restart.";
     listen: Text(&ADDRESS), Required,
@@ -148,18 +153,22 @@
     advertise: Text(&ADDRESS), Described("`listen`"),
         "The address at which other nodes reach this one. Changing it requires a restart.";
     seeds: Array(&Text(&ADDRESS)), Value("[]"),
-        "The addresses of some members; the node's own may be among them. Without seeds the node waits for others to join.";
-    key_file: Text(&ANY), Described("no key"),
-        "A file of 64 hex digits, relative to this file, the same on all nodes. Datagrams then carry a keyed hash, and \
-         those without a valid one are dropped. Without a key, anyone who can reach the port can send datagrams to the fleet.";
+        "The addresses of some members; the node's own may be among them. Without seeds the node waits for \
+         others to join.";
+    key_file: Text(&ANY_STRING), Described("no key"),
+        "A file of 64 hex digits, relative to this file, the same on all nodes. Datagrams then carry a keyed \
+         hash, and those without a valid one are dropped. Without a key, anyone who can reach the port can \
+         send datagrams to the fleet.";
     probe_every: Text(&DURATION), Value("\"500ms\""),
         "How often the node probes one of the others, from 50ms to 1m.";
     probe_timeout: Text(&DURATION), Value("\"200ms\""),
-        "If a probe is not answered within this time, other nodes are asked to probe too; shorter than `probe_every`.";
+        "If a probe is not answered within this time, other nodes are asked to probe too; shorter than \
+         `probe_every`.";
     suspect_for: Text(&DURATION), Value("\"2500ms\""),
-        "How long a suspected node has to refute the suspicion of several nodes; twice as long if only one suspects it. At \
-         least twice `probe_every`: a node that is paused for less is not declared dead.";
-    datagram_bytes: Integer(256, 1400), Value("1200"), "The maximum size of the datagrams that the node sends.";
+        "How long a suspected node has to refute the suspicion of several nodes; twice as long if only one \
+         suspects it. At least twice `probe_every`: a node that is paused for less is not declared dead.";
+    datagram_bytes: Integer(256, 1400), Value("1200"),
+        "The maximum size of the datagrams that the node sends.";
 }
 
 table! { LIMITS, "Resource limits of the process.",
@@ -168,8 +177,8 @@
     memory: Text(&SIZE), Value("\"192MB\""),
         "Memory, 16MB or more. Bodies in transit may use about a third of it.";
     replay_buffer: Text(&SIZE), Value("\"64KiB\""),
-        "A request body up to this size is kept until the request is answered, so that the request can be retried. A \
-         request with a longer body is sent only once.";
+        "A request body up to this size is kept until the request is answered, so that the request can be \
+         retried. A request with a longer body is sent only once.";
     header_bytes: Text(&SIZE), Value("\"16KiB\""),
         "The maximum size of the head of a request or response, from 8KiB to 1MiB.";
     header_timeout: Text(&DURATION), Value("\"10s\""),
@@ -185,36 +194,39 @@
     address: Text(&ADDRESS), Required, "The address to listen on; port 0 picks a free port.";
     via: Text(&NAME), Described("no `Via`"), "The name that is added to `Via` in requests and responses.";
     forwarded: OneOf(&["none", "x-forwarded", "forwarded", "both"]), Value("\"none\""),
-        "The headers that tell servers about the client: `X-Forwarded-For`, `-Host` and `-Proto`, or `Forwarded` \
-         (RFC 7239).";
+        "The headers that tell servers about the client: `X-Forwarded-For`, `-Host` and `-Proto`, or \
+         `Forwarded` (RFC 7239).";
     trust_forwarded: Boolean, Value("false"),
         "Whether to append to these headers as received from the client instead of replacing them.";
-    request_id: Text(&HEADER), Value("\"x-request-id\""),
+    request_id: Text(&HEADER_NAME), Value("\"x-request-id\""),
         "The header that holds the request ID; an ID is generated if the client sends none.";
     merge_slashes: Boolean, Value("true"), "Whether to merge consecutive slashes in paths.";
     keep_escaped_slashes: Boolean, Value("false"),
         "Whether to accept `%2F`, `%5C` and backslashes in paths instead of answering 400.";
 }
 
-table! { CLASS, "A class of requests: whether they may be repeated, and how long they may take. Methods for which the file \
-    defines no class belong to `read` (GET, HEAD, OPTIONS, TRACE: safe) or `write` (all others: unsafe).",
+table! { CLASS, "A class of requests: whether they may be repeated, and how long they may take. Methods for \
+    which the file defines no class belong to `read` (GET, HEAD, OPTIONS, TRACE: safe) or `write` (all \
+    others: unsafe).",
     name: Text(&NAME), Required, "The name that routes refer to.";
     effect: OneOf(&["safe", "keyed", "unsafe"]), Required,
-        "`safe`: repeats do no harm. `keyed`: the servers of a group discard repeats within a window. `unsafe`: must \
-         not be executed twice.";
+        "`safe`: repeats do no harm. `keyed`: the servers of a group discard repeats within a window. \
+         `unsafe`: must not be executed twice.";
     methods: Array(&Text(&METHOD)), Value("[]"),
         "The methods whose requests belong to this class if their route sets no class.";
     aim: Text(&DURATION), Value("\"1s\""), "The desired time to an answer.";
     deadline: Text(&DURATION), Value("\"30s\""), "The time within which the response must begin.";
     worth: Number(0.0, 1e9), Value("1.0"),
-        "The value of an answer relative to other classes: under overload, requests of the lowest worth are refused first.";
+        "The value of an answer relative to other classes: under overload, requests of the lowest worth are \
+         refused first.";
     late_worth: Number(0.0, 1.0), Value("0.5"), "The fraction of the worth that an answer has after the aim.";
-    group: OneOf(&["all", "zone"]), Value("\"all\""), "For `keyed` only: the servers that discard each other's repeats.";
-    window: Text(&DURATION), Value("\"10s\""), "For `keyed` only: how long they do so.";
+    group: OneOf(&["all", "zone"]), Value("\"all\""),
+        "For `keyed` only: the servers that discard each other's repeats.";
+    window: Text(&DURATION), Value("\"10s\""), "For `keyed` only: how long they discard repeats.";
 }
 
 table! { TENANTS, "The tenants on whose behalf requests are made.",
-    header: Text(&HEADER), Value("\"x-tenant-id\""), "The header that names the tenant.";
+    header: Text(&HEADER_NAME), Value("\"x-tenant-id\""), "The header that names the tenant.";
     over_share_worth: Number(0.0, 1.0), Value("0.05"),
         "The fraction of its worth that a request keeps if its tenant exceeds its share.";
     tenant: ArrayOfTables(&TENANT), Value("[]"), "The tenants.";
@@ -225,19 +237,23 @@
     rate: Number(0.0, 1e9), Required, "The tenant's share, in requests per second across all nodes.";
 }
 
-table! { POOL, "A pool of interchangeable servers. Exactly one of `servers`, `watch` and `discovery` must be set.",
+table! { POOL, "A pool of interchangeable servers. Exactly one of `servers`, `watch` and `discovery` must be \
+    set.",
     name: Text(&NAME), Required, "The name that routes refer to.";
     servers: ArrayOfTables(&SERVER), Described("see `watch` and `discovery`"), "The servers.";
-    watch: Text(&ANY), Described("see `servers` and `discovery`"),
-        "A TOML file with `[[servers]]`, relative to this file. It is read again whenever it changes; while it has errors, \
-         the last good list stays in use.";
-    discovery: Text(&ADDRESS), Described("see `servers` and `watch`"), "The address of the platform's discovery service.";
+    watch: Text(&ANY_STRING), Described("see `servers` and `discovery`"),
+        "A TOML file with `[[servers]]`, relative to this file. It is read again whenever it changes; while \
+         it has errors, the last good list stays in use.";
+    discovery: Text(&ADDRESS), Described("see `servers` and `watch`"),
+        "The address of the platform's discovery service.";
     max_attempts: Integer(1, 16), Value("3"), "The maximum number of attempts per request.";
-    second_copies: Boolean, Value("false"), "Whether a slow safe request may be hedged, that is, also sent to a second server.";
+    second_copies: Boolean, Value("false"),
+        "Whether a slow safe request may be hedged, that is, also sent to a second server.";
     concurrency: Integer(1, 100_000), Value("64"),
-        "The number of requests that a server of weight 1 processes at once. Further ones queue at the server; a request \
-         whose turn would come too late for its aim is refused instead.";
-    connect_timeout: Text(&DURATION), Value("\"500ms\""), "The time within which a connection must be established.";
+        "The number of requests that a server of weight 1 processes at once. Further ones queue at the \
+         server; a request whose turn would come too late for its aim is refused instead.";
+    connect_timeout: Text(&DURATION), Value("\"500ms\""),
+        "The time within which a connection must be established.";
     idle_timeout: Text(&DURATION), Value("\"10s\""),
         "The time after which servers may close idle connections; the gateway closes them earlier.";
     max_connections: Integer(1, 1_000_000), Described("what `limits.descriptors` leaves"),
@@ -247,9 +263,9 @@
     cold_from: Number(0.001, 1.0), Value("0.3"),
         "With `cold_ramp`: the fraction of its capacity that a server has when it starts.";
     cold_ramp: Text(&DURATION), Described("no slow start"),
-        "Slow start: how long a server takes to reach its full capacity after it joins the list or passes its checks \
-         again. Until then it gets a correspondingly smaller share of the requests, and those that no other server can take \
-         are refused.";
+        "Slow start: how long a server takes to reach its full capacity after it joins the list or passes \
+         its checks again. Until then it gets a correspondingly smaller share of the requests, and those \
+         that no other server can take are refused.";
     check: Kind::Table(&CHECK), Described("no checks"), "Active health checks of the servers.";
 }
 
@@ -260,69 +276,77 @@
     zone: Text(&NAME), Described("the node's zone"), "The zone that it runs in.";
     kind: Text(&NAME), Described("none"), "Its type of machine.";
     drain: Boolean, Value("false"), "Whether it finishes its requests and gets no new ones.";
-    backup: Boolean, Value("false"), "Whether it gets requests only while no other server of the pool can take them.";
+    backup: Boolean, Value("false"),
+        "Whether it gets requests only while no other server of the pool can take them.";
 }
 
-table! { CHECK, "An active health check: a `GET` of a path. A server that fails gets no new requests until it passes again.",
+table! { CHECK, "An active health check: a `GET` of a path. A server that fails gets no new requests until \
+    it passes again.",
     path: Text(&PATH), Required, "The path to request.";
     every: Text(&DURATION), Value("\"2s\""), "The interval between checks, randomised.";
     timeout: Text(&DURATION), Value("\"1s\""), "A check that is not answered within this time fails.";
     rise: Integer(1, 100), Value("2"), "The number of consecutive passes after which a server is used again.";
-    fall: Integer(1, 100), Value("3"), "The number of consecutive failures after which a server is no longer used.";
+    fall: Integer(1, 100), Value("3"),
+        "The number of consecutive failures after which a server is no longer used.";
     status: Array(&Integer(100, 599)), Value("[200]"), "The statuses that pass.";
 }
 
-table! { FIELD, "A condition on a header or a query parameter: exactly one of `is`, `begins`, `matches`, `present`.",
-    name: Text(&ANY), Required, "The name of the header or the parameter.";
-    is: Text(&ANY), Described("no condition"), "One of the values equals this string.";
-    begins: Text(&ANY), Described("no condition"), "One of the values begins with this string.";
+table! { FIELD_CONDITION, "A condition on a header or a query parameter: exactly one of `is`, `begins`, \
+    `matches`, `present`.",
+    name: Text(&ANY_STRING), Required, "The name of the header or the parameter.";
+    is: Text(&ANY_STRING), Described("no condition"), "One of the values equals this string.";
+    begins: Text(&ANY_STRING), Described("no condition"), "One of the values begins with this string.";
     matches: Text(&REGEX), Described("no condition"), "One of the values matches this expression as a whole.";
-    present: Boolean, Described("no condition"), "Whether it must be present or absent.";
+    present: Boolean, Described("no condition"), "`true`: it must be present; `false`: it must be absent.";
 }
 
-table! { EDITS, "Changes to headers, applied in this order.",
-    remove: Array(&Text(&HEADER)), Value("[]"), "Headers to remove.";
-    set: Map(&HEADER, &HEADER_VALUE), Value("{}"), "Headers to set, replacing existing values.";
-    add: Map(&HEADER, &HEADER_VALUE), Value("{}"), "Headers to add to existing values.";
+table! { HEADER_EDITS, "Changes to headers, applied in this order.",
+    remove: Array(&Text(&HEADER_NAME)), Value("[]"), "Headers to remove.";
+    set: Map(&HEADER_NAME, &HEADER_VALUE), Value("{}"), "Headers to set, replacing existing values.";
+    add: Map(&HEADER_NAME, &HEADER_VALUE), Value("{}"), "Headers to add to existing values.";
 }
 
-table! { REWRITE, "Changes to the request sent to the server and to its response. At most one of `path`, `prefix` and `regex`.",
+table! { REWRITE, "Changes to the request sent to the server and to its response. At most one of `path`, \
+    `prefix` and `regex`.",
     path: Text(&PATH), Described("unchanged"), "Replaces the whole path.";
     prefix: Text(&PATH), Described("unchanged"), "Replaces the route's `path_prefix`.";
-    regex: Text(&REGEX), Described("unchanged"), "An expression to search for in the path; it need not match all of it.";
-    with: Text(&ANY), Described("required with `regex`"),
+    regex: Text(&REGEX), Described("unchanged"),
+        "An expression to search for in the path; it need not match all of it.";
+    with: Text(&ANY_STRING), Described("required with `regex`"),
         "Replaces the first match; `$1` or `${name}` stands for a capture group.";
     host: Text(&HEADER_VALUE), Described("the client's"), "The `Host` header sent to the server.";
-    request: Kind::Table(&EDITS), Described("unchanged"), "Changes to the request's headers.";
-    response: Kind::Table(&EDITS), Described("unchanged"), "Changes to the response's headers.";
+    request: Kind::Table(&HEADER_EDITS), Described("unchanged"), "Changes to the request's headers.";
+    response: Kind::Table(&HEADER_EDITS), Described("unchanged"), "Changes to the response's headers.";
 }
 
 table! { REDIRECT, "A redirect.",
-    to: Text(&TEMPLATE), Required, "The target location.";
+    to: Text(&LOCATION), Required, "The target location.";
     status: OneOfIntegers(&[301, 302, 303, 307, 308]), Value("302"), "The status.";
 }
 
 table! { ANSWER, "A fixed response.",
     status: Integer(200, 599), Required, "The status.";
-    body: Text(&ANY), Value("\"\""), "The body.";
+    body: Text(&ANY_STRING), Value("\"\""), "The body.";
     content_type: Text(&HEADER_VALUE), Value("\"text/plain; charset=utf-8\""), "The content type.";
 }
 
-table! { ROUTE, "Conditions, all of which must hold, and exactly one of `pool`, `redirect` and `answer`. Routes are tried in \
-    the order of the file, and the first match is taken.",
+table! { ROUTE, "Conditions, all of which must hold, and exactly one of `pool`, `redirect` and `answer`. \
+    Routes are tried in the order of the file, and the first match is taken.",
     name: Text(&NAME), Required, "The name, for logs and `explain`.";
     listeners: Array(&Text(&NAME)), Value("[]"), "The listeners that the route applies to; empty for all.";
     hosts: Array(&Text(&HOST)), Value("[]"),
-        "The hosts that the route applies to; empty for all. `*.a.org` matches all subdomains of a.org, at any depth.";
+        "The hosts that the route applies to; empty for all. `*.a.org` matches all subdomains of a.org, at \
+         any depth.";
     path: Text(&PATH), Described("any path"), "Matches this path only.";
     path_prefix: Text(&PATH), Described("any path"), "Matches this path and all below it, by whole segments.";
     path_regex: Text(&REGEX), Described("any path"), "Matches paths that match this expression as a whole.";
     methods: Array(&Text(&METHOD)), Value("[]"), "The methods that the route applies to; empty for all.";
-    headers: ArrayOfTables(&FIELD), Value("[]"), "Conditions on headers.";
-    query: ArrayOfTables(&FIELD), Value("[]"), "Conditions on query parameters.";
+    headers: ArrayOfTables(&FIELD_CONDITION), Value("[]"), "Conditions on headers.";
+    query: ArrayOfTables(&FIELD_CONDITION), Value("[]"), "Conditions on query parameters.";
     class: Text(&NAME), Described("by the method"), "The class of the requests.";
     pool: Text(&NAME), Described("see `redirect` and `answer`"), "The pool that requests are forwarded to.";
-    rewrite: Kind::Table(&REWRITE), Described("unchanged"), "With `pool`: changes to the request and the response.";
+    rewrite: Kind::Table(&REWRITE), Described("unchanged"),
+        "With `pool`: changes to the request and the response.";
     redirect: Kind::Table(&REDIRECT), Described("see `pool` and `answer`"), "A redirect.";
     answer: Kind::Table(&ANSWER), Described("see `pool` and `redirect`"), "A fixed response.";
 }
--- a/crates/plan/src/config/values.rs
+++ b/crates/plan/src/config/values.rs
@@ -18,7 +18,8 @@
     ("GB", 1_000_000_000),
     ("B", 1),
 ];
-/// Upper limit for durations, in nanoseconds (one year), and for sizes, in bytes. Sums of a few of them do not overflow.
+/// Upper limit for durations, in nanoseconds (one year), and for sizes, in bytes. Sums of a few values do not
+/// overflow.
 const MAX_NANOS_OR_BYTES: u64 = 31_536_000_000_000_000;
 
 /// Parses a whole number followed by a unit.
