--- a/crates/corkhollow/src/commands/reload.rs
+++ b/crates/corkhollow/src/commands/reload.rs
@@ -107,7 +107,7 @@
             self.again = true;
             return;
         }
-        let Some(old) = current.get().plan.share() else { return };
+        let Some(old) = current.get().plan.to_arc() else { return };
         let told = self.told.clone();
         match background::spawn(move || compile(&told, &old)) {
             Ok(running) => self.running = Some(running),
--- a/crates/corkhollow/src/commands/run.rs
+++ b/crates/corkhollow/src/commands/run.rs
@@ -312,7 +312,7 @@
                     member.regroup(&current, group, &mut LogLimiter::new(1, 0.0)).await;
                 }
                 if succeeds {
-                    if let Some(plan) = site.plan.share() {
+                    if let Some(plan) = site.plan.to_arc() {
                         spawn_local(member.clone().succeed(plan, from, metrics.clone(), seed));
                     }
                 }
@@ -484,7 +484,7 @@
             control.lock().drain(clock.now());
         }
         if let Some(told) = told {
-            match site.restore_knowledge(&told) {
+            match site.import_knowledge(&told) {
                 0 => log(format_args!("begins cold: nothing that the other process knows holds here")),
                 known => log(format_args!("begins with what is known of {known} servers")),
             }
--- a/crates/proxy/src/active_plan.rs
+++ b/crates/proxy/src/active_plan.rs
@@ -1,4 +1,4 @@
-//! What a plan becomes at work, and how one plan takes over from another.
+//! The plan in force with its running pools, and the change from one plan to the next.
 
 use crate::background;
 use crate::upstream::{CommonSettings, Pool, PoolContext};
@@ -12,27 +12,28 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// A plan with more routes and tenants than this is dropped elsewhere: that would hold requests up.
-const LARGE: usize = 1_000;
+/// A plan with more routes and tenants than this is dropped on a background thread, because dropping it would
+/// delay requests.
+const MAX_ENTRIES_DROPPED_INLINE: usize = 1_000;
 
-/// A plan with its pools. A request goes by the site that was in force when its head came, to its end.
+/// A plan with its running pools. A request keeps to the plan that was active when its head arrived.
 pub struct ActivePlan {
-    /// What is to be done.
+    /// The compiled configuration.
     pub plan: PlanHandle,
-    /// The plan's pools, by their index there.
+    /// The plan's pools, by their index in the plan.
     pub pools: Vec<Rc<Pool>>,
-    /// By pool and by class of the plan, the place that the pool's decision module has for the class.
+    /// For each pool, the index that its decision module has for each class of the plan.
     pub class_indexes: Vec<Rc<[u16]>>,
-    /// Where requests are counted, by their class in the plan.
+    /// Metrics by the index of the class in the plan.
     pub class_metrics: Vec<ClassMetrics>,
 }
 
-/// A site's plan.
+/// A shared plan that is dropped on a background thread if it is large.
 pub struct PlanHandle(Option<Arc<Plan>>);
 
 impl PlanHandle {
-    /// A handle on the plan that another thread may have.
-    pub fn share(&self) -> Option<Arc<Plan>> {
+    /// The plan for use by another thread.
+    pub fn to_arc(&self) -> Option<Arc<Plan>> {
         self.0.clone()
     }
 }
@@ -41,59 +42,64 @@
     type Target = Plan;
 
     fn deref(&self) -> &Plan {
-        self.0.as_ref().expect("it is there until the site is dropped")
+        self.0.as_ref().expect("the plan is present until the handle is dropped")
     }
 }
 
 impl Drop for PlanHandle {
     fn drop(&mut self) {
-        let large = |plan: &Arc<Plan>| plan.routes.routes().len() + plan.tenants.len() > LARGE;
-        if let Some(plan) = self.0.take().filter(large) {
-            // Without a thread it is dropped here.
+        let is_large =
+            |plan: &Arc<Plan>| plan.routes.routes().len() + plan.tenants.len() > MAX_ENTRIES_DROPPED_INLINE;
+        if let Some(plan) = self.0.take().filter(is_large) {
+            // If no thread can be spawned, the closure and with it the plan is dropped here.
             let _ = background::spawn(move || drop(plan));
         }
     }
 }
 
-/// A pool that a plan names cannot be started.
+/// A pool cannot be started or updated.
 #[derive(Debug, thiserror::Error)]
 #[error("pool {pool}: {error}")]
 pub struct PoolError {
-    /// Its name.
+    /// The pool's name.
     pub pool: String,
-    /// Why.
+    /// Why its settings are rejected.
     pub error: SettingsError,
 }
 
 impl ActivePlan {
-    /// Starts a plan's pools. The node counts as one of a group, where it is told so.
+    /// Starts a plan's pools. `group` is the node's position in its fleet, if it is a member of one.
     ///
     /// # Errors
-    /// Where a pool cannot be started.
+    /// If a pool cannot be started.
     pub fn start(
         plan: Plan,
         shared: &PoolContext,
         seed: u64,
         group: Option<Group>,
     ) -> Result<Rc<Self>, PoolError> {
-        let terms = CommonSettings { quotas: plan.tenants.quotas().clone(), group };
-        let pools = (0..plan.pools.len()).map(|at| start(&plan, at, shared, seed, &terms));
+        let common = CommonSettings { quotas: plan.tenants.quotas().clone(), group };
+        let pools = (0..plan.pools.len()).map(|index| start_pool(&plan, index, shared, seed, &common));
         let pools = pools.collect::<Result<Vec<_>, _>>()?;
-        let places: Rc<[u16]> = (0..plan.classes.len() as u16).collect();
-        Ok(Self::of(plan, shared, pools.into_iter().map(|pool| (pool, places.clone())).collect()))
+        let class_indexes: Rc<[u16]> = (0..plan.classes.len() as u16).collect();
+        Ok(Self::from_pools(
+            plan,
+            shared,
+            pools.into_iter().map(|pool| (pool, class_indexes.clone())).collect(),
+        ))
     }
 
-    fn of(plan: Plan, shared: &PoolContext, pools: Vec<(Rc<Pool>, Rc<[u16]>)>) -> Rc<Self> {
+    fn from_pools(plan: Plan, shared: &PoolContext, pools: Vec<(Rc<Pool>, Rc<[u16]>)>) -> Rc<Self> {
         let class_metrics = plan.classes.iter().map(|class| shared.metrics.for_class(&class.name)).collect();
         let (pools, class_indexes) = pools.into_iter().unzip();
         Rc::new(ActivePlan { plan: PlanHandle(Some(Arc::new(plan))), pools, class_indexes, class_metrics })
     }
 
-    /// The site of a plan that follows this one's. Pools that fit go on, with what they have learnt and what is under way; those
-    /// that are the same are not touched.
+    /// Replaces the plan. Compatible pools are kept and updated, with their open requests and what they know
+    /// of their servers; unchanged pools are not touched.
     ///
     /// # Errors
-    /// Where a pool cannot be started or told; this site is as it was.
+    /// If a pool cannot be started or updated; the old plan stays usable.
     pub fn reload(
         &self,
         plan: Plan,
@@ -102,122 +108,132 @@
         seed: u64,
         group: Option<Group>,
     ) -> Result<Rc<Self>, PoolError> {
-        let terms = CommonSettings { quotas: plan.tenants.quotas().clone(), group };
-        let fault = |at: usize| {
-            let pool: &corkhollow_plan::plan::Pool = &plan.pools[at];
+        let common = CommonSettings { quotas: plan.tenants.quotas().clone(), group };
+        let pool_error = |index: usize| {
+            let pool: &corkhollow_plan::plan::Pool = &plan.pools[index];
             move |error| PoolError { pool: pool.name.clone(), error }
         };
         let mut started = Vec::new();
-        for (at, pool) in change.pools.iter().enumerate() {
+        for (index, pool) in change.pools.iter().enumerate() {
             match pool {
-                PoolChange::Starts => started.push(start(&plan, at, shared, seed, &terms)?),
+                PoolChange::Starts => started.push(start_pool(&plan, index, shared, seed, &common)?),
                 PoolChange::GoesOn { differs, .. } if differs.settings || change.quotas => {
-                    terms.settings(&plan.pools[at]).validate().map_err(fault(at))?;
+                    common.settings(&plan.pools[index]).validate().map_err(pool_error(index))?;
                 }
                 PoolChange::GoesOn { .. } => {}
             }
         }
-        // Nothing can fail from here on: the settings are sound.
+        // All settings are validated: nothing below can fail.
         let mut started = started.into_iter();
-        let fresh: Rc<[u16]> = (0..plan.classes.len() as u16).collect();
+        let new_indexes: Rc<[u16]> = (0..plan.classes.len() as u16).collect();
         let mut pools = Vec::with_capacity(plan.pools.len());
-        for (at, pool) in change.pools.iter().enumerate() {
+        for (index, pool) in change.pools.iter().enumerate() {
             pools.push(match pool {
-                PoolChange::Starts => (started.next().expect("it has been started"), fresh.clone()),
+                PoolChange::Starts => (started.next().expect("it has been started"), new_indexes.clone()),
                 PoolChange::GoesOn { former, differs } => {
-                    let (pool, places) = (&self.pools[*former], &self.class_indexes[*former]);
-                    // A class's predecessor is the one of its name.
-                    let predecessors =
-                        || change.classes.iter().map(|k| Some(places[(*k)?])).collect::<Vec<_>>();
-                    let told = pool.update(&plan, at, *differs, change.quotas, &terms, predecessors);
-                    let told = told.map_err(fault(at))?;
-                    (pool.clone(), told.map_or_else(|| places.clone(), Rc::from))
+                    let (pool, class_indexes) = (&self.pools[*former], &self.class_indexes[*former]);
+                    // The predecessor of a class is the old class with the same name.
+                    let predecessors = || {
+                        change
+                            .classes
+                            .iter()
+                            .map(|predecessor| Some(class_indexes[(*predecessor)?]))
+                            .collect::<Vec<_>>()
+                    };
+                    let updated = pool.update(&plan, index, *differs, change.quotas, &common, predecessors);
+                    let updated = updated.map_err(pool_error(index))?;
+                    (pool.clone(), updated.map_or_else(|| class_indexes.clone(), Rc::from))
                 }
             });
         }
-        Ok(Self::of(plan, shared, pools))
+        Ok(Self::from_pools(plan, shared, pools))
     }
 
     /// Servers in the lists of all pools, and how many of them are ejected.
     pub fn server_counts(&self) -> (usize, usize) {
-        let counts = self.pools.iter().map(|p| p.engine.server_counts());
+        let counts = self.pools.iter().map(|pool| pool.engine.server_counts());
         counts.fold((0, 0), |sum, (listed, ejected)| (sum.0 + listed, sum.1 + ejected))
     }
 
-    /// What the pools have learnt, for a process that takes this one's place, and whether the node is being emptied.
+    /// Exports what the pools know of their servers, for the successor of this process. `drains` says whether
+    /// the node is being drained.
     pub fn handover(&self, drains: bool) -> Handover {
-        let pool = |(at, pool): (usize, &Rc<Pool>)| PoolHandover {
-            name: self.plan.pools[at].name.clone(),
+        let pool_handover = |(index, pool): (usize, &Rc<Pool>)| PoolHandover {
+            name: self.plan.pools[index].name.clone(),
             classes: self.plan.classes.iter().map(|class| class.name.clone()).collect(),
-            knowledge: pool.engine.export_knowledge(&self.class_indexes[at]),
+            knowledge: pool.engine.export_knowledge(&self.class_indexes[index]),
         };
-        Handover { drains, fleet: None, pools: self.pools.iter().enumerate().map(pool).collect() }
+        Handover { drains, fleet: None, pools: self.pools.iter().enumerate().map(pool_handover).collect() }
     }
 
-    /// Takes over what another process's pools have learnt, by their names; how many servers are known now.
-    pub fn restore_knowledge(&self, handover: &Handover) -> usize {
-        let mut known = 0;
-        for (at, pool) in self.pools.iter().enumerate() {
-            let (told, places) = (&self.plan.pools[at], &self.class_indexes[at]);
-            let Some(from) = handover.pools.iter().find(|p| p.name == told.name) else { continue };
-            let names = &self.plan.classes;
-            let successor = |name: &String| names.iter().position(|c| c.name == *name).map(|at| places[at]);
-            let successors: Vec<_> = from.classes.iter().map(successor).collect();
-            known += pool.engine.import_knowledge(&from.knowledge, &successors).unwrap_or(0);
+    /// Imports the knowledge of another process's pools into those of the same names, and returns how many
+    /// servers it covers.
+    pub fn import_knowledge(&self, handover: &Handover) -> usize {
+        let mut imported_servers = 0;
+        for (index, pool) in self.pools.iter().enumerate() {
+            let (config, class_indexes) = (&self.plan.pools[index], &self.class_indexes[index]);
+            let Some(exported) = handover.pools.iter().find(|p| p.name == config.name) else { continue };
+            let classes = &self.plan.classes;
+            let successor = |name: &String| {
+                classes.iter().position(|class| class.name == *name).map(|index| class_indexes[index])
+            };
+            let successors: Vec<_> = exported.classes.iter().map(successor).collect();
+            imported_servers += pool.engine.import_knowledge(&exported.knowledge, &successors).unwrap_or(0);
         }
-        known
+        imported_servers
     }
 
-    /// The node counts as one of so many in all pools from here on; what they have learnt stays. Pools are told one after another, and
-    /// requests go on in between: what one pool counts is nothing to another.
+    /// Sets the node's position in its fleet in all pools, which keep what they know. Yields between the
+    /// pools, so that requests are not delayed; pools are independent of each other.
     ///
     /// # Errors
-    /// Where a pool turns that down; those before it go by it.
+    /// If a pool rejects the position; the pools before it have adopted it.
     pub async fn set_group(&self, group: Group) -> Result<(), PoolError> {
-        for (at, pool) in self.pools.iter().enumerate() {
-            let told = pool.engine.set_group_position(group.ordinal, group.size.max(group.ordinal + 1));
-            told.map_err(|error| PoolError { pool: self.plan.pools[at].name.clone(), error })?;
+        for (index, pool) in self.pools.iter().enumerate() {
+            let updated = pool.engine.set_group_position(group.ordinal, group.size.max(group.ordinal + 1));
+            updated.map_err(|error| PoolError { pool: self.plan.pools[index].name.clone(), error })?;
             tokio::task::yield_now().await;
         }
         Ok(())
     }
 
-    /// Whether all pools have been told who their servers are.
+    /// Whether all pools have a server list.
     pub fn is_ready(&self) -> bool {
-        self.pools.iter().all(|p| *p.ready.borrow())
+        self.pools.iter().all(|pool| *pool.ready.borrow())
     }
 }
 
-/// Starts a pool of a plan, with a seed of its own where the plan has none.
-fn start(
+/// Starts a pool of a plan, with its own seed unless the plan sets one.
+fn start_pool(
     plan: &Plan,
-    at: usize,
+    index: usize,
     shared: &PoolContext,
     seed: u64,
-    terms: &CommonSettings,
+    common: &CommonSettings,
 ) -> Result<Rc<Pool>, PoolError> {
-    let name = &plan.pools[at].name;
-    let own = seed ^ corkhollow_plan::mix(name.as_bytes());
-    let started = Pool::start(plan, at, shared, if plan.seed.is_some() { seed } else { own }, terms);
+    let name = &plan.pools[index].name;
+    let pool_seed = seed ^ corkhollow_plan::mix(name.as_bytes());
+    let started =
+        Pool::start(plan, index, shared, if plan.seed.is_some() { seed } else { pool_seed }, common);
     started.map_err(|error| PoolError { pool: name.clone(), error })
 }
 
-/// The site in force.
+/// The active plan, replaced at each reload.
 pub struct CurrentPlan(RefCell<Rc<ActivePlan>>);
 
 impl CurrentPlan {
-    /// Begins with a site.
-    pub fn new(site: Rc<ActivePlan>) -> Rc<Self> {
-        Rc::new(CurrentPlan(RefCell::new(site)))
+    /// Starts with the given plan.
+    pub fn new(active_plan: Rc<ActivePlan>) -> Rc<Self> {
+        Rc::new(CurrentPlan(RefCell::new(active_plan)))
     }
 
-    /// The site in force now.
+    /// The plan that is active now.
     pub fn get(&self) -> Rc<ActivePlan> {
         self.0.borrow().clone()
     }
 
-    /// Puts another site in force.
-    pub fn set(&self, site: Rc<ActivePlan>) {
-        self.0.replace(site);
+    /// Replaces the active plan.
+    pub fn set(&self, active_plan: Rc<ActivePlan>) {
+        self.0.replace(active_plan);
     }
 }
