--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -1,5 +1,5 @@
-//! The node's place in its fleet: the socket, the clock and the thread around [`corkhollow_fleet::Node`]. Neither the load of
-//! requests nor a flood of datagrams holds the other up.
+//! Runs this node's membership in its fleet: the socket, the clock and the thread around
+//! [`corkhollow_fleet::Node`]. With a thread of its own, requests and datagrams do not delay each other.
 
 use corkhollow_engine::{log, LogLimiter};
 use corkhollow_fleet::{
@@ -11,54 +11,57 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{mpsc, oneshot, watch};
 
-/// Datagrams that are taken in before the node looks to its own timers.
-const AT_ONCE: usize = 512;
-/// How often the view is shown anew, at the least and at the most.
-const SHOW_WITHIN: Duration = Duration::from_millis(20);
-const SHOW_EVERY: Duration = Duration::from_millis(250);
+/// Datagrams received before the node's timers are checked.
+const MAX_DATAGRAMS_PER_TURN: usize = 512;
+/// A changed view is published at most once in this time.
+const MIN_PUBLISH_INTERVAL: Duration = Duration::from_millis(20);
+/// An unchanged view is published this often.
+const MAX_PUBLISH_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Lines on changes at once, as many as a fleet of some hundreds makes when it meets, and then a second.
-const LINES: (u32, f64) = (1_000, 5.0);
+/// Burst and lines per second of the log of membership changes. The burst covers the start of a fleet of some hundred
+/// nodes.
+const CHANGE_LOG_LIMIT: (u32, f64) = (1_000, 5.0);
 
-/// The view as it was at some moment.
+/// The node's view of its fleet at one time.
 #[derive(Clone, Debug)]
 pub struct View {
-    /// The view.
+    /// The members.
     pub snapshot: Snapshot,
-    /// Where the node stands.
+    /// Whether the node is a member.
     pub standing: Standing,
-    /// What it has done and seen.
+    /// Counters of the protocol.
     pub stats: Stats,
-    /// For a process that takes its place: its incarnation, and where others are reached.
+    /// For a successor of this process: the node's incarnation and the addresses of other members.
     pub handover: (u64, Vec<SocketAddr>),
-    /// When that was.
+    /// When the view was taken.
     pub at: Instant,
 }
 
 impl View {
-    /// Whether the others are told that the node is being emptied.
+    /// Whether the node announces that it is being drained.
     pub fn is_draining(&self) -> bool {
-        let own = self.snapshot.members.iter().find(|member| member.name == self.snapshot.node);
-        own.is_some_and(|member| member.drains)
+        let own_record = self.snapshot.members.iter().find(|member| member.name == self.snapshot.node);
+        own_record.is_some_and(|member| member.drains)
     }
 }
 
-/// Where the node's place in its fleet is found once it has one: a process that takes another's place gets it when that one ends.
+/// The node's fleet handle, set once the node has joined. The successor of a process joins when that process ends.
 #[derive(Clone, Default)]
 pub struct FleetCell(Arc<OnceLock<Fleet>>);
 
 impl FleetCell {
-    /// It has one from here on.
+    /// Sets the handle; has no effect if it is set already.
     pub fn set(&self, fleet: Fleet) {
         let _ = self.0.set(fleet);
     }
 
-    /// The node, if it runs.
+    /// The handle, if it is set.
     pub fn get(&self) -> Option<&Fleet> {
         self.0.get()
     }
 }
 
+/// A request to the thread of a node.
 enum Command {
     Leave(oneshot::Sender<()>),
     HandOver,
@@ -66,7 +69,7 @@
     Reconfigure(Box<Config>),
 }
 
-/// A node that runs. Cheap to clone.
+/// A handle to a running node of a fleet. Cheap to clone.
 #[derive(Clone)]
 pub struct Fleet {
     view: watch::Receiver<View>,
@@ -74,10 +77,10 @@
 }
 
 impl Fleet {
-    /// Runs a node on a thread of its own, for good or until it leaves.
+    /// Starts a node on a thread of its own, which runs until the node leaves or hands over.
     ///
     /// # Errors
-    /// Where the system has no thread or no descriptor left.
+    /// If the system is out of threads or file descriptors.
     pub fn start(
         config: Config,
         socket: UdpSocket,
@@ -86,31 +89,37 @@
     ) -> std::io::Result<Self> {
         socket.set_nonblocking(true)?;
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-        let start = Instant::now();
+        let started_at = Instant::now();
         let node = Node::new(config, 0, seed);
-        let (shown, view) = watch::channel(show(&node, 0));
-        let (commands, told) = mpsc::unbounded_channel();
-        let member =
-            Member { node, start, shown, shown_at: start, metrics, pace: LogLimiter::new(LINES.0, LINES.1) };
-        let serve = move || runtime.block_on(member.run(socket, told));
+        let (published, view) = watch::channel(current_view(&node, 0));
+        let (commands, command_receiver) = mpsc::unbounded_channel();
+        let member = Member {
+            node,
+            started_at,
+            published,
+            published_at: started_at,
+            metrics,
+            log_limiter: LogLimiter::new(CHANGE_LOG_LIMIT.0, CHANGE_LOG_LIMIT.1),
+        };
+        let serve = move || runtime.block_on(member.run(socket, command_receiver));
         std::thread::Builder::new().name("fleet".to_owned()).spawn(serve)?;
         Ok(Fleet { view, commands })
     }
 
-    /// The view as it was last shown.
+    /// The view that was published last.
     pub fn view(&self) -> View {
         self.view.borrow().clone()
     }
 
-    /// Waits until the view is shown anew; false where the node has ended.
+    /// Waits until a new view is published; false if the node has ended.
     pub async fn changed(&mut self) -> bool {
         self.view.changed().await.is_ok()
     }
 
-    /// Waits until it knows whether its name is free.
+    /// Waits until the node has joined.
     ///
     /// # Errors
-    /// Where another process has it: where that one is reached.
+    /// The address of another process that uses the node's name.
     pub async fn wait_until_joined(&mut self) -> Result<(), SocketAddr> {
         loop {
             match self.view.borrow_and_update().standing {
@@ -124,30 +133,30 @@
         }
     }
 
-    /// Says that it leaves; returns once that is said.
+    /// Announces that the node leaves; returns once the announcement is sent.
     pub async fn leave(&self) {
-        let (done, said) = oneshot::channel();
-        let _ = self.commands.send(Command::Leave(done));
-        let _ = said.await;
+        let (acknowledge, acknowledged) = oneshot::channel();
+        let _ = self.commands.send(Command::Leave(acknowledge));
+        let _ = acknowledged.await;
     }
 
-    /// Ends without a word: another process takes its place under its name and at its address.
+    /// Ends without an announcement, since a successor takes over the node's name and address.
     pub fn hand_over(&self) {
         let _ = self.commands.send(Command::HandOver);
     }
 
-    /// The operator empties the node, or no longer.
+    /// Announces whether the node is being drained.
     pub fn set_draining(&self, drains: bool) {
         let _ = self.commands.send(Command::Drain(drains));
     }
 
-    /// Goes by what of this can change.
+    /// Applies those settings that can change while the node runs.
     pub fn reconfigure(&self, config: Config) {
         let _ = self.commands.send(Command::Reconfigure(Box::new(config)));
     }
 }
 
-fn show(node: &Node, now: Nanos) -> View {
+fn current_view(node: &Node, now: Nanos) -> View {
     View {
         snapshot: node.snapshot(now),
         standing: node.standing(),
@@ -157,53 +166,56 @@
     }
 }
 
+/// A node with what its thread needs to run it.
 struct Member {
     node: Node,
-    start: Instant,
-    shown: watch::Sender<View>,
-    shown_at: Instant,
+    started_at: Instant,
+    published: watch::Sender<View>,
+    published_at: Instant,
     metrics: Option<FleetMetrics>,
-    pace: LogLimiter,
+    log_limiter: LogLimiter,
 }
 
 impl Member {
     fn now(&self) -> Nanos {
-        self.start.elapsed().as_nanos() as Nanos
+        self.started_at.elapsed().as_nanos() as Nanos
     }
 
-    async fn run(mut self, socket: UdpSocket, mut told: mpsc::UnboundedReceiver<Command>) {
+    async fn run(mut self, socket: UdpSocket, mut command_receiver: mpsc::UnboundedReceiver<Command>) {
         let socket = match tokio::net::UdpSocket::from_std(socket) {
             Ok(socket) => socket,
             Err(error) => return log(format_args!("fleet: {error}")),
         };
         let mut buffer = vec![0; LARGEST_DATAGRAM + 1];
         loop {
-            let due = self.start + Duration::from_nanos(self.node.next().min(self.now() + 3_600_000_000_000));
-            let due = due.min(self.shown_at + SHOW_EVERY);
+            let wake_at =
+                self.started_at + Duration::from_nanos(self.node.next().min(self.now() + 3_600_000_000_000));
+            let wake_at = wake_at.min(self.published_at + MAX_PUBLISH_INTERVAL);
             let command = tokio::select! {
                 biased;
-                command = told.recv() => match command {
+                command = command_receiver.recv() => match command {
                     Some(command) => Some(command),
-                    // Nobody holds it any longer.
+                    // All handles are dropped.
                     None => return,
                 },
                 _ = socket.readable() => None,
-                () = tokio::time::sleep_until(due.into()) => None,
+                () = tokio::time::sleep_until(wake_at.into()) => None,
             };
-            // What has come counts before any timer: the process may have stood still.
-            for _ in 0..AT_ONCE {
-                // What a network says of an address is no datagram.
+            // Datagrams are handled before timers: after a pause of the process, they may hold the answers whose timeouts
+            // are due.
+            for _ in 0..MAX_DATAGRAMS_PER_TURN {
+                // Other errors report earlier sends, such as ICMP unreachable, and are ignored.
                 match socket.try_recv_from(&mut buffer) {
                     Ok((length, _)) => drop(self.node.handle(self.now(), &buffer[..length])),
                     Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => break,
                     Err(_) => {}
                 }
             }
-            let mut left = None;
+            let mut leave_acknowledge = None;
             match command {
-                Some(Command::Leave(done)) => {
+                Some(Command::Leave(acknowledge)) => {
                     self.node.leave(self.now());
-                    left = Some(done);
+                    leave_acknowledge = Some(acknowledge);
                 }
                 Some(Command::HandOver) => return,
                 Some(Command::Drain(drains)) => self.node.drain(self.now(), drains),
@@ -213,88 +225,93 @@
             if self.now() >= self.node.next() {
                 self.node.tick(self.now());
             }
-            self.carry_out(&socket);
-            if let Some(done) = left {
-                self.show(true);
-                let _ = done.send(());
+            self.flush_outbox(&socket);
+            if let Some(acknowledge) = leave_acknowledge {
+                self.publish(true);
+                let _ = acknowledge.send(());
                 return;
             }
-            self.show(false);
+            self.publish(false);
         }
     }
 
-    fn carry_out(&mut self, socket: &tokio::net::UdpSocket) {
+    fn flush_outbox(&mut self, socket: &tokio::net::UdpSocket) {
         let Outbox { datagrams, events } = self.node.take();
         for (to, bytes) in datagrams {
-            // One that the system does not take is lost, as others are on their way.
+            // A datagram that cannot be sent counts as lost; the protocol tolerates losses.
             let _ = socket.try_send_to(&bytes, to);
         }
-        events.iter().for_each(|event| tell(event, &mut self.pace));
+        events.iter().for_each(|event| log_event(event, &mut self.log_limiter));
         if !events.is_empty() {
-            self.show(true);
+            self.publish(true);
         }
     }
 
-    fn show(&mut self, now: bool) {
-        let since = self.shown_at.elapsed();
-        let differs = || {
-            let last = self.shown.borrow();
-            last.standing != self.node.standing()
-                || last.snapshot.view != self.node.view()
-                || last.snapshot.settled != self.node.settled(self.now())
+    fn publish(&mut self, force: bool) {
+        let age = self.published_at.elapsed();
+        let has_changed = || {
+            let published = self.published.borrow();
+            published.standing != self.node.standing()
+                || published.snapshot.view != self.node.view()
+                || published.snapshot.settled != self.node.settled(self.now())
         };
-        if !now && since < SHOW_EVERY && (since < SHOW_WITHIN || !differs()) {
+        if !force && age < MAX_PUBLISH_INTERVAL && (age < MIN_PUBLISH_INTERVAL || !has_changed()) {
             return;
         }
-        let view = show(&self.node, self.now());
+        let view = current_view(&self.node, self.now());
         if let Some(metrics) = &self.metrics {
             metrics.update(&view.snapshot, &view.stats);
         }
-        self.shown_at = Instant::now();
-        self.shown.send_replace(view);
+        self.published_at = Instant::now();
+        self.published.send_replace(view);
     }
 }
 
-/// One line a change, with its cause.
-fn tell(event: &Event, pace: &mut LogLimiter) {
+/// Logs an event in one line.
+fn log_event(event: &Event, log_limiter: &mut LogLimiter) {
     match event {
         Event::Changed { name, state, incarnation, cause } => {
             let state = state.name();
-            pace.log(format_args!("fleet: {name} is {state} (incarnation {incarnation}): {}", Words(cause)));
+            log_limiter.log(format_args!(
+                "fleet: {name} is {state} (incarnation {incarnation}): {}",
+                CauseText(cause)
+            ));
         }
         Event::Refuted { by, state, incarnation } => {
             let state = state.name();
-            pace.log(format_args!(
-                "fleet: {by} held this node for {state}; it objects (incarnation {incarnation})"
+            log_limiter.log(format_args!(
+                "fleet: {by} reported this node as {state}; refuted (incarnation {incarnation})"
             ));
         }
         Event::Stalled(late) => {
             let ms = late / 1_000_000;
-            pace.log(format_args!(
-                "fleet: this process stood still for {ms} ms; what it waited for is put off"
+            log_limiter.log(format_args!(
+                "fleet: this process was paused for {ms} ms; pending timeouts are extended"
             ));
         }
-        Event::Joined(others) => pace.log(format_args!("fleet: member beside {others} others")),
+        Event::Joined(others) => log_limiter.log(format_args!("fleet: joined {others} other members")),
         Event::Refused(by) => {
-            pace.log(format_args!(
-                "fleet: the process at {by} has this node's name and has been there for longer"
-            ));
+            log_limiter
+                .log(format_args!("fleet: refused: the process at {by} uses this node's name and is older"));
         }
     }
 }
 
-struct Words<'c>(&'c Cause);
+/// Describes a cause in the log.
+struct CauseText<'c>(&'c Cause);
 
-impl std::fmt::Display for Words<'_> {
+impl std::fmt::Display for CauseText<'_> {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self.0 {
-            Cause::Heard => f.write_str("heard from it"),
-            Cause::Told(by) => write!(f, "told by {by}"),
+            Cause::Heard => f.write_str("received a message from it"),
+            Cause::Told(by) => write!(f, "reported by {by}"),
             Cause::Unanswered { helpers } => {
-                write!(f, "it answered neither this node's probe nor {helpers} others")
+                write!(f, "no answer to this node's probe, nor to indirect probes by {helpers} others")
+            }
+            Cause::NoObjection(accusers) => {
+                write!(f, "suspicion by {} not refuted in time", accusers.join(", "))
             }
-            Cause::NoObjection(accusers) => write!(f, "it did not object to {}", accusers.join(", ")),
-            Cause::Own => f.write_str("it said so"),
+            Cause::Own => f.write_str("announced by the node itself"),
         }
     }
 }
