--- a/crates/proxy/src/background.rs
+++ b/crates/proxy/src/background.rs
@@ -43,7 +43,8 @@
     }
 }
 
-/// Leaves it to whoever asked for the work to tell of its panics, in a line of their own; all others are told of as before.
+/// Leaves it to whoever asked for the work to tell of its panics, in a line of their own; all others are told
+/// of as before.
 pub fn silence_panic_messages() {
     let usual = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |panic| {
--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -18,8 +18,8 @@
 /// An unchanged view is published this often.
 const MAX_PUBLISH_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Burst and lines per second of the log of membership changes. The burst covers the start of a fleet of some hundred
-/// nodes.
+/// Burst and lines per second of the log of membership changes. The burst covers the start of a fleet of some
+/// hundred nodes.
 const CHANGE_LOG_LIMIT: (u32, f64) = (1_000, 5.0);
 
 /// The node's view of its fleet at one time.
@@ -45,7 +45,8 @@
     }
 }
 
-/// The node's fleet handle, set once the node has joined. The successor of a process joins when that process ends.
+/// The node's fleet handle, set once the node has joined. The successor of a process joins when that process
+/// ends.
 #[derive(Clone, Default)]
 pub struct FleetCell(Arc<OnceLock<Fleet>>);
 
@@ -201,8 +202,8 @@
                 _ = socket.readable() => None,
                 () = tokio::time::sleep_until(wake_at.into()) => None,
             };
-            // Datagrams are handled before timers: after a pause of the process, they may hold the answers whose timeouts
-            // are due.
+            // Datagrams are handled before timers: after a pause of the process, they may hold the answers
+            // whose timeouts are due.
             for _ in 0..MAX_DATAGRAMS_PER_TURN {
                 // Other errors report earlier sends, such as ICMP unreachable, and are ignored.
                 match socket.try_recv_from(&mut buffer) {
--- a/crates/proxy/src/http1/general.rs
+++ b/crates/proxy/src/http1/general.rs
@@ -381,7 +381,7 @@
             head.extend([name.as_str().as_bytes(), b": ", value.as_bytes(), b"\r\n"].concat());
         }
         head.extend(b"\r\n");
-        client.socket.write_between(&head);
+        client.socket.write_own_message(&head);
     })
 }
 
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,5 +1,5 @@
-//! Fronts and sockets: clients' connections on one side, servers' connections on the other, the engine between them.
-//! No decision is made here.
+//! Fronts and sockets: clients' connections on one side, servers' connections on the other, the engine
+//! between them. No decision is made here.
 
 pub mod active_plan;
 pub mod background;
--- a/crates/proxy/src/operator.rs
+++ b/crates/proxy/src/operator.rs
@@ -1,5 +1,5 @@
-//! The operator's address (HTTP/1.1, one call to a connection): ready, metrics, drain, resume. It has a thread and a
-//! runtime of its own, so that no load keeps an answer back.
+//! The operator's address (HTTP/1.1, one call to a connection): ready, metrics, drain, resume. It has a
+//! thread and a runtime of its own, so that no load keeps an answer back.
 
 use crate::fleet::{Fleet, FleetCell};
 use crate::socket::{Socket, SocketIo};
@@ -23,8 +23,8 @@
 use tokio::sync::Notify;
 use tokio::task::{AbortHandle, LocalSet};
 
-/// Callers that may be connected at once; the oldest goes for a new one. Calls take milliseconds: one that is still
-/// there says nothing.
+/// Callers that may be connected at once; the oldest goes for a new one. Calls take milliseconds: one that is
+/// still there says nothing.
 pub const MAX_CONNECTIONS: usize = 8;
 /// A head that is not there after this will not come.
 const HEAD_WITHIN: Duration = Duration::from_secs(2);
@@ -167,7 +167,8 @@
 /// Why a call is turned down.
 type Refusal = (StatusCode, &'static str);
 
-/// Waits for all of a call: what its caller never finishes must not have acted. Two lengths are no length (RFC 9112, 6.3).
+/// Waits for all of a call: what its caller never finishes must not have acted. Two lengths are no length
+/// (RFC 9112, 6.3).
 async fn whole(headers: &HeaderMap, socket: &Socket, mut body: Incoming) -> Result<(), Refusal> {
     // hyper keeps one of the two only.
     if headers.contains_key(header::TRANSFER_ENCODING) && socket.head_contains("\ncontent-length:") {
--- a/crates/proxy/src/socket.rs
+++ b/crates/proxy/src/socket.rs
@@ -1,5 +1,5 @@
-//! One TCP connection, shared between hyper and the node: hyper reads and writes it, the node asks what has
-//! gone over it.
+//! A TCP connection shared between hyper, which reads and writes it, and the node, which observes its
+//! traffic.
 
 use corkhollow_operate::IntCounter;
 use memchr::memmem;
@@ -15,67 +15,67 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Whether descriptors are used up, for the process (EMFILE) or for the system (ENFILE).
+/// Whether the process (EMFILE) or the system (ENFILE) is out of file descriptors.
 pub fn is_out_of_descriptors(error: &io::Error) -> bool {
     matches!(error.raw_os_error(), Some(24 | 23))
 }
 
-/// A connection and what the node has to know of it.
+/// A connection with what the node observes of its traffic.
 #[derive(Debug)]
 pub struct Socket {
-    /// Lent to hyper for the length of one call.
+    /// Borrowed for the duration of one call only.
     stream: RefCell<TcpStream>,
-    /// When the first of what has come since the node last cleared this came.
+    /// When the first byte arrived since the node last cleared this.
     pub first_byte_at: Cell<Option<Instant>>,
-    /// Something has gone either way since the node last cleared this.
+    /// Whether bytes were read or written since the node last cleared this.
     pub had_traffic: Cell<bool>,
-    outgoing: Cell<Outgoing>,
-    /// When the request was out whole.
+    write_progress: Cell<WriteProgress>,
+    /// When the last byte of the request was written.
     written_at: Cell<Option<Instant>>,
-    /// Counts a request once it is out whole.
+    /// Counts a request once its last byte is written.
     forwards: RefCell<Option<IntCounter>>,
-    /// Hyper has handed over all that it has to write.
+    /// Whether hyper has nothing left to write.
     flushed: Cell<bool>,
-    /// What is to go out before anything else of hyper's: one message at most.
-    said: RefCell<Vec<u8>>,
-    first: RefCell<Vec<u8>>,
-    /// How much has been handed to hyper since the first byte of the request under way, and where its head ends there, once that is
-    /// known.
+    /// The rest of the node's own message, to be written before anything else of hyper's.
+    own_message: RefCell<Vec<u8>>,
+    /// The head of the current message as it was received.
+    head: RefCell<Vec<u8>>,
+    /// Bytes handed to hyper since the current message began.
     received: Cell<u64>,
+    /// The offset in these bytes where the head ends, once known.
     head_end: Cell<Option<u64>>,
-    /// Where what is kept of that begins.
-    first_at: Cell<u64>,
-    /// What the node has read before hyper wanted it.
-    ahead: RefCell<Vec<u8>>,
+    /// The offset in these bytes where the kept head begins.
+    head_start: Cell<u64>,
+    /// Bytes that the node has read before hyper asked for them.
+    read_ahead: RefCell<Vec<u8>>,
 }
 
-/// How much is read ahead of hyper.
-const AHEAD: usize = 16 * 1024;
+const MAX_READ_AHEAD_BYTES: usize = 16 * 1024;
 
-/// How much of what comes first is kept as it came: no less than the longest head, or a length could hide there.
-const FIRST: usize = 16 * 1024;
+/// At least the longest accepted head; otherwise a `Content-Length` could go unnoticed behind the kept part.
+const MAX_KEPT_HEAD_BYTES: usize = 16 * 1024;
 
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// How much of a request has been handed to the kernel. A request of which it does not have the last byte
-/// cannot have run, and only that proves that an unsafe one may be sent again.
+/// Tracks how much of a request has been handed to the kernel. Until the last byte is, the server cannot have
+/// processed the request, and even a request that is not idempotent may be sent again.
 #[derive(Clone, Copy, Debug, Default)]
-struct Outgoing {
-    /// How many bytes of the blank line that ends a head have just gone by.
-    blank: u8,
-    body_left: u64,
+struct WriteProgress {
+    /// Bytes seen of the blank line that ends the head: 4 once the head is written.
+    blank_line_bytes: u8,
+    body_bytes_left: u64,
 }
 
-impl Outgoing {
-    fn whole(&self) -> bool {
-        self.blank == 4 && self.body_left == 0
+impl WriteProgress {
+    fn is_complete(&self) -> bool {
+        self.blank_line_bytes == 4 && self.body_bytes_left == 0
     }
 
-    fn note(&mut self, bytes: &[u8]) {
+    fn record(&mut self, bytes: &[u8]) {
         let mut at = 0;
-        // The head ends with its blank line; whatever follows is body, and only that counts down `body_left`.
-        while at < bytes.len() && self.blank < 4 {
-            self.blank = match (bytes[at], self.blank) {
+        // The head ends with its blank line; only what follows is body.
+        while at < bytes.len() && self.blank_line_bytes < 4 {
+            self.blank_line_bytes = match (bytes[at], self.blank_line_bytes) {
                 (b'\r', 2) => 3,
                 (b'\r', _) => 1,
                 (b'\n', 1) => 2,
@@ -84,7 +84,7 @@
             };
             at += 1;
         }
-        self.body_left = self.body_left.saturating_sub((bytes.len() - at) as u64);
+        self.body_bytes_left = self.body_bytes_left.saturating_sub((bytes.len() - at) as u64);
     }
 }
 
@@ -95,185 +95,191 @@
             stream: RefCell::new(stream),
             first_byte_at: Cell::new(None),
             had_traffic: Cell::new(true),
-            outgoing: Cell::default(),
+            write_progress: Cell::default(),
             written_at: Cell::default(),
             forwards: RefCell::default(),
             flushed: Cell::new(true),
-            said: RefCell::default(),
-            first: RefCell::default(),
+            own_message: RefCell::default(),
+            head: RefCell::default(),
             received: Cell::default(),
             head_end: Cell::default(),
-            first_at: Cell::default(),
-            ahead: RefCell::default(),
+            head_start: Cell::default(),
+            read_ahead: RefCell::default(),
         })
     }
 
-    fn hear(&self, bytes: &[u8]) {
+    fn record_received(&self, bytes: &[u8]) {
         self.had_traffic.set(true);
-        let mut first = self.first.borrow_mut();
+        let mut head = self.head.borrow_mut();
         if self.first_byte_at.get().is_none() {
             self.first_byte_at.set(Some(Instant::now()));
-            first.clear();
+            head.clear();
             self.received.set(0);
-            self.first_at.set(0);
+            self.head_start.set(0);
             self.head_end.set(None);
         }
         self.received.set(self.received.get() + bytes.len() as u64);
-        if !first.ends_with(HEAD_END) {
-            let (room, seen) = (FIRST - first.len(), first.len().saturating_sub(HEAD_END.len() - 1));
-            first.extend_from_slice(&bytes[..bytes.len().min(room)]);
-            // Only the head is kept: a body may say what it likes, and memory is short.
-            if let Some(end) = memmem::find(&first[seen..], HEAD_END) {
-                first.truncate(seen + end + HEAD_END.len());
-                let head_end = self.first_at.get() + first.len() as u64;
+        if !head.ends_with(HEAD_END) {
+            let (room, searched) =
+                (MAX_KEPT_HEAD_BYTES - head.len(), head.len().saturating_sub(HEAD_END.len() - 1));
+            head.extend_from_slice(&bytes[..bytes.len().min(room)]);
+            // The body is not kept: its text must not be taken for a header, and it would need memory.
+            if let Some(end) = memmem::find(&head[searched..], HEAD_END) {
+                head.truncate(searched + end + HEAD_END.len());
+                let head_end = self.head_start.get() + head.len() as u64;
                 self.head_end.set(self.head_end.get().or(Some(head_end)));
             }
         }
     }
 
-    /// A request with a body of this length, where that is known, is over: what comes next is another's. What came behind it in one
-    /// piece is in hyper's hands already, and is the beginning of that one.
-    pub fn end_request(&self, body: Option<u64>) {
-        let whole = self.head_end.get().zip(body).map(|(head, body)| head + body);
-        let behind = whole.map_or(0, |whole| self.received.get().saturating_sub(whole));
-        self.first_byte_at.set((behind > 0).then(Instant::now));
-        self.first.borrow_mut().clear();
-        self.received.set(behind);
-        self.first_at.set(behind);
+    /// Ends the current request, whose body has the given length if known. Bytes already handed to hyper
+    /// beyond that belong to the next request, which has begun then.
+    pub fn end_request(&self, body_bytes: Option<u64>) {
+        let message_bytes = self.head_end.get().zip(body_bytes).map(|(head, body)| head + body);
+        let surplus =
+            message_bytes.map_or(0, |message_bytes| self.received.get().saturating_sub(message_bytes));
+        self.first_byte_at.set((surplus > 0).then(Instant::now));
+        self.head.borrow_mut().clear();
+        self.received.set(surplus);
+        self.head_start.set(surplus);
         self.head_end.set(None);
     }
 
-    /// Whether what came first is the whole head of a request with this method. It is not where the head, or the
-    /// beginning of it, came behind the request before; a later line cannot begin like this, for no header's name
-    /// has a space in it.
+    /// Whether the kept bytes are the whole head of a request with this method. They are not if the head
+    /// began in the same read as the end of the previous request. A header line cannot be mistaken for the
+    /// request line, because header names contain no space.
     pub fn has_whole_head(&self, method: &str) -> bool {
-        let first = self.first.borrow();
-        let line = first.strip_prefix(method.as_bytes()).is_some_and(|rest| rest.starts_with(b" "));
-        line && first.ends_with(HEAD_END)
+        let head = self.head.borrow();
+        let has_request_line =
+            head.strip_prefix(method.as_bytes()).is_some_and(|rest| rest.starts_with(b" "));
+        has_request_line && head.ends_with(HEAD_END)
     }
 
-    /// Whether this, in small letters, stands in what came first.
+    /// Whether the kept head contains the text, which must be lower case.
     pub fn head_contains(&self, text: &str) -> bool {
-        let first = self.first.borrow().to_ascii_lowercase();
-        first.windows(text.len()).any(|w| w == text.as_bytes())
+        let head = self.head.borrow().to_ascii_lowercase();
+        head.windows(text.len()).any(|w| w == text.as_bytes())
     }
 
-    /// Whether a line of the head that came first ends with a bare line feed, which not all take for an end.
+    /// Whether a line of the kept head ends with a bare line feed, which not all parsers accept as a line
+    /// end.
     pub fn head_has_bare_line_feed(&self) -> bool {
-        let first = self.first.borrow();
-        memchr::memchr_iter(b'\n', &first).any(|k| k == 0 || first[k - 1] != b'\r')
+        let head = self.head.borrow();
+        memchr::memchr_iter(b'\n', &head).any(|k| k == 0 || head[k - 1] != b'\r')
     }
 
-    /// A request with a body of this length is about to be written.
-    pub fn begin_request(&self, body: u64, forwards: IntCounter) {
+    /// Starts to track a request that is about to be written, with a body of this length.
+    pub fn begin_request(&self, body_bytes: u64, forwards: IntCounter) {
         self.forwards.replace(Some(forwards));
         self.written_at.set(None);
-        self.outgoing.set(Outgoing { body_left: body, ..Outgoing::default() });
-        // What comes from here on is the answer.
+        self.write_progress.set(WriteProgress { body_bytes_left: body_bytes, ..WriteProgress::default() });
+        // Bytes received from here on belong to the answer.
         self.first_byte_at.set(None);
     }
 
-    /// The kernel has the last byte of the request: from here on it may have run.
+    /// Whether the kernel has the last byte of the request: the server may have processed it then.
     pub fn is_request_written(&self) -> bool {
-        self.outgoing.get().whole()
+        self.write_progress.get().is_complete()
     }
 
-    /// How long ago the request was out whole; none where it isn't.
+    /// The time since the last byte of the request was written; `None` if it is not.
     pub fn time_since_written(&self) -> Option<Duration> {
         self.written_at.get().map(|at| at.elapsed())
     }
 
-    /// Hyper has nothing left to write.
+    /// Whether hyper has nothing left to write.
     pub fn has_flushed(&self) -> bool {
         self.flushed.get()
     }
 
-    /// Writes a message of its own between two of hyper's; nothing where hyper is in the middle of one, or where the
-    /// peer has not even taken the message before.
-    pub fn write_between(&self, message: &[u8]) {
-        let mut said = self.said.borrow_mut();
-        if self.flushed.get() && said.is_empty() {
-            // What fails here fails for hyper too.
-            let n = self.stream.borrow().try_write(message).unwrap_or(0);
+    /// Writes a message between two of hyper's. Does nothing while hyper writes one, or while the previous
+    /// such message is not written completely.
+    pub fn write_own_message(&self, message: &[u8]) {
+        let mut own_message = self.own_message.borrow_mut();
+        if self.flushed.get() && own_message.is_empty() {
+            // An error is ignored: hyper gets it with its next write.
+            let written = self.stream.borrow().try_write(message).unwrap_or(0);
             self.had_traffic.set(true);
-            said.extend_from_slice(&message[n..]);
+            own_message.extend_from_slice(&message[written..]);
         }
     }
 
-    /// Writes the rest of what was said.
-    fn poll_said(&self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        let mut said = self.said.borrow_mut();
-        while !said.is_empty() {
-            let n = ready!(Pin::new(&mut *self.stream.borrow_mut()).poll_write(cx, &said))?;
-            said.drain(..n);
+    /// Writes the rest of the node's own message.
+    fn poll_write_own_message(&self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        let mut own_message = self.own_message.borrow_mut();
+        while !own_message.is_empty() {
+            let written = ready!(Pin::new(&mut *self.stream.borrow_mut()).poll_write(cx, &own_message))?;
+            own_message.drain(..written);
         }
         Poll::Ready(Ok(()))
     }
 
-    /// Ends this side and throws away what still comes, until the peer ends its own, is silent for so long or goes on
-    /// for too long: a close with bytes unread is a reset, which may take the last answer with it (RFC 9112, 9.6).
-    pub async fn lingering_close(&self, silent: Duration, longest: Duration) {
+    /// Shuts down writing and discards input until the peer closes or one of the timeouts has passed. Closing
+    /// a socket with unread bytes resets the connection, and the reset may destroy the last answer before the
+    /// peer has read it (RFC 9112, 9.6).
+    pub async fn lingering_close(&self, silence_timeout: Duration, total_timeout: Duration) {
         let _ = socket2::SockRef::from(&*self.stream.borrow()).shutdown(std::net::Shutdown::Write);
         let mut bytes = [0; 4096];
         let read = async {
             loop {
                 let mut buf = ReadBuf::new(&mut bytes);
                 let next = poll_fn(|cx| Pin::new(&mut *self.stream.borrow_mut()).poll_read(cx, &mut buf));
-                if !matches!(timeout(silent, next).await, Ok(Ok(()))) || buf.filled().is_empty() {
+                if !matches!(timeout(silence_timeout, next).await, Ok(Ok(()))) || buf.filled().is_empty() {
                     return;
                 }
             }
         };
-        let _ = timeout(longest, read).await;
+        let _ = timeout(total_timeout, read).await;
     }
 
-    /// Ends when the peer has ended its side or the connection has broken. What comes before that is kept for hyper, which
-    /// reads nothing more behind a request that it has read until that one is answered, and so sees no end behind it. What
-    /// is too much to keep is thrown away where it `spills`, and told of; elsewhere it stays where it is, and so does
-    /// the end behind it.
-    pub fn poll_peer_closed(&self, cx: &mut Context<'_>, spills: Option<&Cell<bool>>) -> Poll<()> {
+    /// Completes when the peer has closed its side or the connection has failed. Hyper does not read on after
+    /// a request until it is answered, and so would not notice. Bytes before the close are kept for hyper, up
+    /// to a limit. Beyond the limit they are discarded and `overflowed` is set; without `overflowed` they
+    /// stay unread, and a close behind them goes unnoticed.
+    pub fn poll_peer_closed(&self, cx: &mut Context<'_>, overflowed: Option<&Cell<bool>>) -> Poll<()> {
         let mut bytes = [0; 4096];
         loop {
-            let mut ahead = self.ahead.borrow_mut();
-            let room = AHEAD - ahead.len();
-            if room == 0 && spills.is_none() {
+            let mut read_ahead = self.read_ahead.borrow_mut();
+            let room = MAX_READ_AHEAD_BYTES - read_ahead.len();
+            if room == 0 && overflowed.is_none() {
                 return Poll::Pending;
             }
-            let most = if spills.is_some() { bytes.len() } else { room.min(bytes.len()) };
-            let mut buf = ReadBuf::new(&mut bytes[..most]);
+            let limit = if overflowed.is_some() { bytes.len() } else { room.min(bytes.len()) };
+            let mut buf = ReadBuf::new(&mut bytes[..limit]);
             let read = Pin::new(&mut *self.stream.borrow_mut()).poll_read(cx, &mut buf);
-            let came = buf.filled();
-            if ready!(read).is_err() || came.is_empty() {
+            let bytes_read = buf.filled();
+            if ready!(read).is_err() || bytes_read.is_empty() {
                 return Poll::Ready(());
             }
-            ahead.extend_from_slice(&came[..came.len().min(room)]);
-            if let Some(spills) = spills.filter(|_| came.len() > room) {
-                spills.set(true);
+            read_ahead.extend_from_slice(&bytes_read[..bytes_read.len().min(room)]);
+            if let Some(overflowed) = overflowed.filter(|_| bytes_read.len() > room) {
+                overflowed.set(true);
             }
-            // Hyper may have asked just before this came, and would not ask again.
+            // Hyper may have polled before these bytes arrived, and is not notified of them otherwise.
             cx.waker().wake_by_ref();
         }
     }
 
-    /// Something has come that nobody has read, as far as the kernel knows.
+    /// Whether the kernel holds unread bytes.
     pub fn has_unread_bytes(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         socket2::SockRef::from(&*self.stream.borrow()).peek(&mut byte).is_ok_and(|n| n > 0)
     }
 
-    /// The peer has ended its side or the connection has broken, and there is nothing to read before that. This asks the kernel itself.
+    /// Whether the peer has closed its side or the connection has failed, with nothing left to read before
+    /// that. Asks the kernel.
     pub fn is_closed_by_peer(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         match socket2::SockRef::from(&*self.stream.borrow()).peek(&mut byte) {
-            Ok(count) => count == 0 && self.ahead.borrow().is_empty(),
+            Ok(count) => count == 0 && self.read_ahead.borrow().is_empty(),
             Err(error) => !matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted),
         }
     }
 
-    /// Nothing has come and the peer has not closed. This asks the kernel itself: what the runtime knows may
-    /// be older than a close that would lose the next request.
+    /// Whether there are no unread bytes and the peer has not closed. Asks the kernel, because the runtime
+    /// may not have been notified yet of a close that would lose the next request.
     pub fn is_quiet(&self) -> bool {
-        if !self.ahead.borrow().is_empty() {
+        if !self.read_ahead.borrow().is_empty() {
             return false;
         }
         let mut byte = [MaybeUninit::uninit()];
@@ -282,29 +288,29 @@
     }
 }
 
-/// The side of a [`Socket`] that hyper holds.
+/// The I/O object of a [`Socket`] that hyper owns.
 pub struct SocketIo(pub Rc<Socket>);
 
 impl AsyncRead for SocketIo {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        // The stream's own read knows when a short one has emptied the kernel's buffer, and spares the next.
+        // Tokio's stream knows from a short read that the kernel's buffer is empty, and saves a system call.
         let before = buf.filled().len();
-        let mut ahead = self.0.ahead.borrow_mut();
-        if !ahead.is_empty() {
-            let most = ahead.len().min(buf.remaining());
-            buf.put_slice(&ahead[..most]);
-            ahead.drain(..most);
-            if ahead.is_empty() {
-                // It is rare: no connection keeps memory for it.
-                *ahead = Vec::new();
+        let mut read_ahead = self.0.read_ahead.borrow_mut();
+        if !read_ahead.is_empty() {
+            let limit = read_ahead.len().min(buf.remaining());
+            buf.put_slice(&read_ahead[..limit]);
+            read_ahead.drain(..limit);
+            if read_ahead.is_empty() {
+                // Rarely used, so its memory is freed.
+                *read_ahead = Vec::new();
             }
-            self.0.hear(&buf.filled()[before..]);
+            self.0.record_received(&buf.filled()[before..]);
             return Poll::Ready(Ok(()));
         }
         ready!(Pin::new(&mut *self.0.stream.borrow_mut()).poll_read(cx, buf))?;
-        let came = &buf.filled()[before..];
-        if !came.is_empty() {
-            self.0.hear(came);
+        let bytes_read = &buf.filled()[before..];
+        if !bytes_read.is_empty() {
+            self.0.record_received(bytes_read);
         }
         Poll::Ready(Ok(()))
     }
@@ -320,24 +326,24 @@
         cx: &mut Context<'_>,
         slices: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        ready!(self.0.poll_said(cx))?;
+        ready!(self.0.poll_write_own_message(cx))?;
         self.0.flushed.set(false);
-        let n = ready!(Pin::new(&mut *self.0.stream.borrow_mut()).poll_write_vectored(cx, slices))?;
+        let written = ready!(Pin::new(&mut *self.0.stream.borrow_mut()).poll_write_vectored(cx, slices))?;
         self.0.had_traffic.set(true);
-        let (mut outgoing, mut left) = (self.0.outgoing.get(), n);
+        let (mut write_progress, mut left) = (self.0.write_progress.get(), written);
         for slice in slices {
             let part = left.min(slice.len());
-            outgoing.note(&slice[..part]);
+            write_progress.record(&slice[..part]);
             left -= part;
         }
-        self.0.outgoing.set(outgoing);
-        if outgoing.whole() {
+        self.0.write_progress.set(write_progress);
+        if write_progress.is_complete() {
             if let Some(forwards) = self.0.forwards.take() {
                 forwards.inc();
                 self.0.written_at.set(Some(Instant::now()));
             }
         }
-        Poll::Ready(Ok(n))
+        Poll::Ready(Ok(written))
     }
 
     fn is_write_vectored(&self) -> bool {
@@ -346,7 +352,7 @@
 
     fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         self.0.flushed.set(true);
-        self.0.poll_said(cx)
+        self.0.poll_write_own_message(cx)
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
@@ -358,25 +364,25 @@
 mod tests {
     use super::*;
 
-    /// Neither an unwritten head nor an unwritten body has gone out whole, however the bytes are cut.
     #[test]
-    fn a_request_is_out_with_its_last_byte_and_not_before() {
+    fn a_request_is_complete_with_its_last_byte_however_the_writes_are_split() {
         for body in [&b""[..], b"body\r\n\r\nwith a blank line"] {
             let request = [&b"POST / HTTP/1.1\r\nA: b\r\n\r\n"[..], body].concat();
             for step in 1..=request.len() {
-                let mut out = Outgoing { body_left: body.len() as u64, ..Outgoing::default() };
+                let mut out =
+                    WriteProgress { body_bytes_left: body.len() as u64, ..WriteProgress::default() };
                 for (k, part) in request.chunks(step).enumerate() {
-                    assert!(!out.whole(), "{} of {} bytes", k * step, request.len());
-                    out.note(part);
+                    assert!(!out.is_complete(), "{} of {} bytes", k * step, request.len());
+                    out.record(part);
                 }
-                assert!(out.whole(), "all of {} bytes, {step} at a time", request.len());
+                assert!(out.is_complete(), "all of {} bytes, {step} at a time", request.len());
             }
         }
     }
 
-    /// A kept connection that its server has closed is noticed without the runtime's having been told.
+    /// A close of an idle connection must be noticed before the runtime is notified of it.
     #[tokio::test]
-    async fn a_close_ends_the_quiet() {
+    async fn a_connection_that_the_peer_has_closed_is_not_quiet() {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let socket = Socket::new(TcpStream::connect(listener.local_addr().unwrap()).await.unwrap());
         let peer = listener.accept().unwrap().0;
@@ -384,14 +390,14 @@
         drop(peer);
         let start = std::time::Instant::now();
         while socket.is_quiet() {
-            assert!(start.elapsed().as_secs() < 20, "the close never came");
+            assert!(start.elapsed().as_secs() < 20, "the close was not noticed");
         }
     }
 
-    /// What is said between two messages comes out there, whole, also where the peer takes little at a time; in the
-    /// middle of a message nothing is said.
+    /// The peer must receive it whole even if it reads slowly. In the middle of a message nothing may be
+    /// inserted.
     #[tokio::test]
-    async fn what_is_said_stands_between_messages() {
+    async fn an_own_message_is_written_whole_and_only_between_messages_of_hyper() {
         use tokio::io::{AsyncReadExt, AsyncWriteExt};
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let socket = Socket::new(TcpStream::connect(listener.local_addr().unwrap()).await.unwrap());
@@ -400,15 +406,15 @@
         let mut peer = TcpStream::from_std(peer).unwrap();
         let mut io = SocketIo(socket.clone());
         let long = vec![b'a'; 32 << 20];
-        socket.write_between(&long);
-        socket.write_between(b"too much");
-        assert!(!socket.said.borrow().is_empty(), "the kernel took all of it");
+        socket.write_own_message(&long);
+        socket.write_own_message(b"too much");
+        assert!(!socket.own_message.borrow().is_empty(), "the kernel accepted the whole message");
         let write = async {
             io.write_all(b"bbb").await.unwrap();
-            socket.write_between(b"in the middle");
+            socket.write_own_message(b"in the middle");
             io.write_all(b"bbb").await.unwrap();
             io.flush().await.unwrap();
-            socket.write_between(b"cc");
+            socket.write_own_message(b"cc");
             drop(io);
             drop(socket);
         };
