--- a/crates/plan/src/config/compile.rs
+++ b/crates/plan/src/config/compile.rs
@@ -205,30 +205,30 @@
 }
 
 fn build_limits(file: &ConfigFile, validator: &mut Validator<'_>) -> Limits {
-    let l = &file.limits;
-    for (name, value, min, max) in [
-        ("memory", l.memory.0, 16_000_000, u64::MAX),
-        ("header_bytes", l.header_bytes.0, 8 << 10, 1 << 20),
-        ("replay_buffer", l.replay_buffer.0, 0, l.memory.0 / 8),
+    let limits = &file.limits;
+    for (key, value, min, max) in [
+        ("memory", limits.memory.0, 16_000_000, u64::MAX),
+        ("header_bytes", limits.header_bytes.0, 8 << 10, 1 << 20),
+        ("replay_buffer", limits.replay_buffer.0, 0, limits.memory.0 / 8),
     ] {
         if value < min || value > max {
-            let allowed = match name {
+            let allowed = match key {
                 "memory" => "16MB or more",
                 "header_bytes" => "8KiB to 1MiB",
                 _ => "at most an eighth of `limits.memory`",
             };
             let message = "the size is out of range".to_owned();
-            validator.report(Severity::Error, &format!("limits.{name}"), message, allowed.to_owned());
+            validator.report(Severity::Error, &format!("limits.{key}"), message, allowed.to_owned());
         }
     }
     Limits {
-        descriptors: l.descriptors,
-        memory: l.memory.0,
-        replay_buffer: l.replay_buffer.0,
-        header_bytes: l.header_bytes.0 as usize,
-        header_timeout: l.header_timeout.0,
-        idle_timeout: l.idle_timeout.0,
-        stall_timeout: l.stall_timeout.0,
+        descriptors: limits.descriptors,
+        memory: limits.memory.0,
+        replay_buffer: limits.replay_buffer.0,
+        header_bytes: limits.header_bytes.0 as usize,
+        header_timeout: limits.header_timeout.0,
+        idle_timeout: limits.idle_timeout.0,
+        stall_timeout: limits.stall_timeout.0,
     }
 }
 
@@ -366,7 +366,7 @@
     }
 }
 
-/// Builds the servers of one list. A duplicate name is an error; a duplicate address under two names is a warning.
+/// Builds the servers of one list. A duplicate name is an error; one address under two names is a warning.
 pub(super) fn build_servers(
     list: &[model::Server],
     path: &str,
--- a/crates/plan/src/config/validator.rs
+++ b/crates/plan/src/config/validator.rs
@@ -96,7 +96,7 @@
         (line, self.text[start..offset].chars().count() + 1)
     }
 
-    /// Reports a problem with a key. If the key is absent, its closest enclosing table or array gives the position.
+    /// Reports a problem with a key. If the key is absent, the position is that of the closest enclosing value.
     pub fn report(&mut self, severity: Severity, path: &str, message: String, allowed: String) {
         let mut ancestor = path;
         let offset = loop {
--- a/crates/plan/tests/config.rs
+++ b/crates/plan/tests/config.rs
@@ -335,20 +335,20 @@
     );
 }
 
-fn name() -> impl Strategy<Value = String> {
+fn any_name() -> impl Strategy<Value = String> {
     "[a-z][a-z0-9_.-]{0,8}"
 }
 
-fn duration() -> impl Strategy<Value = Duration> {
+fn any_duration() -> impl Strategy<Value = Duration> {
     (1u64..100_000).prop_map(Duration::from_millis)
 }
 
-fn header_name() -> impl Strategy<Value = String> {
+fn any_header_name() -> impl Strategy<Value = String> {
     select(&["x-a", "X-B", "accept"][..]).prop_map(str::to_owned)
 }
 
-fn field() -> impl Strategy<Value = model::FieldCondition> {
-    (header_name(), 0..4, "[a-z]{0,4}").prop_map(|(name, kind, text)| model::FieldCondition {
+fn any_field_condition() -> impl Strategy<Value = model::FieldCondition> {
+    (any_header_name(), 0..4, "[a-z]{0,4}").prop_map(|(name, kind, text)| model::FieldCondition {
         name,
         is: (kind == 0).then(|| text.clone()),
         begins: (kind == 1).then(|| text.clone()),
@@ -358,12 +358,12 @@
 }
 
 prop_compose! {
-    fn server()(
+    fn any_server()(
         port in 1u16..,
         v6 in any::<bool>(),
-        name in option::of(name()),
+        name in option::of(any_name()),
         weight in 0.01f64..100.0,
-        zone in option::of(name()),
+        zone in option::of(any_name()),
         backup in any::<bool>(),
     ) -> model::Server {
         let ip = if v6 { "[::1]" } else { "127.0.0.1" };
@@ -373,39 +373,39 @@
 }
 
 prop_compose! {
-    fn edits()(
-        remove in vec(header_name(), 0..2),
-        set in btree_map(header_name(), "[ -~]{0,8}", 0..2),
-        add in btree_map(header_name(), "[a-z]{0,8}", 0..2),
+    fn any_header_edits()(
+        remove in vec(any_header_name(), 0..2),
+        set in btree_map(any_header_name(), "[ -~]{0,8}", 0..2),
+        add in btree_map(any_header_name(), "[a-z]{0,8}", 0..2),
     ) -> model::HeaderEdits {
         model::HeaderEdits { remove, set, add }
     }
 }
 
 prop_compose! {
-    fn route()(
-        name in name(),
+    fn any_route()(
+        name in any_name(),
         hosts in vec(select(&["a.org", "*.b.org"][..]).prop_map(str::to_owned), 0..2),
-        path in 0..4,
+        path_kind in 0..4,
         methods in vec(select(&["GET", "PUT"][..]).prop_map(str::to_owned), 0..2),
-        headers in vec(field(), 0..2),
-        query in vec(field(), 0..2),
+        headers in vec(any_field_condition(), 0..2),
+        query in vec(any_field_condition(), 0..2),
         outcome in 0..3,
-        request in edits(),
-        response in edits(),
+        request in any_header_edits(),
+        response in any_header_edits(),
         status in select(&[301u16, 302, 307][..]),
         body in ".{0,10}",
     ) -> model::Route {
-        let text = |of: i32, text: &str| (path == of).then(|| text.to_owned());
+        let path_of_kind = |kind: i32, path: &str| (path_kind == kind).then(|| path.to_owned());
         model::Route {
             name,
             hosts,
             methods,
             headers,
             query,
-            path: text(1, "/a/b"),
-            path_prefix: text(2, "/a"),
-            path_regex: text(3, "/[a-z]+"),
+            path: path_of_kind(1, "/a/b"),
+            path_prefix: path_of_kind(2, "/a"),
+            path_regex: path_of_kind(3, "/[a-z]+"),
             pool: (outcome == 0).then(|| "p".to_owned()),
             rewrite: (outcome == 0).then(|| model::Rewrite { request, response, ..Default::default() }),
             redirect: (outcome == 1).then(|| model::Redirect { to: "https://{host}{path}".into(), status }),
@@ -416,21 +416,21 @@
 }
 
 prop_compose! {
-    fn file()(
-        zone in option::of(name()),
-        zones in vec(name(), 0..2),
-        drain_timeout in duration(),
+    fn any_config_file()(
+        zone in option::of(any_name()),
+        zones in vec(any_name(), 0..2),
+        drain_timeout in any_duration(),
         operator in any::<bool>(),
         memory in 16_000_000u64..1_000_000_000,
-        names in proptest::collection::btree_set(name(), 1..4),
-        via in option::of(name()),
+        names in proptest::collection::btree_set(any_name(), 1..4),
+        via in option::of(any_name()),
         merge_slashes in any::<bool>(),
-        aim in duration(),
+        aim in any_duration(),
         worth in 0.0f64..100.0,
-        servers in vec(server(), 0..4),
+        servers in vec(any_server(), 0..4),
         check in any::<bool>(),
-        tenant in option::of(name()),
-        mut route in vec(route(), 1..6),
+        tenant in option::of(any_name()),
+        mut route in vec(any_route(), 1..6),
     ) -> ConfigFile {
         let listener = names.into_iter().map(|name| model::Listener {
             name,
@@ -442,13 +442,14 @@
             merge_slashes,
             keep_escaped_slashes: false,
         });
-        for (k, route) in route.iter_mut().enumerate() {
-            route.name += &k.to_string();
+        // The indexes make names and addresses unique; duplicates are rejected.
+        for (index, route) in route.iter_mut().enumerate() {
+            route.name += &index.to_string();
         }
         let mut servers = servers;
-        for (k, server) in servers.iter_mut().enumerate() {
-            server.name = server.name.take().map(|n| format!("{n}{k}"));
-            server.address.set_port(server.address.port() / 5 * 5 + k as u16);
+        for (index, server) in servers.iter_mut().enumerate() {
+            server.name = server.name.take().map(|n| format!("{n}{index}"));
+            server.address.set_port(server.address.port() / 5 * 5 + index as u16);
         }
         let mut class = model::Class::new("own", model::Effect::Keyed, &["PUT"]);
         (class.aim, class.deadline, class.window, class.worth) = (aim, aim, aim, worth);
@@ -476,7 +477,7 @@
 
 proptest! {
     #[test]
-    fn serialized_config_parses_to_the_same_value(file in file()) {
+    fn serialized_config_parses_to_the_same_value(file in any_config_file()) {
         let text = toml::to_string(&file).unwrap();
         let checked = parse_config(&text, Path::new("")).unwrap_or_else(|d| panic!("{d:?}\n{text}"));
         prop_assert_eq!(&checked.file, &file, "{}", text);
