--- a/crates/proxy/src/active_plan.rs
+++ b/crates/proxy/src/active_plan.rs
@@ -24,7 +24,7 @@
     /// By pool and by class of the plan, the place that the pool's decision module has for the class.
     pub class_indexes: Vec<Rc<[u16]>>,
     /// Where requests are counted, by their class in the plan.
-    pub class_figures: Vec<ClassMetrics>,
+    pub class_metrics: Vec<ClassMetrics>,
 }
 
 /// A site's plan.
@@ -84,9 +84,9 @@
     }
 
     fn of(plan: Plan, shared: &PoolContext, pools: Vec<(Rc<Pool>, Rc<[u16]>)>) -> Rc<Self> {
-        let class_figures = plan.classes.iter().map(|class| shared.figures.for_class(&class.name)).collect();
+        let class_metrics = plan.classes.iter().map(|class| shared.metrics.for_class(&class.name)).collect();
         let (pools, class_indexes) = pools.into_iter().unzip();
-        Rc::new(ActivePlan { plan: PlanHandle(Some(Arc::new(plan))), pools, class_indexes, class_figures })
+        Rc::new(ActivePlan { plan: PlanHandle(Some(Arc::new(plan))), pools, class_indexes, class_metrics })
     }
 
     /// The site of a plan that follows this one's. Pools that fit go on, with what they have learnt and what is under way; those
@@ -140,7 +140,7 @@
 
     /// Servers in the lists of all pools, and how many of them are ejected.
     pub fn server_counts(&self) -> (usize, usize) {
-        let counts = self.pools.iter().map(|p| p.engine.census());
+        let counts = self.pools.iter().map(|p| p.engine.server_counts());
         counts.fold((0, 0), |sum, (listed, ejected)| (sum.0 + listed, sum.1 + ejected))
     }
 
@@ -149,7 +149,7 @@
         let pool = |(at, pool): (usize, &Rc<Pool>)| PoolHandover {
             name: self.plan.pools[at].name.clone(),
             classes: self.plan.classes.iter().map(|class| class.name.clone()).collect(),
-            knowledge: pool.engine.knowledge(&self.class_indexes[at]),
+            knowledge: pool.engine.export_knowledge(&self.class_indexes[at]),
         };
         Handover { drains, fleet: None, pools: self.pools.iter().enumerate().map(pool).collect() }
     }
@@ -163,7 +163,7 @@
             let names = &self.plan.classes;
             let successor = |name: &String| names.iter().position(|c| c.name == *name).map(|at| places[at]);
             let successors: Vec<_> = from.classes.iter().map(successor).collect();
-            known += pool.engine.recall(&from.knowledge, &successors).unwrap_or(0);
+            known += pool.engine.import_knowledge(&from.knowledge, &successors).unwrap_or(0);
         }
         known
     }
@@ -175,7 +175,7 @@
     /// Where a pool turns that down; those before it go by it.
     pub async fn set_group(&self, group: Group) -> Result<(), PoolError> {
         for (at, pool) in self.pools.iter().enumerate() {
-            let told = pool.engine.count_as(group.ordinal, group.size.max(group.ordinal + 1));
+            let told = pool.engine.set_group_position(group.ordinal, group.size.max(group.ordinal + 1));
             told.map_err(|error| PoolError { pool: self.plan.pools[at].name.clone(), error })?;
             tokio::task::yield_now().await;
         }
--- a/crates/proxy/tests/closing.rs
+++ b/crates/proxy/tests/closing.rs
@@ -35,17 +35,17 @@
         let shared = PoolContext {
             clock: Clock::start(),
             budget: Budget::new(1_000, 64 << 20),
-            figures: Metrics::new().unwrap(),
+            metrics: Metrics::new().unwrap(),
             engines: Engines::default(),
         };
         let site = ActivePlan::start(plan, &shared, 7, None).unwrap();
         let service = Rc::new(Service {
-            site: CurrentPlan::new(site),
+            current_plan: CurrentPlan::new(site),
             clock: shared.clock,
             budget: shared.budget,
             lifecycle: SharedLifecycle::default(),
             request_id_counter: Cell::new(1),
-            metrics: shared.figures,
+            metrics: shared.metrics,
         });
         let clients = ClientConnections::new(service);
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
