--- a/crates/balance/tests/common/mod.rs
+++ b/crates/balance/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Helpers for driving a balancer by hand.
+//! A node that drives a balancer in tests.
 #![allow(dead_code)]
 
 use corkhollow_balance::interface::*;
@@ -30,35 +30,35 @@
 
 impl TestNode {
     pub fn new(settings: Settings, list: Vec<Server>, seed: u64) -> Self {
-        let balancer = Balancer::new(settings, seed).expect("sound settings");
+        let balancer = Balancer::new(settings, seed).expect("valid settings");
         let mut test_node = TestNode { balancer, now: 1_000_000 * MS, next: 0 };
         test_node.list(ListKind::Full, list);
         test_node
     }
 
-    pub fn feed(&mut self, event: Event) -> Vec<Action> {
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut sink = Vec::new();
         self.balancer.handle(self.now, event, &mut sink);
         sink
     }
 
     pub fn list(&mut self, kind: ListKind, servers: Vec<Server>) -> Vec<Action> {
-        self.feed(Event::List { kind, servers })
+        self.handle(Event::List { kind, servers })
     }
 
-    /// A new request of class 0 with 800 ms to go.
+    /// Submits a new request of class 0 that the client abandons after 800 ms.
     pub fn request(&mut self) -> (RequestId, Vec<Action>) {
-        self.hinted(None)
+        self.request_with_hint(None)
     }
 
-    /// The same with a hint of its work.
-    pub fn hinted(&mut self, work_hint: Option<Nanos>) -> (RequestId, Vec<Action>) {
-        let (id, request) = self.draft();
-        (id, self.feed(Event::Request(Request { work_hint, ..request })))
+    /// Submits a new request of class 0 with a hint of its work.
+    pub fn request_with_hint(&mut self, work_hint: Option<Nanos>) -> (RequestId, Vec<Action>) {
+        let (id, request) = self.new_request();
+        (id, self.handle(Event::Request(Request { work_hint, ..request })))
     }
 
-    /// A new request that has not come in yet.
-    pub fn draft(&mut self) -> (RequestId, Request) {
+    /// Creates a request without submitting it.
+    pub fn new_request(&mut self) -> (RequestId, Request) {
         self.next += 1;
         (self.next, Request::new(self.next, self.now + 800 * MS))
     }
@@ -72,7 +72,7 @@
         ending: Ending,
     ) -> Vec<Action> {
         let finished = ending == Ending::Ok;
-        self.feed(Event::Outcome {
+        self.handle(Event::Outcome {
             request,
             server,
             attempt,
@@ -84,8 +84,9 @@
         })
     }
 
-    /// Sends one request and answers it at once after `took`; tells where it went.
-    pub fn served(&mut self, took: Nanos) -> Option<ServerId> {
+    /// Submits a request and ends it as answered after `took`, without advancing the clock; returns its
+    /// server.
+    pub fn serve(&mut self, took: Nanos) -> Option<ServerId> {
         let (id, actions) = self.request();
         let server = sent(&actions, id)?;
         self.outcome(id, server, 0, took, Ending::Ok);
@@ -93,7 +94,7 @@
     }
 }
 
-/// Where the request went, if it was sent.
+/// The server to which the request was sent, if it was.
 pub fn sent(actions: &[Action], id: RequestId) -> Option<ServerId> {
     actions.iter().find_map(|a| match a {
         Action::Send { request, server, .. } if *request == id => Some(*server),
--- a/crates/balance/tests/knowledge.rs
+++ b/crates/balance/tests/knowledge.rs
@@ -1,4 +1,5 @@
-//! A balancer that takes another's place begins with what that one has learnt, and with nothing that can't be so.
+//! Export and import of knowledge: a successor starts with what its predecessor knew, and rejects invalid
+//! knowledge.
 
 mod common;
 
@@ -8,8 +9,9 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// A fleet of ten under load: server 1 is five times as slow as the others, server 0 refuses connections in the end.
-fn taught() -> TestNode {
+/// A node with ten servers under load: server 1 is five times as slow as the others, and server 0 is ejected
+/// because it refuses connections.
+fn trained_node() -> TestNode {
     let mut test_node = TestNode::new(settings(Effect::Safe), servers(10), 3);
     for round in 0..5_000 {
         if test_node.balancer.server_counts(test_node.now) == (10, 1) {
@@ -27,18 +29,18 @@
     panic!("server 0 is never ejected");
 }
 
-/// How many of a hundred first requests go to each server.
-fn first_hundred(test_node: &mut TestNode) -> [u32; 10] {
-    let mut went = [0; 10];
+/// Sends a hundred requests; returns how many went to each server.
+fn send_hundred(test_node: &mut TestNode) -> [u32; 10] {
+    let mut sent_to = [0; 10];
     for _ in 0..100 {
         test_node.now += MS / 10;
         let (id, actions) = test_node.request();
         if let Some(to) = sent(&actions, id) {
-            went[to.0 as usize] += 1;
+            sent_to[to.0 as usize] += 1;
             test_node.outcome(id, to, 0, if to.0 == 1 { 200 * MS } else { 40 * MS }, Ending::Ok);
         }
     }
-    went
+    sent_to
 }
 
 fn successor(old: &TestNode, list: Vec<Server>) -> TestNode {
@@ -49,8 +51,8 @@
 }
 
 #[test]
-fn what_is_ejected_slow_or_usual_is_known_from_the_start() {
-    let mut old = taught();
+fn a_successor_knows_ejected_and_slow_servers_from_the_start() {
+    let mut old = trained_node();
     let known = old.balancer.export_knowledge(old.now, &[0]);
     assert_eq!(known.servers.len(), 10);
     let ejected_until = |k: &Knowledge| k.servers.iter().find(|s| s.id == server(0)).unwrap().ejected_until;
@@ -58,30 +60,29 @@
     let (mut warm, mut blank) = (successor(&old, servers(10)), successor(&old, servers(10)));
     assert_eq!(warm.balancer.import_knowledge(warm.now, &known, &[Some(0)]), Some(10));
     assert_eq!(warm.balancer.server_counts(warm.now), old.balancer.server_counts(old.now));
-    // Said again at once it is the same, but for rounding.
-    let again = warm.balancer.export_knowledge(warm.now, &[0]);
-    assert_eq!(again.classes, known.classes);
-    for (mine, theirs) in again.servers.iter().zip(&known.servers) {
-        assert!((mine.score - theirs.score).abs() <= 1e-9 * theirs.score.max(1.0), "{mine:?} {theirs:?}");
-        assert_eq!(ServerKnowledge { score: 0.0, ..*mine }, ServerKnowledge { score: 0.0, ..*theirs });
+    // Exported again, it is the same except for rounding.
+    let exported = warm.balancer.export_knowledge(warm.now, &[0]);
+    assert_eq!(exported.classes, known.classes);
+    for (new, old) in exported.servers.iter().zip(&known.servers) {
+        assert!((new.score - old.score).abs() <= 1e-9 * old.score.max(1.0), "{new:?} {old:?}");
+        assert_eq!(ServerKnowledge { score: 0.0, ..*new }, ServerKnowledge { score: 0.0, ..*old });
     }
-    let (warm, blank) = (first_hundred(&mut warm), first_hundred(&mut blank));
+    let (warm, blank) = (send_hundred(&mut warm), send_hundred(&mut blank));
     assert_eq!(warm[0], 0, "{warm:?}");
     assert!(blank[0] > 0 && blank[1] > 2 * warm[1], "blank {blank:?}, with knowledge {warm:?}");
 }
 
-/// In a jam of other classes' work a server that answers at once is far quicker than the fleet. What is known then has to be
-/// as sound as at any other time: a successor that turned it down would begin blank in the jam.
+/// Guards against validation that rejects the lag of servers far faster than an overloaded fleet.
 #[test]
-fn what_is_learnt_in_a_jam_is_handed_over() {
+fn knowledge_exported_in_an_overload_is_valid() {
     let mut s = settings(Effect::Safe);
     s.classes.push(s.classes[0].clone());
     let mut test_node = TestNode::new(s, servers(4), 3);
     for round in 0..400 {
         test_node.now += 10 * MS;
         let class = u16::from(round >= 100 && round % 3 > 0);
-        let (id, request) = test_node.draft();
-        let actions = test_node.feed(Event::Request(Request { class, ..request }));
+        let (id, request) = test_node.new_request();
+        let actions = test_node.handle(Event::Request(Request { class, ..request }));
         if let Some(to) = sent(&actions, id) {
             test_node.outcome(
                 id,
@@ -97,21 +98,21 @@
 }
 
 #[test]
-fn a_server_with_another_start_or_none_in_the_list_begins_blank() {
-    let mut old = taught();
+fn servers_that_restarted_or_are_not_listed_are_skipped() {
+    let mut old = trained_node();
     let known = old.balancer.export_knowledge(old.now, &[0]);
     let mut list = servers(10);
     list[0].started_at = old.now - 60_000 * MS;
     list.remove(5);
     let mut new = successor(&old, list);
     assert_eq!(new.balancer.import_knowledge(new.now, &known, &[Some(0)]), Some(8));
-    assert_eq!(new.balancer.server_counts(new.now), (9, 0), "the one that was ejected has started again");
+    assert_eq!(new.balancer.server_counts(new.now), (9, 0), "the ejected server has restarted");
 }
 
-/// Old knowledge would eject servers for what is long over.
+/// Guards against ejections for failures that are long over.
 #[test]
-fn old_knowledge_and_that_of_the_future_is_passed_over() {
-    let mut old = taught();
+fn knowledge_that_is_old_or_from_the_future_is_rejected() {
+    let mut old = trained_node();
     let known = old.balancer.export_knowledge(old.now, &[0]);
     for at in [old.now + 5_001 * MS, known.at - MS] {
         let mut new = successor(&old, servers(10));
@@ -120,48 +121,48 @@
         assert_eq!(new.balancer.server_counts(at), (10, 0));
     }
     let mut new = successor(&old, servers(10));
-    // A class that is not there any longer, or has no such place, is no fault.
+    // A class that no longer exists, or an index out of range, is not an error.
     for successors in [vec![], vec![None], vec![Some(7)]] {
         assert_eq!(new.balancer.import_knowledge(new.now, &known, &successors), Some(10));
     }
 }
 
-fn figure() -> impl Strategy<Value = f64> {
+fn any_number() -> impl Strategy<Value = f64> {
     prop_oneof![0.0..4.0, any::<f64>(), Just(f64::NAN), Just(f64::INFINITY), Just(-1.0)]
 }
 
-fn moment() -> impl Strategy<Value = Nanos> {
+fn any_time() -> impl Strategy<Value = Nanos> {
     prop_oneof![Just(1_000_000 * MS), 0..1_000_001 * MS, any::<u64>()]
 }
 
 proptest! {
-    // The same cases every time.
+    // Reproducible cases.
     #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(11), failure_persistence: None, cases: 1000, ..ProptestConfig::default() })]
 
-    /// Whatever another process says: it is taken whole or not at all, and the balancer goes on serving.
+    /// Any knowledge is imported whole or not at all, and the balancer goes on serving.
     #[test]
-    fn no_knowledge_makes_a_balancer_stop(
-        typical_nanos in figure(), answer_count in figure(),
-        told in proptest::collection::vec(
-            (0..12u64, figure(), figure(), figure(), any::<u32>(), moment(), moment(), moment()), 0..12),
+    fn any_knowledge_leaves_the_balancer_serving(
+        typical_nanos in any_number(), answer_count in any_number(),
+        servers_known in proptest::collection::vec(
+            (0..12u64, any_number(), any_number(), any_number(), any::<u32>(), any_time(), any_time(), any_time()), 0..12),
     ) {
         let now = 1_000_000 * MS;
-        let one = |(id, lag, score, failure_rate, failures, lag_at, ejected_until, failure_rate_at)| ServerKnowledge {
+        let server_knowledge = |(id, lag, score, failure_rate, failures, lag_at, ejected_until, failure_rate_at)| ServerKnowledge {
             id: ServerId(id), started_at: 0, lag, lag_at, score, consecutive_failures: failures % 6, ejected_until,
             failure_rate, failure_rate_at,
         };
         let known = Knowledge {
             at: now,
             classes: vec![ClassKnowledge { typical_nanos, answer_count, min_nanos: 0.0 }],
-            servers: told.into_iter().map(one).collect(),
+            servers: servers_known.into_iter().map(server_knowledge).collect(),
         };
         let mut balancer = Balancer::new(settings(Effect::Safe), 5).unwrap();
         let mut sink = Vec::new();
         balancer.handle(now, Event::List { kind: ListKind::Full, servers: servers(10) }, &mut sink);
-        let taken = balancer.import_knowledge(now, &known, &[Some(0)]);
-        prop_assert_eq!(taken.is_some(), known.is_valid(now));
-        prop_assert!(taken.is_some() || balancer.server_counts(now) == (10, 0));
-        // Nothing that was said keeps the fleet out for longer than an ejection lasts, and answers correct the rest.
+        let imported = balancer.import_knowledge(now, &known, &[Some(0)]);
+        prop_assert_eq!(imported.is_some(), known.is_valid(now));
+        prop_assert!(imported.is_some() || balancer.server_counts(now) == (10, 0));
+        // Ejections end, and answers correct the other values.
         let mut at = now + 16 * 800 * MS;
         let mut served = 0;
         for id in 1..=600 {
@@ -180,9 +181,9 @@
     }
 }
 
-/// Knowledge of a process whose clock is off by an hour is the same knowledge on another clock.
+/// Knowledge of a process whose clock differs by an hour can be converted to this process's clock.
 #[test]
-fn knowledge_goes_on_on_another_clock() {
+fn knowledge_can_be_shifted_to_another_clock() {
     const HOUR: Nanos = 3_600_000 * MS;
     let server = ServerKnowledge {
         id: server(1),
@@ -201,5 +202,5 @@
     assert_eq!((ahead.at, ahead.servers[0].ejected_until), (3 * HOUR, 3 * HOUR + MS));
     assert!(ahead.is_valid(3 * HOUR + MS) && !ahead.is_valid(2 * HOUR));
     ahead.shift(-(HOUR as i64));
-    assert_eq!(ahead, known, "and back; a server's start is on no clock of ours");
+    assert_eq!(ahead, known, "shifted back; start times are not on this clock");
 }
--- a/crates/balance/tests/limits.rs
+++ b/crates/balance/tests/limits.rs
@@ -1,13 +1,13 @@
-//! The operators read the decision module aloud: each of its files has to stay short, and `deploy/balancer.toml` has to name all of
+//! Limits on the files of the decision module: each stays short, and `deploy/balancer.toml` names all of
 //! them.
 
 use std::path::Path;
 
-/// The most lines of one file, blank ones not counted: one concern each.
+/// Maximum number of non-blank lines of a file.
 const MAX_LINES: usize = 250;
 
 #[test]
-fn the_module_stays_within_its_limits() {
+fn files_stay_within_their_limits() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let deploy = std::fs::read_to_string(root.join("deploy/balancer.toml")).unwrap();
     for entry in std::fs::read_dir(root.join("crates/balance/src/balancer")).unwrap() {
--- a/crates/balance/tests/replay.rs
+++ b/crates/balance/tests/replay.rs
@@ -1,5 +1,5 @@
-//! The same events have to give the same actions, whatever is moved about inside the module. The digests were taken
-//! from the module when it was still one file; a change of behaviour that is meant takes new ones.
+//! Replays of random events: guards against unintended changes of decisions by comparing digests of all
+//! actions. An intended change of behaviour needs new digests.
 
 mod common;
 use common::MS;
@@ -9,7 +9,7 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
 
-/// All that a balancer did, folded into one number.
+/// A digest of a balancer's actions.
 struct Digest(u64);
 
 impl Digest {
@@ -20,7 +20,9 @@
     fn action(&mut self, action: &Action) {
         match action {
             Action::Send { request, server, timeout } => {
-                [1, u64::from(*request), number(*server), *timeout].into_iter().for_each(|w| self.add(w));
+                [1, u64::from(*request), server_number(*server), *timeout]
+                    .into_iter()
+                    .for_each(|w| self.add(w));
             }
             Action::Refuse { request, retry_after, .. } => {
                 [2, u64::from(*request), *retry_after].into_iter().for_each(|w| self.add(w));
@@ -34,22 +36,22 @@
             }
             Action::Subscribe => self.add(6),
             Action::FetchList => self.add(7),
-            // Its wording is free.
+            // Log texts may change.
             Action::Log { .. } => {}
             Action::Probe { .. } | Action::SendMessage { .. } => self.add(8),
         }
     }
 }
 
-fn id(k: u64) -> ServerId {
-    ServerId(k)
+fn server_id(number: u64) -> ServerId {
+    ServerId(number)
 }
 
-fn number(id: ServerId) -> u64 {
+fn server_number(id: ServerId) -> u64 {
     id.0
 }
 
-fn settings(zones_known: bool) -> Settings {
+fn settings(has_pushed_list: bool) -> Settings {
     let class = |effect, group, aim: u64, give_up: u64, worth| Class {
         aim: aim * MS,
         give_up: give_up * MS,
@@ -69,20 +71,21 @@
         tenant_quota: vec![150.0, 60.0].into(),
         over_share_worth: 0.05,
         second_copies: true,
-        must_subscribe: !zones_known,
+        must_subscribe: !has_pushed_list,
         group_size: 3,
         ordinal: 1,
         cold_from: 0.14,
         ramp: 23_000 * MS,
         overload_window: 2_000 * MS,
-        warm_keys: !zones_known,
+        warm_keys: !has_pushed_list,
         ..Settings::single_class(MS, MS)
     }
 }
 
-/// A fleet of `servers` that answers, errs, resets, falls silent, drains and comes back cold, as the seed says. Every so
-/// many requests the settings are taken over anew, as they are.
-fn history(seed: u64, servers: u64, requests: u32, retuned: Option<u32>) -> (u64, [u32; 4]) {
+/// Replays random requests to servers that answer, fail, time out, drain and restart, as the seed determines.
+/// Updates the settings to equal ones every `update_interval` requests. Returns the digest of all actions,
+/// and how many of them were sends, refusals, failures and cancellations.
+fn replay(seed: u64, servers: u64, requests: u32, update_interval: Option<u32>) -> (u64, [u32; 4]) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let mut balancer = Balancer::new(settings(seed.is_multiple_of(2)), seed).unwrap();
     let mut digest = Digest(seed);
@@ -91,7 +94,7 @@
     let mut attempts: BTreeMap<RequestId, u8> = BTreeMap::new();
     let (mut now, mut serial) = (1_000_000 * MS, 0);
     let entry = |k: u64, phase, started_at| Server {
-        id: id(k << 16 | 80),
+        id: server_id(k << 16 | 80),
         zone: (k % 3) as u8,
         kind: 0,
         cell: 0,
@@ -104,9 +107,9 @@
     let mut left = requests;
     let mut next_request = now;
     while left > 0 || !due.is_empty() {
-        let coming =
+        let next_due =
             due.first_key_value().map(|((at, _), _)| *at).filter(|at| left == 0 || *at <= next_request);
-        let event = match coming {
+        let event = match next_due {
             Some(at) => {
                 now = at;
                 due.pop_first().unwrap().1
@@ -127,9 +130,9 @@
                 };
                 if left.is_multiple_of(50) {
                     let k = (u64::from(rng.next_u32()) % servers) as usize;
-                    let back = list[k].phase != Phase::Ready;
-                    list[k].phase = if back { Phase::Ready } else { Phase::Draining };
-                    if back {
+                    let is_back = list[k].phase != Phase::Ready;
+                    list[k].phase = if is_back { Phase::Ready } else { Phase::Draining };
+                    if is_back {
                         list[k].started_at = now;
                     }
                     let changes = Event::List { kind: ListKind::Changes, servers: vec![list[k]] };
@@ -146,11 +149,13 @@
                 Event::Request(request)
             }
         };
-        if retuned.is_some_and(|every| matches!(event, Event::Request(_)) && left.is_multiple_of(every)) {
+        if update_interval
+            .is_some_and(|interval| matches!(event, Event::Request(_)) && left.is_multiple_of(interval))
+        {
             let predecessors = [Some(0), Some(1), Some(2)];
-            let places =
+            let class_indices =
                 balancer.update_settings(now, settings(seed.is_multiple_of(2)), &predecessors).unwrap();
-            assert_eq!(places, [0, 1, 2]);
+            assert_eq!(class_indices, [0, 1, 2]);
         }
         let mut actions = Vec::new();
         balancer.handle(now, event, &mut actions);
@@ -160,11 +165,11 @@
             match *action {
                 Action::Send { request, server, .. } => {
                     counts[0] += 1;
-                    let n = attempts.entry(request).or_default();
-                    let attempt = *n;
-                    *n += 1;
+                    let sent_count = attempts.entry(request).or_default();
+                    let attempt = *sent_count;
+                    *sent_count += 1;
                     let draw = rng.next_u32();
-                    let slow = if number(server) >> 16 == 2 { 5 } else { 1 };
+                    let slowdown = if server_number(server) >> 16 == 2 { 5 } else { 1 };
                     let (ending, took) = match draw % 90 {
                         0 => (Ending::Error, 3),
                         1 => (Ending::Reset, 20),
@@ -172,7 +177,7 @@
                         3 => (Ending::ConnectFailed, 1),
                         4 => (Ending::TimedOut, 600),
                         5 => (Ending::Rejected, 8),
-                        _ => (Ending::Ok, (5 + u64::from(draw >> 8) % 60) * slow),
+                        _ => (Ending::Ok, (5 + u64::from(draw >> 8) % 60) * slowdown),
                     };
                     let (took, finished) = (took * MS, ending == Ending::Ok);
                     let outcome = Event::Outcome {
@@ -201,27 +206,27 @@
 }
 
 #[test]
-fn the_same_events_give_the_same_actions() {
+fn actions_match_their_digests() {
     let cases = [(1, 30, 4_000), (2, 90, 6_000), (3, 200, 4_000), (4, 400, 4_000)];
-    let seen = cases.map(|(seed, servers, requests)| history(seed, servers, requests, None));
+    let results = cases.map(|(seed, servers, requests)| replay(seed, servers, requests, None));
     for kind in 0..4 {
         assert!(
-            seen.iter().map(|(_, counts)| counts[kind]).sum::<u32>() > 20,
-            "kind {kind} of action: {seen:?}"
+            results.iter().map(|(_, counts)| counts[kind]).sum::<u32>() > 20,
+            "kind {kind} of action: {results:?}"
         );
     }
-    assert_eq!(seen.map(|(digest, _)| digest), DIGESTS, "{seen:?}");
+    assert_eq!(results.map(|(digest, _)| digest), DIGESTS, "{results:?}");
 }
 
-/// Settings that change nothing, taken over in the middle of everything, change no decision.
+/// Updates to equal settings change no decision.
 #[test]
-fn settings_that_stay_change_no_decision() {
-    for (seed, servers, requests, every) in [(1, 30, 4_000, 7), (2, 90, 6_000, 1), (3, 200, 4_000, 150)] {
-        let plain = history(seed, servers, requests, None);
+fn updates_to_equal_settings_change_no_decision() {
+    for (seed, servers, requests, interval) in [(1, 30, 4_000, 7), (2, 90, 6_000, 1), (3, 200, 4_000, 150)] {
+        let expected = replay(seed, servers, requests, None);
         assert_eq!(
-            history(seed, servers, requests, Some(every)),
-            plain,
-            "seed {seed}, each {every} requests"
+            replay(seed, servers, requests, Some(interval)),
+            expected,
+            "seed {seed}, every {interval} requests"
         );
     }
 }
--- a/crates/balance/tests/start_times.rs
+++ b/crates/balance/tests/start_times.rs
@@ -1,4 +1,4 @@
-//! Servers that start, announced by wall clocks that are right, ahead and behind.
+//! Start times that are announced by wall clocks that are right, ahead or behind.
 
 mod common;
 
@@ -6,36 +6,36 @@
 use corkhollow_balance::interface::*;
 use std::collections::VecDeque;
 
-/// A quarter of an hour: the clock of these tests begins at 1,000 s.
-const FAR: Nanos = 900_000 * MS;
-const STEP: Nanos = 10 * MS;
-const TOOK: Nanos = 200 * MS;
-const WARM: u8 = 4;
+/// A large clock error; the clock of these tests starts at 1,000 s.
+const LARGE_SKEW: Nanos = 900_000 * MS;
+const REQUEST_INTERVAL: Nanos = 10 * MS;
+const RESPONSE_TIME: Nanos = 200 * MS;
+const WARM_SERVERS: u8 = 4;
 
 fn warm_node() -> TestNode {
-    let mut test_node = TestNode::new(settings(Effect::Safe), servers(WARM), 4);
-    play(&mut test_node, 2_000 * MS);
+    let mut test_node = TestNode::new(settings(Effect::Safe), servers(WARM_SERVERS), 4);
+    run(&mut test_node, 2_000 * MS);
     test_node
 }
 
-/// Requests come each step for so long, and are answered so much later that all servers have some; the times of those that went to
-/// servers which are not among the warm ones.
-fn play(test_node: &mut TestNode, time: Nanos) -> Vec<(ServerId, Nanos)> {
+/// Sends requests for this long, which stay open long enough that all servers get some. Returns the servers
+/// and times of those that went to other servers than the warm ones.
+fn run(test_node: &mut TestNode, duration: Nanos) -> Vec<(ServerId, Nanos)> {
     let (start, mut sends, mut open) = (test_node.now, Vec::new(), VecDeque::new());
-    while test_node.now < start + time {
-        test_node.now += STEP;
+    while test_node.now < start + duration {
+        test_node.now += REQUEST_INTERVAL;
         while let Some((id, to, _)) = open.pop_front_if(|(_, _, due)| *due <= test_node.now) {
-            test_node.outcome(id, to, 0, TOOK, Ending::Ok);
+            test_node.outcome(id, to, 0, RESPONSE_TIME, Ending::Ok);
         }
         let (id, actions) = test_node.request();
         let Some(to) = sent(&actions, id) else { continue };
-        open.push_back((id, to, test_node.now + TOOK));
-        if to >= server(WARM) {
+        open.push_back((id, to, test_node.now + RESPONSE_TIME));
+        if to >= server(WARM_SERVERS) {
             sends.push((to, test_node.now - start));
         }
     }
     for (id, to, _) in open {
-        test_node.outcome(id, to, 0, TOOK, Ending::Ok);
+        test_node.outcome(id, to, 0, RESPONSE_TIME, Ending::Ok);
     }
     sends
 }
@@ -45,66 +45,63 @@
     test_node.balancer.observe_discovery(test_node.now);
 }
 
-/// However far the clock is off that dates a start: the server has started since discovery was observed without it, and gets what any
-/// other one gets at that age, until it is warm.
+/// A newly listed server has started since discovery was last observed without it, whatever its announced
+/// start, and gets the requests of a server of that age.
 #[test]
-fn a_start_that_a_list_newly_tells_is_dated_by_when_it_was_told() {
+fn a_new_start_is_bounded_by_when_it_was_listed() {
     let sends = |announced: fn(Nanos) -> Nanos| {
         let mut test_node = warm_node();
         test_node.balancer.observe_discovery(test_node.now);
         let now = test_node.now;
-        announce_start(&mut test_node, WARM, announced(now));
+        announce_start(&mut test_node, WARM_SERVERS, announced(now));
         // The ramp lasts 8 s.
-        play(&mut test_node, 12_000 * MS)
+        run(&mut test_node, 12_000 * MS)
     };
     let right = sends(|now| now);
-    assert!(right.len() > 100, "it is used: {}", right.len());
-    assert_eq!(sends(|now| now - FAR), right, "far behind");
+    assert!(right.len() > 100, "the server is used: {}", right.len());
+    assert_eq!(sends(|now| now - LARGE_SKEW), right, "far behind");
     assert_eq!(sends(|now| now - 3_000 * MS), right, "three seconds behind");
-    assert_eq!(sends(|now| now + FAR), right, "far ahead");
+    assert_eq!(sends(|now| now + LARGE_SKEW), right, "far ahead");
     assert_ne!(sends(|_| 0), right, "long ago");
 }
 
-/// A known server that starts anew is cold, also where its clock was set back meanwhile.
+/// A restarted server is cold, also if the clock that announces its start was set back.
 #[test]
-fn a_restart_is_one_whichever_way_its_clock_was_set() {
+fn a_restart_is_detected_after_clock_changes() {
     let sends = |announced: fn(Nanos) -> Nanos| {
         let mut test_node = warm_node();
         let long_ago = test_node.now - 60_000 * MS;
-        announce_start(&mut test_node, WARM, long_ago);
-        play(&mut test_node, 10_000 * MS);
+        announce_start(&mut test_node, WARM_SERVERS, long_ago);
+        run(&mut test_node, 10_000 * MS);
         test_node.balancer.observe_discovery(test_node.now);
         let now = test_node.now;
-        announce_start(&mut test_node, WARM, announced(now));
-        play(&mut test_node, 2_000 * MS).len()
+        announce_start(&mut test_node, WARM_SERVERS, announced(now));
+        run(&mut test_node, 2_000 * MS).len()
     };
-    let (right, behind) = (sends(|now| now), sends(|now| now - FAR));
+    let (right, behind) = (sends(|now| now), sends(|now| now - LARGE_SKEW));
     assert_eq!(behind, right);
-    assert!(
-        sends(|now| now - 75_000 * MS) == right,
-        "it is later by its own clock, and earlier than it was announced before"
-    );
+    assert!(sends(|now| now - 75_000 * MS) == right, "a start announced earlier than the previous one");
 }
 
-/// Nothing bounds the starts in the first list but the wall clocks. Where ours was ahead when the process started, two starts that are
-/// announced before they can have been show it, and the others are cold again.
+/// Only wall clocks date the starts in the first list. If this node's clock was ahead, two starts announced
+/// before they were possible show it, and the servers of the first list are cold again.
 #[test]
-fn a_first_list_is_dated_anew_once_our_clock_is_seen_to_be_ahead() {
-    let later = |announced: fn(Nanos) -> Nanos| {
-        let mut list = servers(WARM);
+fn starts_of_the_first_list_are_corrected_once_clock_skew_is_detected() {
+    let sends = |announced: fn(Nanos) -> Nanos| {
+        let mut list = servers(WARM_SERVERS);
         let start = 1_000_000 * MS;
-        list.push(Server { started_at: start - FAR, ..Server::warm(server(WARM)) });
+        list.push(Server { started_at: start - LARGE_SKEW, ..Server::warm(server(WARM_SERVERS)) });
         let mut test_node = TestNode::new(settings(Effect::Safe), list, 4);
         test_node.balancer.observe_discovery(test_node.now);
-        play(&mut test_node, 100 * MS);
+        run(&mut test_node, 100 * MS);
         for number in [20, 21] {
             test_node.balancer.observe_discovery(test_node.now);
             let at = announced(test_node.now);
             announce_start(&mut test_node, number, at);
         }
-        let of_first = |(to, _): &&(ServerId, Nanos)| *to == server(WARM);
-        play(&mut test_node, 1_000 * MS).iter().filter(of_first).count()
+        let is_first = |(to, _): &&(ServerId, Nanos)| *to == server(WARM_SERVERS);
+        run(&mut test_node, 1_000 * MS).iter().filter(is_first).count()
     };
-    let (right, ahead) = (later(|now| now), later(|now| now - FAR));
+    let (right, ahead) = (sends(|now| now), sends(|now| now - LARGE_SKEW));
     assert!(ahead * 2 < right, "{ahead} where our clock is ahead, {right} where it is right");
 }
