--- a/crates/balance/src/settings.rs
+++ b/crates/balance/src/settings.rs
@@ -34,7 +34,7 @@
     /// The value at a path.
     pub fn get<T: FromStr>(&self, key: &str) -> Result<T, String> {
         let text = self.text(key)?;
-        text.parse().map_err(|_| format!("`{key}` has the unreadable value `{text}`"))
+        text.parse().map_err(|_| format!("`{key}` has the invalid value `{text}`"))
     }
 
     fn get_or<T: FromStr>(&self, key: &str, default: T) -> Result<T, String> {
@@ -58,7 +58,7 @@
         if n < list_len {
             Ok(n)
         } else {
-            Err(format!("`{key}` is {n}, beyond its list of {list_len}"))
+            Err(format!("`{key}` is {n}, but its list has {list_len} entries"))
         }
     }
 }
