--- a/crates/corkhollow/src/commands/run.rs
+++ b/crates/corkhollow/src/commands/run.rs
@@ -286,7 +286,7 @@
     metrics.set_active_config(&site.plan.version.to_string(), None);
     let current = CurrentPlan::new(site.clone());
     let service = Rc::new(Service {
-        site: current.clone(),
+        current_plan: current.clone(),
         clock,
         budget: budget.clone(),
         lifecycle: control.clone(),
@@ -529,7 +529,7 @@
         current.get().pools.iter().for_each(|p| p.upstreams.close_expired_idle());
         if forgotten.elapsed() > FORGET {
             forgotten = tokio::time::Instant::now();
-            current.get().pools.iter().for_each(|p| p.engine.forget_idle());
+            current.get().pools.iter().for_each(|p| p.engine.forget_idle_tenants());
         }
     }
 }
