--- a/crates/proxy/src/http1/client_connection.rs
+++ b/crates/proxy/src/http1/client_connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a client: what is known of it, and its end.
+//! State of one client connection, and requests to close it.
 
 use super::close_policy::{should_close, CloseLimits, CloseReason, ConnectionState, RequestStage};
 use crate::socket::Socket;
@@ -16,92 +16,83 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-/// What has waited whole in the backlog is read within this from when its connection is accepted.
+/// A request that arrived complete while its connection was in the backlog is read within this time after accept.
 const BACKLOG_READ_WINDOW: Duration = Duration::from_millis(100);
 
-/// A connection as it was accepted.
+/// A connection just accepted from a listener.
 pub(super) struct AcceptedConnection {
-    /// Its number in this process.
+    /// Number unique in this process.
     pub(super) number: u64,
-    /// Its stream.
     pub(super) stream: TcpStream,
-    /// The other end.
     pub(super) peer: SocketAddr,
-    /// The name of the listener that it came to.
     pub(super) listener_name: Rc<str>,
-    /// How long it may have waited in the backlog.
+    /// Upper bound on the time that the connection spent in the backlog.
     pub(super) backlog_wait: Duration,
-    /// It came when there was no place left.
+    /// Whether the connection limit was reached when it was accepted.
     pub(super) over_limit: bool,
 }
 
-/// One connection.
+/// State of one client connection, shared by the task that serves it and by the code that closes it.
 pub(super) struct ClientConnection {
-    /// Its number in this process.
+    /// Number unique in this process.
     pub(super) number: u64,
     pub(super) socket: Rc<Socket>,
-    /// The other end.
     pub(super) peer: SocketAddr,
-    /// Its address without the port, as a header says it.
+    /// The peer's IP address, for `X-Forwarded-For`.
     pub(super) address: HeaderValue,
-    /// The name of the listener that it came to.
     pub(super) listener_name: Rc<str>,
     pub(super) stage: Cell<RequestStage>,
     pub(super) idle_since: Cell<Nanos>,
-    /// When it connected, until its first request is there.
+    /// When the connection was accepted; `None` once its first request head has been read.
     pub(super) awaiting_first_request_since: Cell<Option<Instant>>,
     pub(super) last_progress_at: Cell<Nanos>,
-    /// How long its first request may have waited in the backlog, and until when it counts as one that did.
+    /// Upper bound on the time that the connection spent in the backlog; zero once its first request has begun.
     pub(super) backlog_wait: Cell<Duration>,
+    /// A request that is complete before this instant may have waited in the backlog.
     pub(super) backlog_wait_until: Instant,
-    /// How long the request under way may have waited there; nothing for all but the first.
+    /// Upper bound on the time that the current request spent in the backlog; zero for all but the first.
     pub(super) request_backlog_wait: Cell<Duration>,
-    /// It came when there was no room left: it is only answered 503.
+    /// The connection was accepted beyond the connection limit: its request is answered 503.
     pub(super) over_limit: bool,
-    /// Why it is about to be closed.
+    /// Reason of a close that was requested and has not been carried out.
     pub(super) pending_close: Cell<Option<CloseReason>>,
-    /// The next answer is its last.
+    /// The connection is closed after the current or next answer.
     pub(super) close_after_answer: Cell<bool>,
-    /// All of the request under way is here.
+    /// The last byte of the current request has been received.
     pub(super) request_complete: Cell<bool>,
-    /// How long the body of the request under way is, where that is known.
+    /// Length of the current request's body in bytes, if known.
     pub(super) request_body_length: Cell<Option<u64>>,
-    /// The last answer may have left some of its request unread.
+    /// The connection closes with part of a request possibly unread, so the close must linger.
     pub(super) request_left_unread: Cell<bool>,
+    /// Wakes the serving task when a close is requested.
     pub(super) close_signal: Notify,
-    /// The request under way, once its class is known.
+    /// Counts the current request; `None` until its class is known.
     pub(super) tracker: RefCell<Option<RequestTracker>>,
-    /// The rest of a body that was passed on in part and is not wanted any longer.
+    /// Remainder of a request body that was forwarded in part and is no longer wanted by any attempt.
     pub(super) unread_body: RefCell<Option<Incoming>>,
+    /// Holds the connection's place in the budget.
     pub(super) _slot: Slot,
 }
 
 impl ClientConnection {
-    /// A connection that has just been accepted.
+    /// Wraps an accepted connection; `now` is the start of its idle time.
     pub(super) fn new(connection: AcceptedConnection, now: Nanos, slot: Slot) -> Rc<Self> {
-        let AcceptedConnection {
-            number,
-            stream,
-            peer,
-            listener_name: listener,
-            backlog_wait: waited,
-            over_limit: surplus,
-        } = connection;
+        let AcceptedConnection { number, stream, peer, listener_name, backlog_wait, over_limit } = connection;
         let address = HeaderValue::try_from(peer.ip().to_string());
         Rc::new(ClientConnection {
             number,
             socket: Socket::new(stream),
             peer,
             address: address.unwrap_or(HeaderValue::from_static("unknown")),
-            listener_name: listener,
+            listener_name,
             stage: Cell::new(RequestStage::Idle),
             idle_since: Cell::new(now),
             awaiting_first_request_since: Cell::new(Some(Instant::now())),
             last_progress_at: Cell::new(now),
-            backlog_wait: Cell::new(waited),
+            backlog_wait: Cell::new(backlog_wait),
             backlog_wait_until: Instant::now() + BACKLOG_READ_WINDOW,
             request_backlog_wait: Cell::default(),
-            over_limit: surplus,
+            over_limit,
             pending_close: Cell::new(None),
             close_after_answer: Cell::new(false),
             request_complete: Cell::new(false),
@@ -114,11 +105,11 @@
         })
     }
 
-    /// What a decision on its end goes by, as of now.
+    /// Snapshot for a close decision at `now`.
     pub(super) fn state(&self, now: Nanos) -> ConnectionState {
-        let since = |at: Option<Instant>| at.map(|at| at.elapsed());
+        let since = |instant: Option<Instant>| instant.map(|instant| instant.elapsed());
         let stage = match self.stage.get() {
-            // Hyper has the end of the answer, and the client has not taken it.
+            // hyper has taken the whole answer but has not flushed it to the client.
             RequestStage::Idle if !self.socket.has_flushed() => RequestStage::WritingAnswer,
             stage => stage,
         };
@@ -130,21 +121,22 @@
         }
     }
 
-    /// Between requests, as far as has been read.
+    /// Whether no byte of a further request has been read.
     pub(super) fn is_between_requests(&self) -> bool {
         self.stage.get() == RequestStage::Idle && self.socket.first_byte_at.get().is_none()
     }
 
-    /// A request of this class is being read.
+    /// Starts counting the current request under this class.
     pub(super) fn track_request(&self, class: &ClassMetrics) {
-        let mut tally = RequestTracker::new(class.clone());
+        let mut tracker = RequestTracker::new(class.clone());
         if self.over_limit {
-            tally.mark_over_limit();
+            tracker.mark_over_limit();
         }
-        self.tracker.replace(Some(tally));
+        self.tracker.replace(Some(tracker));
     }
 
-    /// How long all of the request under way may have waited before it could be read. One whose last byte comes only now has not.
+    /// How long the current request, complete by now, may have waited in the backlog. Zero where its last byte came
+    /// after [`BACKLOG_READ_WINDOW`]: the client was still sending.
     pub(super) fn request_backlog_wait_nanos(&self) -> Nanos {
         match Instant::now() < self.backlog_wait_until {
             true => self.request_backlog_wait.get().as_nanos() as Nanos,
@@ -152,18 +144,17 @@
         }
     }
 
-    /// The last byte of the request has come.
+    /// Notes that the last byte of the current request has been received.
     pub(super) fn mark_request_received(&self, now: Nanos) {
         self.request_complete.set(true);
-        if let Some(tally) = &mut *self.tracker.borrow_mut() {
-            tally.mark_received(now);
+        if let Some(tracker) = &mut *self.tracker.borrow_mut() {
+            tracker.mark_received(now);
         }
     }
 
-    /// Ends when the client has left while its request, of which all is here, waits for its answer. One that has only ended
-    /// its sending has left too: it cannot be distinguished from one that has closed, and the protocol has both mean the same
-    /// where a node does it. On the platform, whose clients send one request at a time, what else they send must not
-    /// hide their end.
+    /// Completes when the client closes the connection while its complete request awaits an answer. A half-close counts
+    /// as leaving: it cannot be told from a full close. With `one_at_a_time` (no pipelining, as on the platform), surplus
+    /// bytes from the client are discarded so that they cannot hide the close behind them.
     pub(super) async fn client_left(&self, one_at_a_time: bool) {
         poll_fn(|cx| match self.stage.get() == RequestStage::AwaitingAnswer && self.request_complete.get() {
             true => self.socket.poll_peer_closed(cx, one_at_a_time.then_some(&self.close_after_answer)),
@@ -172,21 +163,22 @@
         .await
     }
 
-    /// Has the task that serves the connection close it; that task sleeps and has to be woken, or it holds its descriptor
-    /// until the client leaves.
+    /// Requests a close and wakes the task that serves the connection, which would otherwise keep the descriptor until
+    /// the client leaves.
     pub(super) fn request_close(&self, reason: CloseReason) {
         self.pending_close.set(Some(reason));
         self.close_signal.notify_one();
     }
 
-    /// Closes the connection for this reason where it may be closed; whether it is.
+    /// Requests a close for this reason if the connection's state allows it; returns whether it did.
     pub(super) fn close_if_allowed(&self, reason: CloseReason, now: Nanos, limits: &CloseLimits) -> bool {
-        // One that is closed behind its answer may still stall.
-        let chosen = self.pending_close.get().is_some() && reason != CloseReason::Stalled;
-        let closes = !chosen && should_close(reason, &self.state(now), limits, || !self.socket.is_quiet());
-        if closes {
+        // A connection that closes after its answer may still stall while writing it.
+        let already_closing = self.pending_close.get().is_some() && reason != CloseReason::Stalled;
+        let may_close =
+            !already_closing && should_close(reason, &self.state(now), limits, || !self.socket.is_quiet());
+        if may_close {
             self.request_close(reason);
         }
-        closes
+        may_close
     }
 }
--- a/crates/proxy/src/http1/client_connections.rs
+++ b/crates/proxy/src/http1/client_connections.rs
@@ -1,4 +1,4 @@
-//! Clients' connections: taken, watched, closed. What is asked on them is answered by the dialect of their listener.
+//! Accepts, supervises and closes client connections.
 
 use super::client_connection::{AcceptedConnection, ClientConnection};
 use super::close_policy::{decide_close, CloseDecision, CloseReason, RequestStage};
@@ -21,24 +21,27 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Notify;
 
-/// What a client still sends behind its last answer is read until it is silent for this long,
+/// A lingering close ends once the client has sent nothing for this long.
 const LINGER_SILENCE_TIMEOUT: Duration = Duration::from_millis(500);
-/// and no longer than this.
+/// A lingering close ends after this time at the latest.
 const MAX_LINGER: Duration = Duration::from_secs(5);
-/// The log tells of full tables this often at most.
+/// Shortest interval between log lines about the connection limit.
 const FULL_LOG_INTERVAL: Nanos = 5_000_000_000;
 
-/// All clients' connections; bounded by the budget.
+/// All client connections of a process; the budget bounds their number.
 pub struct ClientConnections {
     service: Rc<Service>,
+    /// Open connections by number.
     open: RefCell<HashMap<u64, Rc<ClientConnection>>>,
     next_number: Cell<u64>,
+    /// Signalled when a connection has ended.
     connection_closed: Notify,
+    /// When the connection limit was last logged.
     full_logged_at: Cell<Nanos>,
 }
 
 impl ClientConnections {
-    /// No connection yet.
+    /// Creates an empty set of connections.
     pub fn new(service: Rc<Service>) -> Rc<Self> {
         Rc::new(ClientConnections {
             service,
@@ -49,12 +52,12 @@
         })
     }
 
-    /// Accepts until told to stop, and then what the kernel has accepted for us by then.
-    pub async fn accept(self: Rc<Self>, name: Rc<str>, listener: TcpListener, stop: Rc<Notify>) {
+    /// Accepts connections until `stop` is notified, and then those left in the backlog.
+    pub async fn accept(self: Rc<Self>, listener_name: Rc<str>, listener: TcpListener, stop: Rc<Notify>) {
         let mut stop = pin!(stop.notified());
-        // Since when connections have waited in the backlog, as none could be accepted; none where it has been empty since.
+        // When accepting was first held up; `None` once the backlog has been empty since then.
         let blocked_since: Cell<Option<Instant>> = Cell::new(None);
-        let next = || {
+        let accept_next = || {
             poll_fn(|cx| {
                 let accepted = listener.poll_accept(cx);
                 if accepted.is_pending() {
@@ -63,7 +66,7 @@
                 accepted
             })
         };
-        let waited = || blocked_since.get().map_or(Duration::ZERO, |since| since.elapsed());
+        let backlog_wait = || blocked_since.get().map_or(Duration::ZERO, |since| since.elapsed());
         loop {
             while self.service.budget.clients_exhausted() {
                 blocked_since.set(blocked_since.get().or(Some(Instant::now())));
@@ -75,62 +78,70 @@
             }
             tokio::select! {
                 biased;
-                accepted = next() => match accepted {
-                    Ok((stream, peer)) => self.start_serving(&name, stream, peer, waited()),
+                accepted = accept_next() => match accepted {
+                    Ok((stream, peer)) => self.start_serving(&listener_name, stream, peer, backlog_wait()),
                     Err(error) if is_out_of_descriptors(&error) => {
                         blocked_since.set(blocked_since.get().or(Some(Instant::now())));
                         self.close_longest_idle();
                         tokio::time::sleep(Duration::from_millis(10)).await;
                     }
-                    // A client that left while it waited: nothing to do with the next one.
+                    // The client left while in the backlog; the next connection is not affected.
                     Err(_) => tokio::task::yield_now().await,
                 },
                 _ = &mut stop => break,
             }
         }
-        let waited = waited();
-        // The kernel itself is asked: a process that has stood still may not have been told of what waits there.
+        let backlog_wait = backlog_wait();
+        // Accept from the kernel directly: after a pause of the process, tokio may not yet know of waiting connections.
         let Ok(listener) = listener.into_std() else { return };
         while let Ok((stream, peer)) = listener.accept() {
             if let Ok(stream) = stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream)) {
-                self.start_serving(&name, stream, peer, waited);
+                self.start_serving(&listener_name, stream, peer, backlog_wait);
             }
         }
     }
 
-    /// Serves an accepted connection, which may have waited in the backlog for so long.
-    fn start_serving(self: &Rc<Self>, name: &Rc<str>, stream: TcpStream, peer: SocketAddr, waited: Duration) {
+    /// Starts a task that serves an accepted connection. `backlog_wait` is an upper bound on its time in the backlog.
+    fn start_serving(
+        self: &Rc<Self>,
+        listener_name: &Rc<str>,
+        stream: TcpStream,
+        peer: SocketAddr,
+        backlog_wait: Duration,
+    ) {
         let budget = &self.service.budget;
-        let surplus = budget.clients_full() && !self.close_longest_idle();
-        let id = self.next_number.get();
-        self.next_number.set(id + 1);
+        let over_limit = budget.clients_full() && !self.close_longest_idle();
+        let number = self.next_number.get();
+        self.next_number.set(number + 1);
         let connection = AcceptedConnection {
-            number: id,
+            number,
             stream,
             peer,
-            listener_name: name.clone(),
-            backlog_wait: waited,
-            over_limit: surplus,
+            listener_name: listener_name.clone(),
+            backlog_wait,
+            over_limit,
         };
         let client = ClientConnection::new(connection, self.service.clock.now(), budget.client());
-        self.open.borrow_mut().insert(id, client.clone());
+        self.open.borrow_mut().insert(number, client.clone());
         let clients = self.clone();
         tokio::task::spawn_local(async move {
             serve_connection(&clients.service, client).await;
-            clients.open.borrow_mut().remove(&id);
+            clients.open.borrow_mut().remove(&number);
             clients.connection_closed.notify_one();
         });
     }
 
+    /// Requests a close of the connection that has been idle longest; returns whether there was one to close.
     fn close_longest_idle(&self) -> bool {
         let (now, limits) = (self.service.clock.now(), self.service.close_limits());
         let open = self.open.borrow();
-        let mut idle: Vec<_> = open.values().filter(|c| c.stage.get() == RequestStage::Idle).collect();
-        idle.sort_unstable_by_key(|c| c.idle_since.get());
+        let mut idle: Vec<_> =
+            open.values().filter(|client| client.stage.get() == RequestStage::Idle).collect();
+        idle.sort_unstable_by_key(|client| client.idle_since.get());
         idle.into_iter().any(|client| client.close_if_allowed(CloseReason::MakeRoom, now, &limits))
     }
 
-    /// Says what the connections are doing that leave no room, now and then.
+    /// Logs what the open connections are doing, at most once per [`FULL_LOG_INTERVAL`].
     fn log_full(&self) {
         let now = self.service.clock.now();
         if now.saturating_sub(self.full_logged_at.get()) < FULL_LOG_INTERVAL {
@@ -138,10 +149,11 @@
         }
         self.full_logged_at.set(now);
         let open = self.open.borrow();
-        let count = |stage| open.values().filter(|c| c.stage.get() == stage).count();
-        let idle = open.values().filter(|c| c.is_between_requests()).count();
+        let count = |stage| open.values().filter(|client| client.stage.get() == stage).count();
+        let idle = open.values().filter(|client| client.is_between_requests()).count();
         log(format_args!(
-            "no room for clients: {} open, {idle} idle, {} in a head, {} in a body, {} waiting, {} being answered",
+            "client connection limit reached: {} open, {idle} idle, {} reading a head, {} reading a body, \
+             {} awaiting an answer, {} writing an answer",
             open.len(),
             count(RequestStage::Idle) - idle,
             count(RequestStage::ReadingBody),
@@ -150,7 +162,7 @@
         ));
     }
 
-    /// Closes each connection for which this is a reason now.
+    /// Requests a close of each connection to which this reason applies now.
     fn close_for_reason(&self, reason: CloseReason) {
         let (now, limits) = (self.service.clock.now(), self.service.close_limits());
         for client in self.open.borrow().values() {
@@ -158,12 +170,12 @@
         }
     }
 
-    /// Cuts off those that have been at their head for too long, or have never begun one.
+    /// Closes connections whose request head has not arrived within the header timeout.
     pub fn close_slow_heads(&self) {
         self.close_for_reason(CloseReason::SlowHead);
     }
 
-    /// Once a second: closes what stands still. No client may hold a descriptor for good.
+    /// Closes idle and stalled connections, so that no client holds a descriptor forever. Called once a second.
     pub fn close_idle_and_stalled(&self) {
         let now = self.service.clock.now();
         for client in self.open.borrow().values() {
@@ -176,14 +188,15 @@
         self.close_for_reason(CloseReason::Stalled);
     }
 
-    /// Closes connections that came to a listener that is no more, each when it is between requests.
-    pub fn close_listener(&self, name: &str) {
+    /// Closes the connections of a removed listener, each once its current request is answered.
+    pub fn close_listener(&self, listener_name: &str) {
         let open = self.open.borrow();
-        let of_listener = open.values().filter(|client| &*client.listener_name == name);
-        of_listener.for_each(|client| client.request_close(CloseReason::ListenerRemoved));
+        let connections = open.values().filter(|client| &*client.listener_name == listener_name);
+        connections.for_each(|client| client.request_close(CloseReason::ListenerRemoved));
     }
 
-    /// Closes all connections that have been between requests since this time; the number of those that are left.
+    /// Requests a close of all connections that have been idle since `before` or longer; returns how many connections
+    /// are still open.
     pub fn close_idle(&self, before: Nanos) -> usize {
         let (now, limits) = (self.service.clock.now(), self.service.close_limits());
         let open = self.open.borrow();
@@ -194,34 +207,35 @@
     }
 }
 
+/// Serves one connection until it is closed, by the client or by the node, and records why.
 async fn serve_connection(service: &Rc<Service>, client: Rc<ClientConnection>) {
     let mut builder = http1::Builder::new();
     builder
         .max_buf_size(service.current_plan.get().plan.limits.read_buffer())
         .timer(hyper_util::rt::TokioTimer::new())
         .header_read_timeout(None);
-    let answering = service_fn(|request| respond(service, &client, request));
+    let handler = service_fn(|request| respond(service, &client, request));
     let io = TokioIo::new(SocketIo(client.socket.clone()));
-    let mut connection = pin!(builder.serve_connection(io, answering));
-    let site = service.current_plan.get();
-    let told = site.plan.listeners.iter().find(|l| *l.name == *client.listener_name);
-    let one_at_a_time = told.is_some_and(|l| l.dialect == Dialect::Platform);
-    drop(site);
+    let mut connection = pin!(builder.serve_connection(io, handler));
+    let active_plan = service.current_plan.get();
+    let listener = active_plan.plan.listeners.iter().find(|l| *l.name == *client.listener_name);
+    let one_at_a_time = listener.is_some_and(|l| l.dialect == Dialect::Platform);
+    drop(active_plan);
     loop {
         tokio::select! {
             biased;
-            // What goes wrong here is the client's: it has gone, or was told 400.
+            // An error here is the client's: it left, or its request was malformed and answered 400.
             ended = connection.as_mut() => {
-                let unreadable = ended.is_err_and(|error| error.is_parse());
-                client.request_left_unread.set(unreadable || client.request_left_unread.get());
+                let malformed = ended.is_err_and(|error| error.is_parse());
+                client.request_left_unread.set(malformed || client.request_left_unread.get());
                 break;
             }
             () = client.client_left(one_at_a_time) => return service.record_close(&client, "client-left", false),
             _ = client.close_signal.notified() => {
                 let Some(reason) = client.pending_close.get() else { continue };
-                let unread = || !client.socket.is_quiet();
+                let has_unread = || !client.socket.is_quiet();
                 let state = client.state(service.clock.now());
-                match decide_close(reason, &state, &service.close_limits(), unread) {
+                match decide_close(reason, &state, &service.close_limits(), has_unread) {
                     CloseDecision::Keep => client.pending_close.set(None),
                     CloseDecision::CloseAfterNextAnswer => {
                         client.pending_close.set(None);
--- a/crates/proxy/src/http1/close_policy.rs
+++ b/crates/proxy/src/http1/close_policy.rs
@@ -1,40 +1,40 @@
-//! Whether a client's connection may be closed now, in one place. It is asked when a close is chosen and again when it is carried out:
-//! between the two, bytes may have come.
+//! Decides whether a client's connection may be closed. The decision is made once when a close is requested and again
+//! when it is carried out, because bytes may arrive in between.
 
 use std::time::Duration;
 
-/// How far the request under way on a connection is.
+/// Progress of the current request on a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestStage {
-    /// Between requests, or in a head.
+    /// Between requests, or reading a request head.
     Idle,
-    /// In a body.
+    /// The head has been read; the body is being read.
     ReadingBody,
-    /// The request is with the service, whose deadline bounds it.
+    /// The request has been submitted; its deadline bounds how long this takes.
     AwaitingAnswer,
-    /// The answer is on its way.
+    /// The answer is being written to the client.
     WritingAnswer,
 }
 
 /// Why the node closes a client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// It has stood idle for too long.
+    /// No request came within the idle timeout.
     IdleTimeout,
-    /// A new connection needs its place.
+    /// The connection limit is reached and a new connection needs the slot.
     MakeRoom,
-    /// The node drains or ends.
+    /// The node drains or shuts down.
     Draining,
-    /// Its listener has been removed.
+    /// The listener was removed from the configuration.
     ListenerRemoved,
-    /// A head has not come in time, or none has begun.
+    /// A request head did not arrive within the header timeout.
     SlowHead,
-    /// A body or an answer does not move.
+    /// A request or its answer made no progress within the stall timeout.
     Stalled,
 }
 
 impl CloseReason {
-    /// Its name in metrics and events.
+    /// The reason's name in metrics and events.
     pub fn name(self) -> &'static str {
         match self {
             CloseReason::IdleTimeout => "idle-timeout",
@@ -47,62 +47,64 @@
     }
 }
 
-/// What a decision on a connection needs to know of it, as of now.
+/// Snapshot of a connection on which a close is decided.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionState {
-    /// How far its request is.
+    /// Progress of the current request.
     pub stage: RequestStage,
-    /// How long ago the first byte of the request under way came.
+    /// Time since the first byte of the current request; `None` if no byte has come.
     pub since_first_byte: Option<Duration>,
-    /// How long ago it was accepted, where nothing has come on it since.
+    /// Time since the connection was accepted; `None` once a first request head has been read.
     pub since_accept: Option<Duration>,
-    /// How long nothing has moved on it.
+    /// Time since bytes last moved in either direction, as of the last periodic check.
     pub since_progress: Duration,
 }
 
 impl ConnectionState {
-    /// Between requests, as far as has been read.
+    /// Whether no byte of a further request has been read.
     pub fn is_between_requests(&self) -> bool {
         self.stage == RequestStage::Idle && self.since_first_byte.is_none()
     }
 }
 
-/// How long a connection may take.
+/// Timeouts of a client's connection.
 #[derive(Clone, Copy, Debug)]
 pub struct CloseLimits {
-    /// For a head.
+    /// Longest time to receive a request head.
     pub header_timeout: Duration,
-    /// Between requests.
+    /// Longest time between requests.
     pub idle_timeout: Duration,
-    /// Without anything moving in a request or an answer.
+    /// Longest time without progress of a request or its answer.
     pub stall_timeout: Duration,
 }
 
-/// What is done with a connection.
+/// How a requested close is carried out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseDecision {
-    /// Nothing: the reason is gone.
+    /// The connection stays open: the reason no longer holds.
     Keep,
-    /// It is closed once the request under way, if there is one, is answered.
+    /// Close once the current request, if any, is answered.
     CloseGracefully,
-    /// A request is coming: it is answered, and the connection closed behind it.
+    /// A request has begun to arrive: answer it, then close.
     CloseAfterNextAnswer,
-    /// It is closed at once, whatever is under way.
+    /// Close at once, abandoning any current request.
     Abort,
 }
 
-/// Whether a connection is to be closed for this reason, as far as is known when the close is chosen. `has_unread` asks the kernel
-/// whether it has bytes or an end that have not been read; it is asked only where that counts.
+/// Whether a close for this reason may be requested now. `has_unread` asks the kernel whether bytes or an end of
+/// stream wait to be read; it costs a system call and is called only when the answer matters.
 pub fn should_close(
     reason: CloseReason,
     state: &ConnectionState,
     limits: &CloseLimits,
     has_unread: impl FnOnce() -> bool,
 ) -> bool {
-    let idle = state.is_between_requests();
+    let between_requests = state.is_between_requests();
     match reason {
-        CloseReason::MakeRoom | CloseReason::Draining => idle && !has_unread(),
-        CloseReason::IdleTimeout => idle && state.since_progress >= limits.idle_timeout && !has_unread(),
+        CloseReason::MakeRoom | CloseReason::Draining => between_requests && !has_unread(),
+        CloseReason::IdleTimeout => {
+            between_requests && state.since_progress >= limits.idle_timeout && !has_unread()
+        }
         CloseReason::ListenerRemoved => true,
         CloseReason::SlowHead => {
             let elapsed = state.since_first_byte.or(state.since_accept);
@@ -111,16 +113,16 @@
             timed_out && !has_unread()
         }
         CloseReason::Stalled => {
-            let stalled = !idle && state.since_progress >= limits.stall_timeout;
-            // Behind a request, what a client sends is not read: it is no progress of its answer.
+            let stalled = !between_requests && state.since_progress >= limits.stall_timeout;
+            // While an answer is awaited or written the socket is not read, so pending bytes are not progress.
             let reads_request = matches!(state.stage, RequestStage::Idle | RequestStage::ReadingBody);
             stalled && !(reads_request && has_unread())
         }
     }
 }
 
-/// How a close that was chosen is carried out, now that the connection is in this state: bytes may have come since, and what has begun
-/// with them is owed its answer.
+/// How to carry out a close that was requested earlier. A request whose first bytes have arrived since must still be
+/// answered.
 pub fn decide_close(
     reason: CloseReason,
     state: &ConnectionState,
@@ -137,7 +139,7 @@
         | CloseReason::MakeRoom
         | CloseReason::Draining
         | CloseReason::ListenerRemoved => match state.stage {
-            // A head that does not come to its end is cut like any other.
+            // If the rest of the head never comes, the header timeout closes the connection.
             RequestStage::Idle if !state.is_between_requests() || has_unread() => {
                 CloseDecision::CloseAfterNextAnswer
             }
--- a/crates/proxy/src/http1/general.rs
+++ b/crates/proxy/src/http1/general.rs
@@ -1,4 +1,4 @@
-//! Requests of any HTTP/1.1 client (RFC 9110, RFC 9112): routed, passed on, answered.
+//! Requests in standard HTTP/1.1 (RFC 9110, RFC 9112): routing, forwarding and error responses.
 
 use super::client_connection::ClientConnection;
 use super::close_policy::RequestStage;
@@ -28,16 +28,16 @@
 const X_FORWARDED_HOST: HeaderName = HeaderName::from_static("x-forwarded-host");
 const X_FORWARDED_PROTO: HeaderName = HeaderName::from_static("x-forwarded-proto");
 
-/// Why a request is answered by the program itself, in the words that the client gets.
+/// An error response made by the gateway itself (RFC 9457).
 struct Problem {
     status: StatusCode,
-    /// A word for machines.
+    /// Machine-readable name of the error.
     reason: &'static str,
-    /// A sentence for people.
+    /// Human-readable explanation.
     detail: Cow<'static, str>,
     retry_after: Option<Nanos>,
     allow: Option<HeaderValue>,
-    /// Nothing more is read on the connection.
+    /// Whether the connection is closed after the response.
     close: bool,
 }
 
@@ -46,13 +46,13 @@
         Problem { status, reason, detail: detail.into(), retry_after: None, allow: None, close: false }
     }
 
-    /// What cannot be read without doubt: nothing behind it can be, either.
+    /// A request that cannot be parsed unambiguously. The connection closes: the start of the next request is unknown.
     fn malformed(detail: impl Into<Cow<'static, str>>) -> Self {
         Problem { close: true, ..Problem::new(StatusCode::BAD_REQUEST, "unreadable", detail) }
     }
 
-    /// The answer, with a body as RFC 9457 has it.
-    fn response(self) -> Response<AnswerBody> {
+    /// Converts to a response with an `application/problem+json` body.
+    fn into_response(self) -> Response<AnswerBody> {
         let body = serde_json::json!({
             "type": "about:blank",
             "status": self.status.as_u16(),
@@ -64,8 +64,8 @@
         *response.status_mut() = self.status;
         let headers = response.headers_mut();
         headers.insert(header::CONTENT_TYPE, HeaderValue::from_static("application/problem+json"));
-        if let Some(wait) = self.retry_after.filter(|w| *w > 0) {
-            // Whole seconds only (RFC 9110, 10.2.3).
+        if let Some(wait) = self.retry_after.filter(|nanos| *nanos > 0) {
+            // `Retry-After` takes whole seconds only (RFC 9110, 10.2.3).
             headers.insert(header::RETRY_AFTER, HeaderValue::from(wait.div_ceil(1_000_000_000)));
         }
         if let Some(allow) = self.allow {
@@ -78,68 +78,70 @@
     }
 }
 
-/// Answers one request.
+/// Answers one request; `listener_index` is `None` if the listener was removed.
 pub(super) async fn answer_request(
     service: &Rc<Service>,
-    site: &ActivePlan,
+    active_plan: &ActivePlan,
     client: &Rc<ClientConnection>,
-    listener: Option<usize>,
+    listener_index: Option<usize>,
     request: Request<Incoming>,
 ) -> Response<AnswerBody> {
-    let head_only = request.method() == Method::HEAD;
-    let asked_for = !request.headers().contains_key(header::EXPECT);
+    let is_head_request = request.method() == Method::HEAD;
+    let sends_body_unasked = !request.headers().contains_key(header::EXPECT);
     let (head, body) = request.into_parts();
     let mut body = Some(body);
-    let mut response = match route_request(service, site, client, listener, head, &mut body).await {
-        Ok(response) => response,
-        Err(problem) => problem.response(),
-    };
-    // What is short is read; a client that waits to be asked for its body need not send it.
-    if let Some(rest) = body.filter(|body| !body.is_end_stream()) {
-        if !asked_for || !upload::discard_short_body(rest).await {
+    let mut response =
+        match route_request(service, active_plan, client, listener_index, head, &mut body).await {
+            Ok(response) => response,
+            Err(problem) => problem.into_response(),
+        };
+    // Discard a short unread body to keep the connection. A client that still awaits `100 Continue` may never send it.
+    if let Some(unread_body) = body.filter(|body| !body.is_end_stream()) {
+        if !sends_body_unasked || !upload::discard_short_body(unread_body).await {
             response = with_connection_close(response);
         }
     }
-    if head_only {
+    if is_head_request {
         if let AnswerBody::Text(text) = response.body_mut() {
-            let length = text.take().map_or(0, |t| t.len());
+            let length = text.take().map_or(0, |text| text.len());
             response.headers_mut().insert(header::CONTENT_LENGTH, HeaderValue::from(length));
         }
     }
     response
 }
 
+/// Routes one request and carries out the route's outcome. Takes the body out of `body` if it is read.
 async fn route_request(
     service: &Rc<Service>,
-    site: &ActivePlan,
+    active_plan: &ActivePlan,
     client: &Rc<ClientConnection>,
-    listener: Option<usize>,
+    listener_index: Option<usize>,
     head: Parts,
     body: &mut Option<Incoming>,
 ) -> Result<Response<AnswerBody>, Problem> {
-    let Some(at) = listener else {
+    let Some(listener_index) = listener_index else {
         let detail = "the listener has been taken away";
         return Err(Problem::new(StatusCode::SERVICE_UNAVAILABLE, "listener-gone", detail));
     };
-    let listener = &site.plan.listeners[at];
+    let listener = &active_plan.plan.listeners[listener_index];
     check_framing(&head, client)?;
     let authority = authority(&head)?;
-    let host =
-        Host::parse(authority.to_str().unwrap_or_default()).map_err(|e| Problem::malformed(e.to_string()))?;
+    let host = Host::parse(authority.to_str().unwrap_or_default())
+        .map_err(|error| Problem::malformed(error.to_string()))?;
     let path = match head.uri.path() {
         "*" if head.method == Method::OPTIONS => Cow::Borrowed("*"),
-        raw => normalise(raw, listener.paths).map_err(|e| Problem::malformed(e.to_string()))?,
+        raw => normalise(raw, listener.paths).map_err(|error| Problem::malformed(error.to_string()))?,
     };
     let target = Target {
-        listener: at,
+        listener: listener_index,
         host: host.as_str(),
         path: &path,
         query: head.uri.query(),
         method: &head.method,
         headers: &head.headers,
     };
-    let Some((_, route)) = site.plan.routes.find(&target) else {
-        return Err(no_route_problem(site, &target));
+    let Some((_, route)) = active_plan.plan.routes.find(&target) else {
+        return Err(no_route_problem(active_plan, &target));
     };
     match &route.outcome {
         Outcome::Answer { status, content_type, body } => {
@@ -158,29 +160,29 @@
             Ok(response)
         }
         Outcome::Forward { pool, rewrite } => {
-            let class = site.plan.class_of(route.class, &head.method);
-            client.track_request(&site.class_metrics[class]);
-            let sent = upstream_target(rewrite, &path, &head.uri)?;
-            let tenant = site.plan.tenants.number(head.headers.get(&site.plan.tenants.header));
+            let class = active_plan.plan.class_of(route.class, &head.method);
+            client.track_request(&active_plan.class_metrics[class]);
+            let upstream_path = upstream_target(rewrite, &path, &head.uri)?;
+            let tenant = active_plan.plan.tenants.number(head.headers.get(&active_plan.plan.tenants.header));
             let mut headers = head.headers;
-            let expects = expects_continue(&headers)?;
+            let awaits_continue = expects_continue(&headers)?;
             set_request_headers(&mut headers, listener, client, &authority, service);
             headers.insert(header::HOST, rewrite.host.clone().unwrap_or(authority));
             rewrite.request.apply(&mut headers);
-            let limits = &site.plan.limits;
-            let rules = upload::BodyLimits {
+            let limits = &active_plan.plan.limits;
+            let body_limits = upload::BodyLimits {
                 max_buffered_bytes: limits.replay_buffer,
                 max_bytes: u64::MAX,
                 stall_timeout: Duration::from_nanos(limits.stall_timeout),
                 min_pace: None,
                 forward_stall_timeout: Duration::from_nanos(limits.stall_timeout),
                 returns_unread: false,
-                awaits_continue: expects,
+                awaits_continue,
             };
             let Some(body) = body.take() else { return Err(Problem::malformed("no body")) };
-            let payload = upload::receive_body(body, &rules, &service.budget, service.clock, client)
+            let payload = upload::receive_body(body, &body_limits, &service.budget, service.clock, client)
                 .await
-                .map_err(|e| match e {
+                .map_err(|error| match error {
                     UploadError::TimedOut => {
                         let detail = "the body stood still for too long";
                         Problem {
@@ -193,50 +195,51 @@
                     }
                     UploadError::Incomplete => Problem::malformed("the body broke off or cannot be read"),
                 })?;
-            if let Payload::Buffered(pieces) = &payload {
-                if !headers.contains_key(header::CONTENT_LENGTH) && !pieces.is_empty() {
-                    headers.insert(header::CONTENT_LENGTH, HeaderValue::from(pieces.len()));
+            if let Payload::Buffered(body) = &payload {
+                if !headers.contains_key(header::CONTENT_LENGTH) && !body.is_empty() {
+                    headers.insert(header::CONTENT_LENGTH, HeaderValue::from(body.len()));
                 }
                 headers.remove(header::EXPECT);
             }
-            let (pool, places) = (&site.pools[*pool], &site.class_indexes[*pool]);
-            let give_up_at = service.clock.now() + site.plan.classes[class].class.give_up;
+            let (pool, class_indexes) = (&active_plan.pools[*pool], &active_plan.class_indexes[*pool]);
+            let deadline = service.clock.now() + active_plan.plan.classes[class].class.give_up;
             let request = interface::Request {
-                class: places[class],
+                class: class_indexes[class],
                 tenant: tenant.unwrap_or(u32::MAX),
                 is_write: !head.method.is_safe(),
                 has_streaming_body: matches!(payload, Payload::Stream(_)),
-                ..interface::Request::new(0, give_up_at)
+                ..interface::Request::new(0, deadline)
             };
-            let interims = (head.version == Version::HTTP_11).then(|| interim_handler(client, listener));
+            let interim_handler =
+                (head.version == Version::HTTP_11).then(|| interim_handler(client, listener));
             let message = Message {
                 method: head.method,
-                uri: Uri::from(sent),
+                uri: Uri::from(upstream_path),
                 headers,
                 payload,
-                deadline: give_up_at,
-                interim_handler: interims,
+                deadline,
+                interim_handler,
             };
             client.stage.set(RequestStage::AwaitingAnswer);
             if matches!(message.payload, Payload::Buffered(_)) {
                 client.mark_request_received(service.clock.now());
             }
-            let coming = message.upload().map(|upload| upload.progress.clone());
-            let Some(mut ticket) = pool.engine.submit(None, request, message) else {
+            let upload_progress = message.upload().map(|upload| upload.progress.clone());
+            let Some(mut pending_answer) = pool.engine.submit(None, request, message) else {
                 return Err(Problem::new(StatusCode::INTERNAL_SERVER_ERROR, "engine", "not taken"));
             };
-            let answer = ticket.answer().await;
-            let whole = coming.is_none_or(|progress| progress.ended_at.get().is_some());
+            let answer = pending_answer.answer().await;
+            let body_consumed = upload_progress.is_none_or(|progress| progress.ended_at.get().is_some());
             match client_response(answer, rewrite, listener) {
-                Ok(response) if whole => Ok(response),
+                Ok(response) if body_consumed => Ok(response),
                 Ok(response) => Ok(with_connection_close(response)),
-                Err(problem) => Err(Problem { close: problem.close || !whole, ..problem }),
+                Err(problem) => Err(Problem { close: problem.close || !body_consumed, ..problem }),
             }
         }
     }
 }
 
-/// Turns away what two readers could read in two ways, and what is not passed on at all.
+/// Rejects messages whose framing another parser could read differently (request smuggling), and `CONNECT`.
 fn check_framing(head: &Parts, client: &ClientConnection) -> Result<(), Problem> {
     if head.headers.contains_key(header::TRANSFER_ENCODING)
         && client.socket.head_contains("\ncontent-length:")
@@ -253,32 +256,33 @@
     Ok(())
 }
 
-/// What a server is asked for: as it came where nothing changes it.
+/// The request target sent to the server: unchanged unless normalisation or the route rewrites it.
 fn upstream_target(rewrite: &Rewrite, path: &str, uri: &Uri) -> Result<PathAndQuery, Problem> {
-    if let (None, Some(as_it_came)) = (&rewrite.path, uri.path_and_query()) {
-        // An absolute target may go without a path.
-        if as_it_came.path() == path && as_it_came.as_str().starts_with(['/', '*']) {
-            return Ok(as_it_came.clone());
+    if let (None, Some(original)) = (&rewrite.path, uri.path_and_query()) {
+        // A target in absolute form may have an empty path.
+        if original.path() == path && original.as_str().starts_with(['/', '*']) {
+            return Ok(original.clone());
         }
     }
     let target = rewrite.target(path, uri.query());
-    target.map_err(|e| Problem::new(StatusCode::INTERNAL_SERVER_ERROR, "rewrite", e.to_string()))
+    target.map_err(|error| Problem::new(StatusCode::INTERNAL_SERVER_ERROR, "rewrite", error.to_string()))
 }
 
-/// The host and port that the request names: those of an absolute target, else those of `Host` (RFC 9112, 3.2).
+/// Host and port of the request: those of an absolute-form target, else of `Host` (RFC 9112, 3.2).
 fn authority(head: &Parts) -> Result<HeaderValue, Problem> {
     let mut hosts = head.headers.get_all(header::HOST).into_iter();
     let (host, second) = (hosts.next(), hosts.next());
     if second.is_some() || (host.is_none() && head.version >= Version::HTTP_11) {
         return Err(Problem::malformed("one Host is needed"));
     }
-    let named = match head.uri.authority() {
+    let authority = match head.uri.authority() {
         Some(authority) => HeaderValue::try_from(authority.as_str()).ok(),
         None => Some(host.cloned().unwrap_or(HeaderValue::from_static(""))),
     };
-    named.filter(|h| h.to_str().is_ok()).ok_or_else(|| Problem::malformed("Host is no text"))
+    authority.filter(|host| host.to_str().is_ok()).ok_or_else(|| Problem::malformed("Host is no text"))
 }
 
+/// Whether the client awaits `100 Continue` before it sends the body.
 fn expects_continue(headers: &HeaderMap) -> Result<bool, Problem> {
     match headers.get(header::EXPECT) {
         None => Ok(false),
@@ -293,8 +297,9 @@
     }
 }
 
-fn no_route_problem(site: &ActivePlan, target: &Target<'_>) -> Problem {
-    let allowed = site.plan.routes.other_methods(target);
+/// 405 if a route matches with another method, else 404.
+fn no_route_problem(active_plan: &ActivePlan, target: &Target<'_>) -> Problem {
+    let allowed = active_plan.plan.routes.other_methods(target);
     if allowed.is_empty() {
         return Problem::new(StatusCode::NOT_FOUND, "no-route", "no route takes this request");
     }
@@ -303,7 +308,7 @@
     Problem { allow, ..Problem::new(StatusCode::METHOD_NOT_ALLOWED, "method", "not with this method") }
 }
 
-/// Puts the headers into the form in which a server gets them: none of the connection, and those that tell of it.
+/// Prepares headers for the server: removes hop-by-hop headers, adds forwarding headers, `Via` and a request id.
 fn set_request_headers(
     headers: &mut HeaderMap,
     listener: &Listener,
@@ -312,11 +317,17 @@
     service: &Service,
 ) {
     strip_hop_by_hop(headers);
-    let trust = listener.trust_forwarded;
+    let trust_previous = listener.trust_forwarded;
     if listener.x_forwarded {
-        set_forwarding_header(headers, X_FORWARDED_FOR, client.address.clone(), trust, true);
-        set_forwarding_header(headers, X_FORWARDED_HOST, authority.clone(), trust, false);
-        set_forwarding_header(headers, X_FORWARDED_PROTO, HeaderValue::from_static("http"), trust, false);
+        set_forwarding_header(headers, X_FORWARDED_FOR, client.address.clone(), trust_previous, true);
+        set_forwarding_header(headers, X_FORWARDED_HOST, authority.clone(), trust_previous, false);
+        set_forwarding_header(
+            headers,
+            X_FORWARDED_PROTO,
+            HeaderValue::from_static("http"),
+            trust_previous,
+            false,
+        );
     }
     if listener.forwarded {
         let node = match client.peer.ip() {
@@ -328,7 +339,7 @@
             _ => String::new(),
         };
         if let Ok(value) = HeaderValue::try_from(format!("for={node}{host};proto=http")) {
-            set_forwarding_header(headers, header::FORWARDED, value, trust, true);
+            set_forwarding_header(headers, header::FORWARDED, value, trust_previous, true);
         }
     }
     if let Some(via) = &listener.via {
@@ -342,22 +353,26 @@
     }
 }
 
-/// Says something of the client. What was said before stands only where it is trusted: before this in a list, in its
-/// place otherwise.
+/// Sets a forwarding header. If `trust_previous`, an existing value is kept: as the start of the list for a list header,
+/// in place of `value` otherwise.
 fn set_forwarding_header(
     headers: &mut HeaderMap,
     name: HeaderName,
     value: HeaderValue,
-    trust: bool,
-    list: bool,
+    trust_previous: bool,
+    is_list: bool,
 ) {
-    if trust {
-        let before = headers.get_all(&name).into_iter().filter_map(|v| v.to_str().ok());
-        let before = before.collect::<Vec<_>>().join(", ");
-        if !before.is_empty() {
-            let all = if list { format!("{before}, {}", value.to_str().unwrap_or_default()) } else { before };
-            if let Ok(all) = HeaderValue::try_from(all) {
-                headers.insert(name, all);
+    if trust_previous {
+        let previous = headers.get_all(&name).into_iter().filter_map(|v| v.to_str().ok());
+        let previous = previous.collect::<Vec<_>>().join(", ");
+        if !previous.is_empty() {
+            let combined = if is_list {
+                format!("{previous}, {}", value.to_str().unwrap_or_default())
+            } else {
+                previous
+            };
+            if let Ok(combined) = HeaderValue::try_from(combined) {
+                headers.insert(name, combined);
             }
             return;
         }
@@ -365,8 +380,8 @@
     headers.insert(name, value);
 }
 
-/// Passes interim answers on. The server side of hyper has no words for them: they are written beside it, which the
-/// socket allows between two messages only.
+/// Forwards interim (1xx) answers. hyper's server cannot send them, so they are written directly to the socket, which
+/// accepts them only between two messages.
 fn interim_handler(client: &Rc<ClientConnection>, listener: &Listener) -> InterimHandler {
     let (client, via) = (client.clone(), listener.via.clone());
     InterimHandler::new(move |status, mut headers| {
@@ -385,7 +400,7 @@
     })
 }
 
-/// What the client gets for what became of its request.
+/// Converts a request's answer to the response for the client.
 fn client_response(
     answer: Answer,
     rewrite: &Rewrite,
--- a/crates/proxy/src/http1/mod.rs
+++ b/crates/proxy/src/http1/mod.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 towards clients.
+//! HTTP/1.1 on the client side: connections, requests and answers.
 
 mod client_connection;
 mod client_connections;
--- a/crates/proxy/src/http1/platform.rs
+++ b/crates/proxy/src/http1/platform.rs
@@ -1,4 +1,4 @@
-//! Requests in the platform's dialect: its headers, whole bodies, and nothing served that a server could not use.
+//! Requests in the platform's HTTP dialect: its headers, its body limits and its error responses.
 
 use super::client_connection::ClientConnection;
 use super::close_policy::RequestStage;
@@ -19,31 +19,32 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A body may stand still for this long.
+/// Longest time between two frames of a request body.
 const BODY_STALL_TIMEOUT: Duration = Duration::from_millis(2200);
-/// A body that takes longer than this has to keep to the slowest pace, in bytes a second.
+/// A body that takes longer than this must arrive at [`MIN_BODY_BYTES_PER_SECOND`] or more.
 const BODY_PACE_GRACE: Duration = Duration::from_secs(20);
 const MIN_BODY_BYTES_PER_SECOND: u64 = 32_000;
-/// An answer that is decided on so long after its request's time has broken the rule on answers (the platform's slack is 500 ms).
+/// An answer decided this long after its request's deadline violates the platform's rule on late answers.
 const LATE_ANSWER_SLACK: Nanos = 500_000_000;
 
+/// Answers one request: checks its headers, receives its body and submits it to its pool.
 pub(super) async fn answer_request(
     service: &Rc<Service>,
-    site: &ActivePlan,
+    active_plan: &ActivePlan,
     client: &Rc<ClientConnection>,
     request: Request<Incoming>,
 ) -> Response<AnswerBody> {
     let (head, body) = request.into_parts();
     if head.uri.path() == "/up" && head.method == Method::GET {
-        let up = service.lifecycle.lock().is_ready();
-        return text_response(if up { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }, "");
+        let is_ready = service.lifecycle.lock().is_ready();
+        return text_response(if is_ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE }, "");
     }
     if head.headers.contains_key(header::TRANSFER_ENCODING)
         && client.socket.head_contains("\ncontent-length:")
     {
         return with_connection_close(text_response(StatusCode::BAD_REQUEST, "two lengths\n"));
     }
-    // The path goes on as it came, and is matched so.
+    // The path is matched and forwarded without normalisation.
     let target = Target {
         listener: 0,
         host: "",
@@ -52,31 +53,33 @@
         method: &head.method,
         headers: &head.headers,
     };
-    let Some((class, at)) = site.plan.routes.find(&target).and_then(|(_, route)| match route.outcome {
-        Outcome::Forward { pool, .. } => Some((route.class?, pool)),
-        _ => None,
-    }) else {
+    let Some((class, pool_index)) =
+        active_plan.plan.routes.find(&target).and_then(|(_, route)| match route.outcome {
+            Outcome::Forward { pool, .. } => Some((route.class?, pool)),
+            _ => None,
+        })
+    else {
         return with_connection_close(text_response(StatusCode::NOT_FOUND, "no such class of requests\n"));
     };
-    let (pool, settings) = (&site.pools[at], &site.plan.pools[at].settings);
-    client.track_request(&site.class_metrics[class]);
-    let rules = BodyLimits {
-        max_buffered_bytes: site.plan.limits.replay_buffer,
+    let (pool, settings) = (&active_plan.pools[pool_index], &active_plan.plan.pools[pool_index].settings);
+    client.track_request(&active_plan.class_metrics[class]);
+    let limits = BodyLimits {
+        max_buffered_bytes: active_plan.plan.limits.replay_buffer,
         max_bytes: MOST_BODY,
         stall_timeout: BODY_STALL_TIMEOUT,
         min_pace: Some(MinPace { grace: BODY_PACE_GRACE, bytes_per_second: MIN_BODY_BYTES_PER_SECOND }),
-        forward_stall_timeout: Duration::from_nanos(site.plan.limits.stall_timeout),
+        forward_stall_timeout: Duration::from_nanos(active_plan.plan.limits.stall_timeout),
         returns_unread: true,
         awaits_continue: false,
     };
     if client.over_limit {
-        // It is only told to come back, once it has sent all.
+        // Answer 503 with `Retry-After`, but only after reading the body, so that the client sees the answer.
         if body.size_hint().lower() <= MOST_BODY {
-            upload::discard_body(body, &rules).await;
+            upload::discard_body(body, &limits).await;
         }
         return with_connection_close(refusal_response(Nanos::MAX, settings));
     }
-    let payload = match upload::receive_body(body, &rules, &service.budget, service.clock, client).await {
+    let payload = match upload::receive_body(body, &limits, &service.budget, service.clock, client).await {
         Ok(payload) => payload,
         Err(UploadError::TooLarge) => {
             return with_connection_close(text_response(StatusCode::PAYLOAD_TOO_LARGE, "over 32 MiB\n"));
@@ -95,36 +98,36 @@
     strip_hop_by_hop(&mut headers);
     headers.remove(header::EXPECT);
     headers.remove(header::TRAILER);
-    // Servers know a request by its id, and take one that they have for a second copy.
+    // Servers use the id to deduplicate requests.
     let Some(id) = single_header(&headers, REQUEST_ID).filter(|id| !id.is_empty()).cloned() else {
         return with_connection_close(text_response(StatusCode::BAD_REQUEST, "one X-Request-ID is needed\n"));
     };
-    let longest = settings.classes[class].give_up;
-    // No client waits longer than its class: a longer figure would only hold memory.
-    let wait = match single_header(&headers, TIMEOUT_MS).map(|v| v.to_str().ok()?.trim().parse::<u64>().ok())
-    {
-        Some(Some(ms)) => ms.saturating_mul(1_000_000).min(longest),
-        None if !headers.contains_key(TIMEOUT_MS) => longest,
-        _ => {
-            return with_connection_close(text_response(
-                StatusCode::BAD_REQUEST,
-                "X-Timeout-Ms is no whole number\n",
-            ))
-        }
-    };
-    // A client's time runs while its connection waits to be accepted.
-    let wait = wait.saturating_sub(client.request_backlog_wait_nanos());
+    let max_time = settings.classes[class].give_up;
+    // A timeout longer than the class allows would only hold memory.
+    let time_left =
+        match single_header(&headers, TIMEOUT_MS).map(|v| v.to_str().ok()?.trim().parse::<u64>().ok()) {
+            Some(Some(ms)) => ms.saturating_mul(1_000_000).min(max_time),
+            None if !headers.contains_key(TIMEOUT_MS) => max_time,
+            _ => {
+                return with_connection_close(text_response(
+                    StatusCode::BAD_REQUEST,
+                    "X-Timeout-Ms is no whole number\n",
+                ))
+            }
+        };
+    // The client's timeout includes the time that its connection spent in the backlog.
+    let time_left = time_left.saturating_sub(client.request_backlog_wait_nanos());
     client.stage.set(RequestStage::AwaitingAnswer);
-    let whole_body = matches!(payload, Payload::Buffered(_));
-    if whole_body {
+    let is_buffered = matches!(payload, Payload::Buffered(_));
+    if is_buffered {
         client.mark_request_received(service.clock.now());
     }
     let now = service.clock.now();
-    let give_up_at = now + wait;
+    let deadline = now + time_left;
     let number = |name: &str| headers.get(name).and_then(|v| v.to_str().ok()?.trim().parse::<f64>().ok());
-    let tenant = site.plan.tenants.number(headers.get(&site.plan.tenants.header));
+    let tenant = active_plan.plan.tenants.number(headers.get(&active_plan.plan.tenants.header));
     let request = interface::Request {
-        class: site.class_indexes[at][class],
+        class: active_plan.class_indexes[pool_index][class],
         tenant: tenant.unwrap_or(u32::MAX),
         key: headers.get("x-route-key").map_or(0, |k| parse_route_key(k.as_bytes())),
         work_hint: number("x-cost").filter(|us| *us > 0.0).map(|us| (us * 1000.0) as Nanos),
@@ -133,7 +136,7 @@
             .get("x-attrs")
             .is_some_and(|v| v.to_str().unwrap_or_default().split(',').any(|a| a.trim() == "write=1")),
         has_streaming_body: matches!(payload, Payload::Stream(_)),
-        ..interface::Request::new(0, give_up_at)
+        ..interface::Request::new(0, deadline)
     };
     match &payload {
         Payload::Buffered(body) if !headers.contains_key(header::CONTENT_LENGTH) && !body.is_empty() => {
@@ -145,24 +148,23 @@
         Some(path) if head.uri.scheme().is_some() => Uri::from(path.clone()),
         _ => head.uri,
     };
-    let message =
-        Message { method: head.method, uri, headers, payload, deadline: give_up_at, interim_handler: None };
+    let message = Message { method: head.method, uri, headers, payload, deadline, interim_handler: None };
     pool.wait_for_servers().await;
-    let Some(mut ticket) = pool.engine.submit(Some(id), request, message) else {
+    let Some(mut pending_answer) = pool.engine.submit(Some(id), request, message) else {
         return with_connection_close(text_response(
             StatusCode::CONFLICT,
             "a request with this X-Request-ID is open\n",
         ));
     };
-    let answer = ticket.answer().await;
-    if whole_body && service.clock.now() > give_up_at + LATE_ANSWER_SLACK {
+    let answer = pending_answer.answer().await;
+    if is_buffered && service.clock.now() > deadline + LATE_ANSWER_SLACK {
         service.metrics.count_late_answer();
     }
-    // Nobody reads the body any longer, or somebody has read all of it.
-    drop(ticket);
-    let rest = client.unread_body.take();
-    let whole = match rest {
-        Some(rest) => upload::discard_body(rest, &rules).await,
+    // The body has been read to its end, or its unread remainder has been returned to the connection.
+    drop(pending_answer);
+    let unread_body = client.unread_body.take();
+    let body_consumed = match unread_body {
+        Some(unread_body) => upload::discard_body(unread_body, &limits).await,
         None => true,
     };
     let response = match answer {
@@ -178,19 +180,20 @@
         }
         Answer::Failed { timed_out: false } => text_response(StatusCode::BAD_GATEWAY, "failed\n"),
     };
-    if whole {
+    if body_consumed {
         response
     } else {
         with_connection_close(response)
     }
 }
 
-/// The value of a header that stands there just once: of two, the servers might go by the other one.
+/// The value of a header that occurs exactly once; of two values, a server might use the other one.
 fn single_header(headers: &HeaderMap, name: HeaderName) -> Option<&HeaderValue> {
     let mut values = headers.get_all(name).iter();
     values.next().filter(|_| values.next().is_none())
 }
 
+/// Parses a hexadecimal routing key; hashes anything else.
 fn parse_route_key(text: &[u8]) -> u64 {
     let hex = std::str::from_utf8(text).ok().and_then(|t| u64::from_str_radix(t, 16).ok());
     hex.unwrap_or_else(|| corkhollow_plan::mix(text))
@@ -202,6 +205,7 @@
     response
 }
 
+/// A 503 with `Retry-After`, if the settings allow that header.
 fn refusal_response(retry_after: Nanos, settings: &Settings) -> Response<AnswerBody> {
     let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, "busy\n");
     let seconds = retry_after.min(settings.max_retry_after) as f64 / 1e9;
--- a/crates/proxy/src/http1/respond.rs
+++ b/crates/proxy/src/http1/respond.rs
@@ -1,4 +1,4 @@
-//! The answer to one request on a client's connection, in the dialect of its listener.
+//! Answers one request on a client connection, in the dialect of its listener.
 
 use super::client_connection::ClientConnection;
 use super::close_policy::RequestStage;
@@ -17,7 +17,7 @@
 use std::rc::Rc;
 use std::task::{Context, Poll};
 
-/// An answer that keeps its connection from counting as idle until hyper has taken all of it.
+/// Answer body that keeps its connection from counting as idle until hyper has taken or dropped all of it.
 pub(super) struct TrackedAnswerBody {
     body: AnswerBody,
     service: Rc<Service>,
@@ -33,11 +33,11 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, IncompleteBody>>> {
         let this = self.get_mut();
-        let piece = std::task::ready!(Pin::new(&mut this.body).poll_frame(cx));
-        if let (Some(Err(_)), Some(tally)) = (&piece, &mut *this.client.tracker.borrow_mut()) {
-            tally.mark_truncated();
+        let frame = std::task::ready!(Pin::new(&mut this.body).poll_frame(cx));
+        if let (Some(Err(_)), Some(tracker)) = (&frame, &mut *this.client.tracker.borrow_mut()) {
+            tracker.mark_truncated();
         }
-        Poll::Ready(piece)
+        Poll::Ready(frame)
     }
 
     fn is_end_stream(&self) -> bool {
@@ -59,9 +59,10 @@
     }
 }
 
-/// Answers a request in the dialect of its listener, and ends the connection with it where the program leaves, the
-/// client has no place or the listener is no more. So it does behind a chunked body, on the platform and where the
-/// head has not been seen as it came: a length beside it may hide another request in what follows (RFC 9112, 6.1).
+/// Answers a request in the dialect of its listener. The answer carries `Connection: close` if the node drains or shuts
+/// down, the connection is over the limit, or its listener was removed. It also does after a chunked body if the listener
+/// is the platform's or the raw head was not captured: a `Content-Length` beside `Transfer-Encoding` could then smuggle
+/// a request (RFC 9112, 6.1).
 pub(super) async fn respond(
     service: &Rc<Service>,
     client: &Rc<ClientConnection>,
@@ -72,40 +73,46 @@
     client.awaiting_first_request_since.set(None);
     client.request_backlog_wait.set(client.backlog_wait.take());
     let chunked = request.headers().contains_key(header::TRANSFER_ENCODING);
-    let seen = chunked && client.socket.has_whole_head(request.method().as_str());
-    // Taken once: a new site takes over between two requests.
-    let site = service.current_plan.get();
-    let listener = site.plan.listeners.iter().position(|l| *l.name == *client.listener_name);
-    let dialect = listener.map_or(Dialect::Http, |l| site.plan.listeners[l].dialect);
-    let bodiless = request.body().is_end_stream();
+    let head_captured = chunked && client.socket.has_whole_head(request.method().as_str());
+    // Read once, so that a reload takes effect between requests and not within one.
+    let active_plan = service.current_plan.get();
+    let listener_index =
+        active_plan.plan.listeners.iter().position(|listener| *listener.name == *client.listener_name);
+    let dialect = listener_index.map_or(Dialect::Http, |index| active_plan.plan.listeners[index].dialect);
+    let has_no_body = request.body().is_end_stream();
     client.request_body_length.set(request.body().size_hint().exact());
-    let hides = chunked && !(seen && dialect == Dialect::Http);
+    let may_hide_request = chunked && !(head_captured && dialect == Dialect::Http);
     let mut response = match dialect {
-        _ if header_bytes(&request) > site.plan.limits.header_bytes => headers_too_large(),
-        Dialect::Platform => platform::answer_request(service, &site, client, request).await,
-        Dialect::Http => general::answer_request(service, &site, client, listener, request).await,
+        _ if header_bytes(&request) > active_plan.plan.limits.header_bytes => headers_too_large(),
+        Dialect::Platform => platform::answer_request(service, &active_plan, client, request).await,
+        Dialect::Http => {
+            general::answer_request(service, &active_plan, client, listener_index, request).await
+        }
     };
     client.stage.set(RequestStage::WritingAnswer);
-    if let Some(tally) = &mut *client.tracker.borrow_mut() {
+    if let Some(tracker) = &mut *client.tracker.borrow_mut() {
         let by_server = matches!(response.body(), AnswerBody::Buffered(_) | AnswerBody::Stream { .. });
-        tally.record_answer(service.clock.now(), response.status().as_u16(), by_server);
+        tracker.record_answer(service.clock.now(), response.status().as_u16(), by_server);
     }
-    let last =
+    let is_last_answer =
         !service.lifecycle.lock().allows_keep_alive() || client.over_limit || client.close_after_answer.get();
-    if last || hides || listener.is_none() {
+    if is_last_answer || may_hide_request || listener_index.is_none() {
         response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     }
-    // What the surplus have sent has been read.
-    let closes = response.headers().get(header::CONNECTION).is_some_and(|v| v == "close");
-    client.request_left_unread.set(closes && !bodiless && !client.over_limit);
+    // The body of a request over the limit has been discarded already.
+    let closes_connection = response.headers().get(header::CONNECTION).is_some_and(|v| v == "close");
+    client.request_left_unread.set(closes_connection && !has_no_body && !client.over_limit);
     Ok(response.map(|body| TrackedAnswerBody { body, service: service.clone(), client: client.clone() }))
 }
 
-/// How long a head is, in bytes, but for white space that is optional. Hyper turns away only what does not fit its buffer.
+/// Length of a request head in bytes, without optional white space. hyper itself limits only what fits its buffer.
 fn header_bytes(request: &Request<Incoming>) -> usize {
     let target = request.uri().path_and_query().map_or(0, |target| target.as_str().len());
-    let line = request.method().as_str().len() + target + " HTTP/1.1\r\n ".len();
-    request.headers().iter().fold(line, |sum, (name, value)| sum + name.as_str().len() + value.len() + 4)
+    let request_line = request.method().as_str().len() + target + " HTTP/1.1\r\n ".len();
+    request
+        .headers()
+        .iter()
+        .fold(request_line, |sum, (name, value)| sum + name.as_str().len() + value.len() + 4)
 }
 
 fn headers_too_large() -> Response<AnswerBody> {
--- a/crates/proxy/src/http1/responses.rs
+++ b/crates/proxy/src/http1/responses.rs
@@ -1,10 +1,10 @@
-//! Parts of answers that all dialects share.
+//! Response helpers shared by all dialects.
 
 use crate::body::AnswerBody;
 use hyper::header::{self, HeaderValue};
 use hyper::Response;
 
-/// Ends the connection behind an answer.
+/// Adds `Connection: close`, so that hyper closes the connection after this answer.
 pub(super) fn with_connection_close(mut response: Response<AnswerBody>) -> Response<AnswerBody> {
     response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
     response
--- a/crates/proxy/src/http1/service.rs
+++ b/crates/proxy/src/http1/service.rs
@@ -1,4 +1,4 @@
-//! What all clients' connections of a process share.
+//! State shared by all client connections of a process.
 
 use super::client_connection::ClientConnection;
 use super::close_policy::CloseLimits;
@@ -10,24 +10,24 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// What all clients' connections work with.
+/// State shared by all client connections of a process.
 pub struct Service {
-    /// What is in force.
+    /// The plan in force.
     pub current_plan: Rc<CurrentPlan>,
-    /// The program's clock.
+    /// The process's clock.
     pub clock: Clock,
-    /// What it may hold.
+    /// Limits on connections and buffered bytes.
     pub budget: Rc<Budget>,
-    /// Whether it is up, keeps connections and takes new ones.
+    /// Whether the node serves, drains or shuts down.
     pub lifecycle: SharedLifecycle,
-    /// Numbers requests that bring no id.
+    /// Counter from which ids of requests without one are made.
     pub request_id_counter: Cell<u64>,
-    /// What it has done.
+    /// The node's metrics and event log.
     pub metrics: Metrics,
 }
 
 impl Service {
-    /// Counts the end of a connection, and whether it dropped a request.
+    /// Counts a closed connection and records it as an event; `dropped` tells whether it lost a complete request.
     pub(super) fn record_close(&self, client: &ClientConnection, reason: &'static str, dropped: bool) {
         self.metrics.count_client_close(reason, dropped);
         let subject = Subject::Connection(client.number);
@@ -43,7 +43,7 @@
         }
     }
 
-    /// A number that no other request has, spread over all bits.
+    /// A number unique in this process, with its entropy spread over all bits.
     pub(super) fn next_request_id(&self) -> u64 {
         self.request_id_counter.set(self.request_id_counter.get() + 1);
         corkhollow_plan::mix(&self.request_id_counter.get().to_le_bytes())
--- a/crates/proxy/src/http1/upload.rs
+++ b/crates/proxy/src/http1/upload.rs
@@ -1,5 +1,4 @@
-//! Bodies of requests: kept where they are short enough to be sent again, passed on as they
-//! come where they are not.
+//! Request bodies: buffered for replay if short enough, streamed to the server otherwise.
 
 use super::client_connection::ClientConnection;
 use super::close_policy::RequestStage;
@@ -18,36 +17,36 @@
 use std::time::Duration;
 use tokio::time::{sleep, timeout, timeout_at, Instant, Sleep};
 
-/// Why a body could not be had.
+/// Why a request body could not be received.
 pub(super) enum UploadError {
-    /// It stood still for too long.
+    /// The client stalled or sent too slowly.
     TimedOut,
-    /// It broke off, or its framing is spoilt.
+    /// The body ended early or its framing is invalid.
     Incomplete,
-    /// It is longer than any may be.
+    /// The body exceeds [`BodyLimits::max_bytes`].
     TooLarge,
 }
 
-/// What is done with bodies.
+/// How a request body is received and forwarded.
 #[derive(Clone, Copy)]
 pub(super) struct BodyLimits {
-    /// A body up to this length is kept.
+    /// Bodies up to this length are buffered whole, so that the request can be retried.
     pub max_buffered_bytes: u64,
-    /// A longer one is cut.
+    /// Longer bodies are rejected.
     pub max_bytes: u64,
-    /// How long it may stand still.
+    /// Longest time between two frames from the client.
     pub stall_timeout: Duration,
-    /// How slowly it may come.
+    /// Slowest rate at which the client may send, if limited.
     pub min_pace: Option<MinPace>,
-    /// What nobody wants of it any longer is kept for the front to read.
+    /// Whether an unread remainder goes back to the connection ([`ClientConnection::unread_body`]) when dropped.
     pub returns_unread: bool,
-    /// How long it may stand still on its way to a server; no less than `stall`.
+    /// Longest time without progress on the way to a server; at least `stall_timeout`.
     pub forward_stall_timeout: Duration,
-    /// It is not asked for before a server asks for it.
+    /// Whether to read nothing until a server asks for the body (`Expect: 100-continue`).
     pub awaits_continue: bool,
 }
 
-/// A body has to keep to so many bytes a second once a grace is over.
+/// Minimum average rate of a body once a grace period is over.
 #[derive(Clone, Copy)]
 pub(super) struct MinPace {
     pub grace: Duration,
@@ -55,19 +54,23 @@
 }
 
 impl MinPace {
-    /// When the next byte has to be there, with so many there already.
-    fn next_byte_deadline(&self, begun: Instant, got: u64) -> Instant {
-        begun + self.grace + Duration::from_secs_f64(got as f64 / self.bytes_per_second as f64)
+    /// When the next byte is due after `received_bytes`.
+    fn next_byte_deadline(&self, started_at: Instant, received_bytes: u64) -> Instant {
+        started_at
+            + self.grace
+            + Duration::from_secs_f64(received_bytes as f64 / self.bytes_per_second as f64)
     }
 }
 
-/// When the next piece has to be there.
-fn next_frame_deadline(rules: &BodyLimits, begun: Instant, got: u64) -> Instant {
-    let still = Instant::now() + rules.stall_timeout;
-    rules.min_pace.map_or(still, |pace| pace.next_byte_deadline(begun, got).min(still))
+/// When the next frame is due.
+fn next_frame_deadline(limits: &BodyLimits, started_at: Instant, received_bytes: u64) -> Instant {
+    let stalled_at = Instant::now() + limits.stall_timeout;
+    limits
+        .min_pace
+        .map_or(stalled_at, |pace| pace.next_byte_deadline(started_at, received_bytes).min(stalled_at))
 }
 
-/// Takes the body of a request: whole if it is short enough, else as it comes.
+/// Receives a request body: buffers it whole if it is short enough, or returns a stream of it.
 pub(super) async fn receive_body(
     mut body: Incoming,
     limits: &BodyLimits,
@@ -81,80 +84,83 @@
     if body.size_hint().lower() > limits.max_bytes {
         return Err(UploadError::TooLarge);
     }
-    let begun = Instant::now();
-    let mut first = VecDeque::new();
-    let (mut got, mut held) = (0, None);
+    let started_at = Instant::now();
+    let mut read_frames = VecDeque::new();
+    let (mut received_bytes, mut read_lease) = (0, None);
     if !limits.awaits_continue && body.size_hint().lower() <= limits.max_buffered_bytes {
-        let mut pieces = BufferedBody::new(budget.lease_for(body.size_hint().exact()));
+        let mut buffer = BufferedBody::new(budget.lease_for(body.size_hint().exact()));
         loop {
-            let next = timeout_at(next_frame_deadline(limits, begun, got), body.frame()).await;
+            let next =
+                timeout_at(next_frame_deadline(limits, started_at, received_bytes), body.frame()).await;
             let next = next.map_err(|_| UploadError::TimedOut)?;
-            let Some(frame) = next else { return Ok(Payload::Buffered(Rc::new(pieces))) };
+            let Some(frame) = next else { return Ok(Payload::Buffered(Rc::new(buffer))) };
             let frame = frame.map_err(|_| UploadError::Incomplete)?;
-            got += frame.data_ref().map_or(0, |d| d.len() as u64);
-            if got > limits.max_bytes {
+            received_bytes += frame.data_ref().map_or(0, |data| data.len() as u64);
+            if received_bytes > limits.max_bytes {
                 return Err(UploadError::TooLarge);
             }
-            let fits = |data: &Bytes| pieces.len() + data.len() as u64 <= limits.max_buffered_bytes;
+            let fits = |data: &Bytes| buffer.len() + data.len() as u64 <= limits.max_buffered_bytes;
             if frame.data_ref().is_some_and(fits) {
                 let data = frame.into_data().unwrap_or_default();
-                if pieces.push(data.clone()) {
+                if buffer.push(data.clone()) {
                     continue;
                 }
-                first.push_back(Frame::data(data));
+                read_frames.push_back(Frame::data(data));
             } else {
-                first.push_back(frame);
+                read_frames.push_back(frame);
             }
             break;
         }
-        let (kept, lease) = pieces.into_parts();
-        held = Some(lease);
-        kept.into_iter().rev().for_each(|data| first.push_front(Frame::data(data)));
+        let (buffered, lease) = buffer.into_parts();
+        read_lease = Some(lease);
+        buffered.into_iter().rev().for_each(|data| read_frames.push_front(Frame::data(data)));
     }
     let progress = Rc::new(UploadProgress::new(clock.now(), limits.forward_stall_timeout.as_nanos() as u64));
-    let passing = StreamedBody {
-        read_frames: first,
-        read_lease: held,
+    let streamed_body = StreamedBody {
+        read_frames,
+        read_lease,
         body: Some(body),
         client: client.clone(),
         progress: progress.clone(),
         clock,
         limits: *limits,
-        begun,
-        received_bytes: got,
+        started_at,
+        received_bytes,
         stall_timer: Box::pin(sleep(limits.stall_timeout)),
         stall_timer_armed: false,
     };
-    let body: ClientBody = Box::pin(passing);
+    let body: ClientBody = Box::pin(streamed_body);
     Ok(Payload::Stream(Upload::new(body, progress)))
 }
 
-/// A body as it comes, behind what of it has been read already.
+/// A request body streamed from the client: frames already read, then the rest as it arrives.
 struct StreamedBody {
     read_frames: VecDeque<Frame<Bytes>>,
-    /// What holds these in the budget.
+    /// Reserves `read_frames` in the budget.
     read_lease: Option<Lease>,
-    /// None once it has been handed back.
+    /// `None` only while dropping.
     body: Option<Incoming>,
     client: Rc<ClientConnection>,
     progress: Rc<UploadProgress>,
     clock: Clock,
     limits: BodyLimits,
-    begun: Instant,
+    started_at: Instant,
     received_bytes: u64,
     stall_timer: Pin<Box<Sleep>>,
-    /// The timer runs.
+    /// Whether `stall_timer` is set for the frame now awaited.
     stall_timer_armed: bool,
 }
 
 impl StreamedBody {
-    /// The last byte has come. Where its client has left behind it, it must not go on: the server would begin with it. False then.
+    /// Handles the end of the body. Returns false if the client has already left: the body must then not be completed
+    /// towards the server, which would start to process the request.
     fn finish(&self) -> bool {
-        let left = self.progress.ended_at.get().is_none() && self.client.socket.is_closed_by_peer();
-        self.mark_ended(left);
-        !left
+        let client_left = self.progress.ended_at.get().is_none() && self.client.socket.is_closed_by_peer();
+        self.mark_ended(client_left);
+        !client_left
     }
 
+    /// Notes that nothing more will come from the client; `failed` if the body is incomplete or the client left.
     fn mark_ended(&self, failed: bool) {
         if self.progress.ended_at.get().is_none() {
             self.progress.ended_at.set(Some(self.clock.now()));
@@ -164,43 +170,44 @@
     }
 }
 
-/// What has not come of a body that nobody wants any longer is the front's to read.
+/// Returns an unread remainder to the connection, where it is discarded before the answer is written.
 impl Drop for StreamedBody {
     fn drop(&mut self) {
-        let wanted = self.limits.returns_unread && self.client.stage.get() == RequestStage::AwaitingAnswer;
-        if let Some(body) = self.body.take().filter(|body| wanted && !body.is_end_stream()) {
+        let returns_unread =
+            self.limits.returns_unread && self.client.stage.get() == RequestStage::AwaitingAnswer;
+        if let Some(body) = self.body.take().filter(|body| returns_unread && !body.is_end_stream()) {
             self.client.unread_body.replace(Some(body));
         }
     }
 }
 
-/// Reads the rest of a body whose request is answered already, and throws it away: its client listens when it has sent
-/// all, and a reset in the middle would cost it the answer. False where the rest does not come.
-pub(super) async fn discard_body(mut body: Incoming, rules: &BodyLimits) -> bool {
-    let (begun, mut got) = (Instant::now(), 0);
+/// Reads and discards the rest of a body whose answer is already decided. A client that reads only after it has sent
+/// everything would lose the answer if the connection were reset. Returns false if the body does not end within the limits.
+pub(super) async fn discard_body(mut body: Incoming, limits: &BodyLimits) -> bool {
+    let (started_at, mut received_bytes) = (Instant::now(), 0);
     loop {
-        match timeout_at(next_frame_deadline(rules, begun, got), body.frame()).await {
+        match timeout_at(next_frame_deadline(limits, started_at, received_bytes), body.frame()).await {
             Ok(None) => return true,
-            Ok(Some(Ok(frame))) => got += frame.data_ref().map_or(0, |d| d.len() as u64),
+            Ok(Some(Ok(frame))) => received_bytes += frame.data_ref().map_or(0, |data| data.len() as u64),
             Ok(Some(Err(_))) | Err(_) => return false,
         }
-        if got > rules.max_bytes {
+        if received_bytes > limits.max_bytes {
             return false;
         }
     }
 }
 
-/// A rest of a body that is read to its end, to keep the connection: no longer than this, in bytes,
+/// Longest unread remainder of a body that is discarded to keep the connection open.
 const MAX_DISCARD_BYTES: u64 = 64 << 10;
-/// and there within this.
+/// Longest time to wait for such a remainder.
 const DISCARD_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Reads the rest of a body that nobody has asked for, where it is short and comes soon; false where it isn't.
-pub(super) async fn discard_short_body(rest: Incoming) -> bool {
-    if rest.size_hint().lower() > MAX_DISCARD_BYTES {
+/// Discards an unread remainder that is short and arrives soon; returns false if it is not.
+pub(super) async fn discard_short_body(unread_body: Incoming) -> bool {
+    if unread_body.size_hint().lower() > MAX_DISCARD_BYTES {
         return false;
     }
-    let rules = BodyLimits {
+    let limits = BodyLimits {
         max_buffered_bytes: 0,
         max_bytes: MAX_DISCARD_BYTES,
         stall_timeout: DISCARD_TIMEOUT,
@@ -209,7 +216,7 @@
         returns_unread: false,
         awaits_continue: false,
     };
-    timeout(DISCARD_TIMEOUT, discard_body(rest, &rules)).await.unwrap_or(false)
+    timeout(DISCARD_TIMEOUT, discard_body(unread_body, &limits)).await.unwrap_or(false)
 }
 
 impl Body for StreamedBody {
@@ -226,15 +233,15 @@
         let Some(body) = &mut this.body else { return Poll::Ready(Some(Err(IncompleteBody))) };
         match Pin::new(&mut *body).poll_frame(cx) {
             Poll::Ready(Some(Ok(frame))) => {
-                let over = body.is_end_stream();
+                let is_last_frame = body.is_end_stream();
                 this.stall_timer_armed = false;
                 this.progress.last_progress_at.set(this.clock.now());
-                this.received_bytes += frame.data_ref().map_or(0, |d| d.len() as u64);
+                this.received_bytes += frame.data_ref().map_or(0, |data| data.len() as u64);
                 if this.received_bytes > this.limits.max_bytes {
                     this.mark_ended(true);
                     return Poll::Ready(Some(Err(IncompleteBody)));
                 }
-                if over && !this.finish() {
+                if is_last_frame && !this.finish() {
                     return Poll::Ready(Some(Err(IncompleteBody)));
                 }
                 Poll::Ready(Some(Ok(frame)))
@@ -251,7 +258,7 @@
                 if !std::mem::replace(&mut this.stall_timer_armed, true) {
                     this.stall_timer.as_mut().reset(next_frame_deadline(
                         &this.limits,
-                        this.begun,
+                        this.started_at,
                         this.received_bytes,
                     ));
                 }
@@ -269,14 +276,15 @@
     }
 
     fn size_hint(&self) -> SizeHint {
-        let first: u64 = self.read_frames.iter().filter_map(|f| f.data_ref()).map(|d| d.len() as u64).sum();
+        let read_bytes: u64 =
+            self.read_frames.iter().filter_map(|frame| frame.data_ref()).map(|data| data.len() as u64).sum();
         let rest = self.body.as_ref().map_or_else(SizeHint::default, Body::size_hint);
-        // The upper bound first: a lower one beyond it is a panic.
+        // Set the upper bound first: `set_lower` panics beyond it.
         let mut hint = SizeHint::new();
         if let Some(upper) = rest.upper() {
-            hint.set_upper(upper + first);
+            hint.set_upper(upper + read_bytes);
         }
-        hint.set_lower(rest.lower() + first);
+        hint.set_lower(rest.lower() + read_bytes);
         hint
     }
 }
