--- a/crates/corkhollow/src/commands/run.rs
+++ b/crates/corkhollow/src/commands/run.rs
@@ -15,7 +15,7 @@
 use corkhollow_proxy::background;
 use corkhollow_proxy::fleet::FleetCell;
 use corkhollow_proxy::http1::{ClientConnections, Service};
-use corkhollow_proxy::operator::Operator;
+use corkhollow_proxy::operator::OperatorServer;
 use corkhollow_proxy::upstream::{Engines, PoolContext};
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -297,9 +297,9 @@
     let changed = Arc::new(Notify::new());
     if let Some(calls) = calls {
         log(format_args!("operators call at {}", calls.local_addr()?));
-        let (control, metrics, changed) = (control.clone(), metrics.clone(), changed.clone());
+        let (lifecycle, metrics, lifecycle_changed) = (control.clone(), metrics.clone(), changed.clone());
         let fleet = member.place.clone();
-        Operator { control, metrics, clock, changed, fleet }.start(calls)?;
+        OperatorServer { lifecycle, metrics, clock, lifecycle_changed, fleet }.start(calls)?;
     }
     if let Some(neighbours) = &neighbours {
         budget.keep_to(neighbours.now().limit_share());
--- a/crates/proxy/src/body.rs
+++ b/crates/proxy/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies as hyper takes them.
+//! Message bodies in the form that hyper sends.
 
 use bytes::Bytes;
 use corkhollow_engine::{BodyFrame, BufferedBody, ClientBody, IncompleteBody};
@@ -9,34 +9,34 @@
 use std::task::{ready, Context, Poll};
 use tokio::sync::mpsc;
 
-/// Pieces on their way out.
+/// Reads a buffered body, which several attempts may share.
 pub struct BufferedBodyReader {
-    pieces: Rc<BufferedBody>,
-    at: usize,
-    left: u64,
+    body: Rc<BufferedBody>,
+    next_chunk: usize,
+    bytes_left: u64,
 }
 
 impl BufferedBodyReader {
-    pub fn new(pieces: Rc<BufferedBody>) -> Self {
-        BufferedBodyReader { left: pieces.len(), pieces, at: 0 }
+    pub fn new(body: Rc<BufferedBody>) -> Self {
+        BufferedBodyReader { bytes_left: body.len(), body, next_chunk: 0 }
     }
 
     fn next(&mut self) -> Option<Frame<Bytes>> {
-        let piece = self.pieces.chunk(self.at).cloned()?;
-        self.at += 1;
-        self.left -= piece.len() as u64;
-        Some(Frame::data(piece))
+        let chunk = self.body.chunk(self.next_chunk).cloned()?;
+        self.next_chunk += 1;
+        self.bytes_left -= chunk.len() as u64;
+        Some(Frame::data(chunk))
     }
 }
 
-/// The body of a request on its way to a server.
+/// The body of a request to a server.
 pub enum RequestBody {
-    /// All of it is here.
+    /// Received completely.
     Buffered(BufferedBodyReader),
-    /// As it comes from the client.
+    /// Streamed from the client.
     Stream {
         body: ClientBody,
-        /// The server has not asked for it yet (`Expect: 100-continue`).
+        /// With `Expect: 100-continue`, completes when the body may be sent.
         continue_wait: Option<Pin<Box<dyn Future<Output = ()>>>>,
     },
 }
@@ -60,26 +60,26 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            RequestBody::Buffered(body) => body.left == 0,
+            RequestBody::Buffered(body) => body.bytes_left == 0,
             RequestBody::Stream { body, .. } => body.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            RequestBody::Buffered(body) => SizeHint::with_exact(body.left),
+            RequestBody::Buffered(body) => SizeHint::with_exact(body.bytes_left),
             RequestBody::Stream { body, .. } => body.size_hint(),
         }
     }
 }
 
-/// What goes back to a client.
+/// The body of an answer to a client.
 pub enum AnswerBody {
     Text(Option<Bytes>),
     Buffered(BufferedBodyReader),
-    /// A long answer as it comes.
+    /// Streamed from the server.
     Stream {
-        pieces: mpsc::Receiver<BodyFrame>,
+        frames: mpsc::Receiver<BodyFrame>,
         length: Option<u64>,
     },
 }
@@ -90,24 +90,24 @@
 
     fn poll_frame(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<Option<BodyFrame>> {
         match self.get_mut() {
-            AnswerBody::Text(text) => Poll::Ready(text.take().map(|t| Ok(Frame::data(t)))),
+            AnswerBody::Text(text) => Poll::Ready(text.take().map(|text| Ok(Frame::data(text)))),
             AnswerBody::Buffered(body) => Poll::Ready(body.next().map(Ok)),
-            AnswerBody::Stream { pieces, .. } => pieces.poll_recv(cx),
+            AnswerBody::Stream { frames, .. } => frames.poll_recv(cx),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
             AnswerBody::Text(text) => text.is_none(),
-            AnswerBody::Buffered(body) => body.left == 0,
+            AnswerBody::Buffered(body) => body.bytes_left == 0,
             AnswerBody::Stream { .. } => false,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            AnswerBody::Text(text) => SizeHint::with_exact(text.as_ref().map_or(0, |t| t.len() as u64)),
-            AnswerBody::Buffered(body) => SizeHint::with_exact(body.left),
+            AnswerBody::Text(text) => SizeHint::with_exact(text.as_ref().map_or(0, |text| text.len() as u64)),
+            AnswerBody::Buffered(body) => SizeHint::with_exact(body.bytes_left),
             AnswerBody::Stream { length, .. } => length.map_or_else(SizeHint::default, SizeHint::with_exact),
         }
     }
--- a/crates/proxy/src/headers.rs
+++ b/crates/proxy/src/headers.rs
@@ -1,16 +1,16 @@
-//! Headers that the program reads, sets or takes out.
+//! Headers that the gateway reads, sets or removes.
 
 use hyper::header::{self, HeaderMap, HeaderName};
 
-/// What a request is known by on the platform, from its client to its server.
+/// Identifies a request on the platform, from the client to the server.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("x-request-id");
-/// How long the sender waits, in milliseconds.
+/// How long the sender waits for an answer, in milliseconds.
 pub const TIMEOUT_MS: HeaderName = HeaderName::from_static("x-timeout-ms");
-/// A server's word that the request never ran.
+/// Set to `1` by a server that has not processed the request.
 pub const NOT_PROCESSED: HeaderName = HeaderName::from_static("x-not-processed");
 
-/// Headers of the connection, whatever `Connection` names beside them.
-const HOP: [HeaderName; 7] = [
+/// Hop-by-hop headers, in addition to those that `Connection` names.
+const HOP_BY_HOP: [HeaderName; 7] = [
     HeaderName::from_static("keep-alive"),
     HeaderName::from_static("proxy-connection"),
     header::PROXY_AUTHENTICATE,
@@ -19,22 +19,22 @@
     header::TRANSFER_ENCODING,
     header::UPGRADE,
 ];
-/// Headers of the message that `Connection` must not take out: the next one on the way relies on them.
-const KEPT: [HeaderName; 3] = [header::HOST, header::CONTENT_LENGTH, header::EXPECT];
+/// Headers that `Connection` must not remove, because the next hop relies on them.
+const PROTECTED: [HeaderName; 3] = [header::HOST, header::CONTENT_LENGTH, header::EXPECT];
 
-/// Takes out what belongs to one connection and not to the message (RFC 9110, 7.6.1), all but `Trailer`.
+/// Removes the hop-by-hop headers (RFC 9110, 7.6.1), but not `Trailer`.
 pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     if headers.contains_key(header::CONNECTION) {
         let named: Vec<_> = headers.get_all(header::CONNECTION).into_iter().cloned().collect();
         for value in &named {
             for name in value.to_str().unwrap_or_default().split(',') {
-                let name = HeaderName::try_from(name.trim()).ok().filter(|n| !KEPT.contains(n));
+                let name = HeaderName::try_from(name.trim()).ok().filter(|name| !PROTECTED.contains(name));
                 name.map(|name| headers.remove(name));
             }
         }
         headers.remove(header::CONNECTION);
     }
-    for name in &HOP {
+    for name in &HOP_BY_HOP {
         headers.remove(name);
     }
 }
@@ -45,7 +45,7 @@
     use hyper::header::HeaderValue;
 
     #[test]
-    fn what_belongs_to_the_connection_goes() {
+    fn hop_by_hop_headers_are_removed_and_protected_ones_kept() {
         let mut headers = HeaderMap::new();
         for (name, value) in [
             ("connection", "x-one, Host"),
@@ -61,8 +61,8 @@
             headers.append(HeaderName::from_static(name), HeaderValue::from_static(value));
         }
         strip_hop_by_hop(&mut headers);
-        let left: Vec<_> = headers.keys().map(HeaderName::as_str).collect();
-        assert_eq!(left.len(), 3, "{left:?}");
-        assert!(["x-three", "host", "trailer"].iter().all(|n| left.contains(n)), "{left:?}");
+        let remaining: Vec<_> = headers.keys().map(HeaderName::as_str).collect();
+        assert_eq!(remaining.len(), 3, "{remaining:?}");
+        assert!(["x-three", "host", "trailer"].iter().all(|name| remaining.contains(name)), "{remaining:?}");
     }
 }
--- a/crates/proxy/src/http1/general.rs
+++ b/crates/proxy/src/http1/general.rs
@@ -410,8 +410,8 @@
         Answer::Buffered { status, headers, body } => {
             (status, headers, AnswerBody::Buffered(BufferedBodyReader::new(Rc::new(body))))
         }
-        Answer::Stream { status, headers, length, frames: pieces } => {
-            (status, headers, AnswerBody::Stream { pieces, length })
+        Answer::Stream { status, headers, length, frames } => {
+            (status, headers, AnswerBody::Stream { frames, length })
         }
         Answer::Refused { retry_after } => {
             let detail = "no server can take it now; it has not run";
--- a/crates/proxy/src/http1/platform.rs
+++ b/crates/proxy/src/http1/platform.rs
@@ -171,8 +171,8 @@
         Answer::Buffered { headers, body, .. } => {
             server_response(headers, AnswerBody::Buffered(BufferedBodyReader::new(Rc::new(body))))
         }
-        Answer::Stream { headers, length, frames: pieces, .. } => {
-            server_response(headers, AnswerBody::Stream { pieces, length })
+        Answer::Stream { headers, length, frames, .. } => {
+            server_response(headers, AnswerBody::Stream { frames, length })
         }
         Answer::Refused { retry_after } => refusal_response(retry_after, settings),
         Answer::Failed { timed_out: true } => {
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,5 +1,5 @@
-//! Fronts and sockets: clients' connections on one side, servers' connections on the other, the engine
-//! between them. No decision is made here.
+//! HTTP/1.1 connections to clients and servers, with the engine between them. All decisions on requests are
+//! left to the engine; this crate does the I/O.
 
 pub mod active_plan;
 pub mod background;
--- a/crates/proxy/src/operator.rs
+++ b/crates/proxy/src/operator.rs
@@ -1,5 +1,6 @@
-//! The operator's address (HTTP/1.1, one call to a connection): ready, metrics, drain, resume. It has a
-//! thread and a runtime of its own, so that no load keeps an answer back.
+//! The operator's endpoints (HTTP/1.1, one request per connection): readiness, metrics, events, the fleet
+//! page, drain and resume. They run on a thread and a runtime of their own, so that they answer under any
+//! load.
 
 use crate::fleet::{Fleet, FleetCell};
 use crate::socket::{Socket, SocketIo};
@@ -23,39 +24,37 @@
 use tokio::sync::Notify;
 use tokio::task::{AbortHandle, LocalSet};
 
-/// Callers that may be connected at once; the oldest goes for a new one. Calls take milliseconds: one that is
-/// still there says nothing.
+/// Open connections; a new one closes the oldest, which has most likely stalled, since requests take
+/// milliseconds.
 pub const MAX_CONNECTIONS: usize = 8;
-/// A head that is not there after this will not come.
-const HEAD_WITHIN: Duration = Duration::from_secs(2);
-/// The whole of a call takes no longer, whoever reads slowly.
-const CALL_WITHIN: Duration = Duration::from_secs(5);
-/// The longest head of a call, in bytes.
-const HEAD: usize = 8 * 1024;
-/// The longest body, which no call needs, and how long it may take to come.
-const BODY: usize = 8 * 1024;
-const BODY_WITHIN: Duration = Duration::from_secs(2);
+const HEAD_TIMEOUT: Duration = Duration::from_secs(2);
+/// Limits a connection as a whole, also if the client reads slowly.
+const CONNECTION_TIMEOUT: Duration = Duration::from_secs(5);
+const MAX_HEAD_BYTES: usize = 8 * 1024;
+/// No endpoint needs a body; a short one is read and ignored.
+const MAX_BODY_BYTES: usize = 8 * 1024;
+const BODY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What calls are answered from.
+/// Serves the operator's endpoints.
 #[derive(Clone)]
-pub struct Operator {
-    /// The node's life.
-    pub control: SharedLifecycle,
-    /// What it has done.
+pub struct OperatorServer {
+    /// The node's lifecycle.
+    pub lifecycle: SharedLifecycle,
+    /// The metrics and events to show.
     pub metrics: Metrics,
-    /// The clock that its life goes by.
+    /// The clock of the lifecycle.
     pub clock: Clock,
-    /// Tells the serving side that the life has changed.
-    pub changed: Arc<Notify>,
-    /// The node's place in its fleet, if it has one.
+    /// Notified when an operator has changed the lifecycle.
+    pub lifecycle_changed: Arc<Notify>,
+    /// The node's fleet handle, if it is a member of a fleet.
     pub fleet: FleetCell,
 }
 
-impl Operator {
-    /// Serves on a thread of its own, for good.
+impl OperatorServer {
+    /// Serves on a thread of its own, without end.
     ///
     /// # Errors
-    /// Where the system has no thread or no descriptor left.
+    /// If the system is out of threads or file descriptors.
     pub fn start(self, listener: TcpListener) -> std::io::Result<()> {
         listener.set_nonblocking(true)?;
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
@@ -68,17 +67,18 @@
             Ok(listener) => listener,
             Err(error) => return log(format_args!("operator's address: {error}")),
         };
-        let mut callers: VecDeque<AbortHandle> = VecDeque::new();
+        let mut connections: VecDeque<AbortHandle> = VecDeque::new();
         loop {
             let Ok((stream, _)) = listener.accept().await else {
                 tokio::time::sleep(Duration::from_millis(20)).await;
                 continue;
             };
-            callers.retain(|caller| !caller.is_finished());
-            while callers.len() >= MAX_CONNECTIONS {
-                callers.pop_front().inspect(AbortHandle::abort);
+            connections.retain(|connection| !connection.is_finished());
+            while connections.len() >= MAX_CONNECTIONS {
+                connections.pop_front().inspect(AbortHandle::abort);
             }
-            callers.push_back(tokio::task::spawn_local(call(self.clone(), stream)).abort_handle());
+            connections
+                .push_back(tokio::task::spawn_local(serve_connection(self.clone(), stream)).abort_handle());
         }
     }
 
@@ -86,16 +86,16 @@
         let allowed = match path {
             "/-/ready" | "/-/metrics" | "/-/events" | "/-/fleet" => Method::GET,
             "/-/drain" | "/-/resume" => Method::POST,
-            _ => return text(StatusCode::NOT_FOUND, "no such call\n"),
+            _ => return text(StatusCode::NOT_FOUND, "no such endpoint\n"),
         };
         if *method != allowed {
-            let mut response = text(StatusCode::METHOD_NOT_ALLOWED, "not with this method\n");
+            let mut response = text(StatusCode::METHOD_NOT_ALLOWED, "method not allowed\n");
             let allow = HeaderValue::from_static(if allowed == Method::GET { "GET" } else { "POST" });
             response.headers_mut().insert(header::ALLOW, allow);
             return response;
         }
         match path {
-            "/-/ready" if self.control.lock().is_ready() => text(StatusCode::OK, "ready\n"),
+            "/-/ready" if self.lifecycle.lock().is_ready() => text(StatusCode::OK, "ready\n"),
             "/-/ready" => text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
             "/-/metrics" => match self.metrics.render() {
                 Ok((page, kind)) => {
@@ -103,34 +103,34 @@
                     response.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static(kind));
                     response
                 }
-                Err(_) => text(StatusCode::INTERNAL_SERVER_ERROR, "the metrics cannot be written\n"),
+                Err(_) => text(StatusCode::INTERNAL_SERVER_ERROR, "the metrics cannot be encoded\n"),
             },
             "/-/events" => plain(Bytes::from(self.metrics.events.render())),
             "/-/fleet" => match self.fleet.get() {
-                Some(fleet) => json(page(fleet)),
-                None => text(StatusCode::NOT_FOUND, "no member of a fleet\n"),
+                Some(fleet) => json(fleet_page(fleet)),
+                None => text(StatusCode::NOT_FOUND, "not a member of a fleet\n"),
             },
             "/-/drain" => {
-                self.control.lock().drain(self.clock.now());
-                self.changed.notify_one();
-                log(format_args!("the operator drains the node"));
+                self.lifecycle.lock().drain(self.clock.now());
+                self.lifecycle_changed.notify_one();
+                log(format_args!("an operator drains the node"));
                 text(StatusCode::OK, "draining\n")
             }
             _ => {
-                let serving = self.control.lock().resume();
-                self.changed.notify_one();
-                log(format_args!("the operator resumes the node"));
-                match serving {
+                let resumed = self.lifecycle.lock().resume();
+                self.lifecycle_changed.notify_one();
+                log(format_args!("an operator resumes the node"));
+                match resumed {
                     true => text(StatusCode::OK, "serving\n"),
-                    false => text(StatusCode::CONFLICT, "the node ends\n"),
+                    false => text(StatusCode::CONFLICT, "the node is shutting down\n"),
                 }
             }
         }
     }
 }
 
-/// What the node holds of its fleet, in JSON.
-fn page(fleet: &Fleet) -> String {
+/// The node's view of its fleet, as JSON.
+fn fleet_page(fleet: &Fleet) -> String {
     let view = fleet.view();
     let refused_by = match view.standing {
         Standing::Refused { by } => Some(by),
@@ -145,48 +145,51 @@
     response
 }
 
-async fn call(operator: Operator, stream: TcpStream) {
+async fn serve_connection(operator: OperatorServer, stream: TcpStream) {
     let (operator, socket) = (&operator, &Socket::new(stream));
-    let answering = service_fn(|request: Request<Incoming>| async move {
+    let service = service_fn(|request: Request<Incoming>| async move {
         let (head, body) = request.into_parts();
-        Ok::<_, Infallible>(match whole(&head.headers, socket, body).await {
+        Ok::<_, Infallible>(match read_body(&head.headers, socket, body).await {
             Ok(()) => operator.answer(&head.method, head.uri.path()),
             Err((status, why)) => text(status, why),
         })
     });
     let mut builder = http1::Builder::new();
-    builder.keep_alive(false).max_buf_size(HEAD).timer(TokioTimer::new()).header_read_timeout(HEAD_WITHIN);
-    // What goes wrong here is the caller's.
+    builder
+        .keep_alive(false)
+        .max_buf_size(MAX_HEAD_BYTES)
+        .timer(TokioTimer::new())
+        .header_read_timeout(HEAD_TIMEOUT);
+    // Errors of the connection concern only the client.
     let _ = tokio::time::timeout(
-        CALL_WITHIN,
-        builder.serve_connection(TokioIo::new(SocketIo(socket.clone())), answering),
+        CONNECTION_TIMEOUT,
+        builder.serve_connection(TokioIo::new(SocketIo(socket.clone())), service),
     )
     .await;
 }
 
-/// Why a call is turned down.
+/// The status and text of a rejected request.
 type Refusal = (StatusCode, &'static str);
 
-/// Waits for all of a call: what its caller never finishes must not have acted. Two lengths are no length
-/// (RFC 9112, 6.3).
-async fn whole(headers: &HeaderMap, socket: &Socket, mut body: Incoming) -> Result<(), Refusal> {
-    // hyper keeps one of the two only.
+/// Reads the body to its end: an incomplete request must have no effect. Rejects two lengths (RFC 9112, 6.3).
+async fn read_body(headers: &HeaderMap, socket: &Socket, mut body: Incoming) -> Result<(), Refusal> {
+    // Hyper removes `Content-Length` if there is also `Transfer-Encoding`, so look at the raw head.
     if headers.contains_key(header::TRANSFER_ENCODING) && socket.head_contains("\ncontent-length:") {
         return Err((StatusCode::BAD_REQUEST, "both Content-Length and Transfer-Encoding\n"));
     }
-    let reading = async {
+    let read_to_end = async {
         let mut length = 0;
         while let Some(frame) = body.frame().await {
-            let frame = frame.map_err(|_| (StatusCode::BAD_REQUEST, "the body breaks off\n"))?;
+            let frame = frame.map_err(|_| (StatusCode::BAD_REQUEST, "the request body is incomplete\n"))?;
             length += frame.data_ref().map_or(0, Bytes::len);
-            if length > BODY {
-                return Err((StatusCode::PAYLOAD_TOO_LARGE, "calls have no body to speak of\n"));
+            if length > MAX_BODY_BYTES {
+                return Err((StatusCode::PAYLOAD_TOO_LARGE, "the request body is too large\n"));
             }
         }
         Ok(())
     };
-    let late = |_| Err((StatusCode::REQUEST_TIMEOUT, "the body did not come\n"));
-    tokio::time::timeout(BODY_WITHIN, reading).await.unwrap_or_else(late)
+    let timed_out = |_| Err((StatusCode::REQUEST_TIMEOUT, "timed out waiting for the request body\n"));
+    tokio::time::timeout(BODY_TIMEOUT, read_to_end).await.unwrap_or_else(timed_out)
 }
 
 fn text(status: StatusCode, text: &'static str) -> Response<Full<Bytes>> {
