--- a/crates/balance/src/balancer/admission.rs
+++ b/crates/balance/src/balancer/admission.rs
@@ -14,10 +14,10 @@
 const MAX_EXPECTED_AIMS: f64 = 0.75;
 /// Exponent of a request's worth relative to the best, by which its latency limit is multiplied.
 const WORTH_EXPONENT: f64 = 0.5;
-/// Fraction of the tolerable delay at which a class makes classes of lower worth yield fully.
-const FULL_YIELD_DELAY: f64 = 0.1;
-/// After this many refusals of a class, one request is admitted to measure its response time. Counted because
-/// a node of a large fleet may see few requests of the class within an aim.
+/// Fraction of its tolerable delay at which a class has full priority over classes of lower worth.
+const FULL_PRIORITY_DELAY: f64 = 0.1;
+/// After this many refusals of a class, one request is admitted to measure its response time. One per aim
+/// would be too many on a node with few requests.
 const REFUSALS_PER_TRIAL: u32 = 10;
 /// A tenant exceeds its share by more than this many standard deviations of a Poisson count.
 const SHARE_TOLERANCE_DEVIATIONS: f64 = 1.0;
@@ -43,8 +43,7 @@
         let is_known = class < self.class_states.len();
         if let Some((index, queue)) = is_known.then(|| self.choose_server(now, &pending)).flatten() {
             let excess = self.expected_latency(class, queue) - self.max_latency(now, &request);
-            // A class whose requests are all refused gets no answers that could show that it has become
-            // quick.
+            // A class whose requests are all refused gets no answers that could show that it is fast again.
             let state = &mut self.class_states[class];
             let is_stale = now.saturating_sub(state.admitted_at) > self.settings.classes[class].aim;
             let is_trial = is_stale && state.refusals >= REFUSALS_PER_TRIAL && !request.is_retry;
@@ -85,16 +84,16 @@
         self.settings.classes[class].worth / work
     }
 
-    /// How far the answers of a class are delayed: from 0, not at all, to 1, where lower classes yield fully.
+    /// How far the answers of a class are delayed: 0 for not at all, 1 for full priority over lower classes.
     fn delay_ratio(&self, now: Nanos, class: usize) -> f64 {
         let state = &self.class_states[class];
         let tolerable = MAX_EXPECTED_AIMS * self.settings.classes[class].aim as f64 - state.min_nanos;
         let delay = state.delay.value_at(now, self.delay_decay_nanos);
-        (delay / tolerable.max(1.0) / FULL_YIELD_DELAY).clamp(0.0, 1.0)
+        (delay / tolerable.max(1.0) / FULL_PRIORITY_DELAY).clamp(0.0, 1.0)
     }
 
     /// The longest expected response time with which a request is admitted, in nanoseconds. Worth counts only
-    /// as far as classes of higher worth are delayed: without contention no request has to yield.
+    /// as far as classes of higher worth are delayed: without contention it lowers no limit.
     pub(super) fn max_latency(&self, now: Nanos, request: &Request) -> f64 {
         let class = &self.settings.classes[usize::from(request.class)];
         let mut own = self.worth_per_work(usize::from(request.class));
@@ -108,8 +107,7 @@
                 (best.max(self.worth_per_work(other)), delayed.max(self.delay_ratio(now, other)));
         }
         let left = request.give_up_at.saturating_sub(now) as f64;
-        // The aim counts from the client's first try: an answer to a retry after it only delays other
-        // requests.
+        // The aim counts from the client's first try: later answers to retries only delay other requests.
         let age = if request.is_retry { (class.give_up as f64 - left).max(0.0) } else { 0.0 };
         let wanted = (1.0 + class.late_worth) * class.aim as f64 - age;
         let aims =
@@ -117,9 +115,10 @@
         (aims * wanted).min(left) * (own / best).powf(WORTH_EXPONENT * delayed)
     }
 
-    pub(super) fn refuse(&mut self, id: RequestId, wait: f64, reason: Refusal, sink: Sink) {
+    /// Refuses a request, with the advice to retry after about this time.
+    pub(super) fn refuse(&mut self, id: RequestId, wait_nanos: f64, reason: Refusal, sink: Sink) {
         let jitter = 0.5 + self.random_fraction();
-        let advice = (wait * jitter).min(self.settings.max_retry_after as f64) as Nanos;
+        let advice = (wait_nanos * jitter).min(self.settings.max_retry_after as f64) as Nanos;
         let retry_after = if self.settings.retry_after { advice } else { 0 };
         sink.push(Action::Refuse { request: id, reason, retry_after });
     }
--- a/crates/balance/src/balancer/attempts.rs
+++ b/crates/balance/src/balancer/attempts.rs
@@ -15,14 +15,22 @@
             .max(now as f64 - MAX_CATCH_UP_WINDOWS * self.settings.overload_window as f64);
         (self.servers[index].pacing_start, self.servers[index].pacing_jitter) = (pacing_start, 1.0);
         self.add_score(index, credit);
-        let alone = self.servers[index].outstanding == 0;
-        let working = self.pending.get(&id).is_some_and(|pending| !pending.request.has_streaming_body);
-        if working {
+        let server_was_idle = self.servers[index].outstanding == 0;
+        let is_outstanding = self.pending.get(&id).is_some_and(|pending| !pending.request.has_streaming_body);
+        if is_outstanding {
             self.begin_work(now, index, weight);
         }
         if let Some(pending) = self.pending.get_mut(&id) {
-            let attempt =
-                Attempt { server: index, sent_at: now, credit, weight, open: true, working, alone, took: 0 };
+            let attempt = Attempt {
+                server: index,
+                sent_at: now,
+                credit,
+                weight,
+                is_open: true,
+                is_outstanding,
+                server_was_idle,
+                took: 0,
+            };
             pending.attempts.push(attempt);
             sink.push(Action::Send { request: id, server: self.servers[index].entry.id, timeout: 0 });
         }
@@ -43,8 +51,8 @@
     pub(super) fn body_written(&mut self, now: Nanos, id: RequestId, attempt: u8) {
         let attempt =
             self.pending.get_mut(&id).and_then(|pending| pending.attempts.get_mut(usize::from(attempt)));
-        if let Some(attempt) = attempt.filter(|attempt| attempt.open && !attempt.working) {
-            attempt.working = true;
+        if let Some(attempt) = attempt.filter(|attempt| attempt.is_open && !attempt.is_outstanding) {
+            attempt.is_outstanding = true;
             let (index, weight) = (attempt.server, attempt.weight);
             self.begin_work(now, index, weight);
         }
@@ -60,17 +68,17 @@
         sink: Sink,
     ) {
         let Some(pending) = self.pending.get_mut(&id) else { return };
-        let Some(attempt) = pending.attempts.get_mut(usize::from(attempt)).filter(|attempt| attempt.open)
+        let Some(attempt) = pending.attempts.get_mut(usize::from(attempt)).filter(|attempt| attempt.is_open)
         else {
             return;
         };
-        (attempt.open, attempt.took) = (false, took);
+        (attempt.is_open, attempt.took) = (false, took);
         let (attempt, request) = (*attempt, pending.request);
         let window = self.settings.classes[usize::from(request.class)].window;
         if !ending.never_ran() && pending.first_run.is_none() {
             pending.first_run = Some((self.servers[attempt.server].entry, attempt.sent_at + window));
         }
-        if attempt.working {
+        if attempt.is_outstanding {
             self.end_work(attempt.server, attempt.weight);
         }
         self.record_ending(now, attempt, &request, ending, sink);
@@ -93,7 +101,7 @@
         let class = usize::from(pending.request.class);
         let effect = self.settings.classes[class].effect;
         let may_have_run = pending.first_run.is_some();
-        let is_free = ending.never_ran();
+        let never_ran = ending.never_ran();
         // A malformed request must not go from server to server and count as a failure of each.
         let is_rejected = ending == Ending::Rejected;
         let may_retry = !pending.response_started
@@ -101,11 +109,12 @@
             && !body_consumed
             && pending.attempts.len() < pending.max_attempts as usize
             && (!may_have_run || effect != Effect::Unsafe)
-            && (is_free || self.retry_budget >= 1.0)
+            && (never_ran || self.retry_budget >= 1.0)
             && now + (self.class_states[class].typical_nanos / 2.0) as Nanos <= pending.request.give_up_at;
         let next = if may_retry { self.choose_server(now, &pending) } else { None };
-        let all = self.settings.classes[class].group == Group::All;
-        let is_repeatable = !may_have_run || effect == Effect::Safe || (effect == Effect::Keyed && all);
+        let all_drop_repeats = self.settings.classes[class].group == Group::All;
+        let is_repeatable =
+            !may_have_run || effect == Effect::Safe || (effect == Effect::Keyed && all_drop_repeats);
         if next.is_none() {
             pending.closed = true;
             if is_repeatable && !is_rejected && now < pending.request.give_up_at {
@@ -116,7 +125,7 @@
         }
         self.pending.insert(id, pending);
         let Some((index, _)) = next else { return self.close(id, sink) };
-        self.retry_budget -= if is_free { 0.0 } else { 1.0 };
+        self.retry_budget -= if never_ran { 0.0 } else { 1.0 };
         self.send_attempt(now, id, index, sink)
     }
 
@@ -139,12 +148,11 @@
         self.send_attempt(now, id, index, sink);
     }
 
-    /// Closes a request to which no answer is owed any longer: cancels its open attempts, and forgets it once
-    /// all of them have ended.
+    /// Closes a request: cancels its open attempts, and forgets it once all of them have ended.
     pub(super) fn close(&mut self, id: RequestId, sink: Sink) {
         let Some(pending) = self.pending.get_mut(&id) else { return };
         if !pending.closed && self.settings.cancel && !pending.response_started {
-            for (number, _) in pending.attempts.iter().enumerate().filter(|(_, attempt)| attempt.open) {
+            for (number, _) in pending.attempts.iter().enumerate().filter(|(_, attempt)| attempt.is_open) {
                 sink.push(Action::Cancel { request: id, attempt: number as u8 });
             }
         }
--- a/crates/balance/src/balancer/health.rs
+++ b/crates/balance/src/balancer/health.rs
@@ -1,5 +1,4 @@
-//! What the ending of an attempt tells of its server and of the fleet: response times, failures and outlier
-//! ejection.
+//! Response times, failure rates and outlier ejection, updated when attempts end.
 
 use super::{Attempt, Balancer, Sink};
 use crate::interface::{Action, Ending, Nanos, Phase, Request};
@@ -72,7 +71,8 @@
                 max_samples
             };
             class_state.typical_nanos += (took - class_state.typical_nanos) / samples;
-            let (unit_time, rise) = (took / weight, if attempt.alone { MIN_TIME_RISE_WEIGHT } else { 0.0 });
+            let (unit_time, rise) =
+                (took / weight, if attempt.server_was_idle { MIN_TIME_RISE_WEIGHT } else { 0.0 });
             class_state.min_nanos =
                 if class_state.min_nanos == 0.0 { unit_time } else { class_state.min_nanos };
             class_state.min_nanos += (unit_time - class_state.min_nanos)
--- a/crates/balance/src/balancer/mod.rs
+++ b/crates/balance/src/balancer/mod.rs
@@ -32,7 +32,9 @@
 /// Time constant of the decay of delays without new answers, in multiples of the longest aim.
 const DELAY_DECAY_AIMS: f64 = 3.0;
 
+/// What this node knows of a server.
 pub(crate) struct ServerState {
+    /// The server's last list entry.
     pub(crate) entry: Server,
     /// Capacity relative to other servers; 1 where sizes cannot be compared.
     size: f64,
@@ -41,7 +43,7 @@
     outstanding_weight: f64,
     /// When it last answered, or received work while it had none.
     silent_since: Nanos,
-    /// Relative response time beyond the fleet's; 0 for a server as slow as the fleet.
+    /// Response time relative to the class's typical one, minus the fleet's pressure.
     pub(crate) lag: DecayingValue,
     reported_queue: f64,
     reported_at: Nanos,
@@ -69,15 +71,17 @@
     sent_at: Nanos,
     /// Added to the server's score when the attempt was sent.
     credit: f64,
+    /// Expected response time of the request, in its class's typical ones.
     weight: f64,
-    open: bool,
+    is_open: bool,
     /// The server has received the whole request, and the attempt counts as outstanding.
-    working: bool,
+    is_outstanding: bool,
     /// The server had no other outstanding attempt of this node when this one was sent.
-    alone: bool,
+    server_was_idle: bool,
     took: Nanos,
 }
 
+/// A request without a final answer, or with open attempts.
 struct Pending {
     request: Request,
     arrived_at: Nanos,
@@ -85,7 +89,7 @@
     max_attempts: u32,
     /// Server of the first attempt that may have run, and until when its group drops repeats.
     first_run: Option<(Server, Nanos)>,
-    /// No final answer is owed any longer.
+    /// No final answer is due any longer.
     closed: bool,
     /// The answer is a stream that has begun.
     response_started: bool,
@@ -93,7 +97,7 @@
 
 impl Pending {
     fn open_attempts(&self) -> usize {
-        self.attempts.iter().filter(|attempt| attempt.open).count()
+        self.attempts.iter().filter(|attempt| attempt.is_open).count()
     }
 }
 
--- a/crates/balance/src/balancer/start_times.rs
+++ b/crates/balance/src/balancer/start_times.rs
@@ -7,8 +7,7 @@
 
 /// A start announced this long before it is possible shows a wrong clock, not a late list.
 const MIN_CLOCK_SKEW: Nanos = 5_000_000_000;
-/// This many such starts in a row show that a clock of this node or of discovery is wrong, not one of a
-/// server.
+/// This many such starts in a row are attributed to the clock of this node, not to those of servers.
 const STARTS_TO_DETECT_SKEW: u32 = 2;
 
 /// What is known of the clock by which lists announce starts.
@@ -27,7 +26,7 @@
 pub(super) struct DatedStart {
     /// As the list announced it.
     announced: Nanos,
-    /// On our clock; 0 for long ago.
+    /// On this process's clock; 0 for long ago.
     pub(super) at: Nanos,
     /// From the first list: only the wall clocks tell when it was.
     is_unbounded: bool,
@@ -57,8 +56,8 @@
         }
     }
 
-    /// Starts announced long before they were possible show that our clock is ahead. Then the servers of the
-    /// first list, whose starts nothing else bounds, have started later too.
+    /// Starts announced long before they were possible show that this node's clock is ahead. Then the servers
+    /// of the first list, whose starts nothing else bounds, have started later too.
     fn detect_clock_skew(&mut self, now: Nanos, announced: Nanos, observed_at: Nanos) {
         let clock = &mut self.start_clock;
         if observed_at.saturating_sub(announced) < MIN_CLOCK_SKEW {
--- a/crates/balance/src/knowledge.rs
+++ b/crates/balance/src/knowledge.rs
@@ -16,8 +16,8 @@
 const MAX_EJECTION_GIVE_UPS: Nanos = 16;
 /// Least imported typical response time, in aims: with a shorter one, any answer would look delayed.
 const MIN_TYPICAL_AIMS: f64 = 1e-3;
-/// Largest valid score and lag.
-const MAX_SCORE: f64 = 1e9;
+/// Largest valid score or lag.
+const MAX_SCORE_OR_LAG: f64 = 1e9;
 
 /// What is known of one class.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
@@ -94,8 +94,8 @@
                 && within(class.min_nanos, f64::MAX)
         };
         let is_valid_server = |server: &ServerKnowledge| {
-            within(server.lag.abs(), MAX_SCORE)
-                && within(server.score, MAX_SCORE)
+            within(server.lag.abs(), MAX_SCORE_OR_LAG)
+                && within(server.score, MAX_SCORE_OR_LAG)
                 && within(server.failure_rate, 1.0)
                 && server.consecutive_failures <= MAX_CONSECUTIVE_FAILURES
                 && server.lag_at <= now
--- a/crates/balance/tests/admission.rs
+++ b/crates/balance/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Admission by worth with one balancer: requests yield only to delayed requests of higher worth. Many
+//! Admission by worth with one balancer: worth counts only while requests of higher worth are delayed. Many
 //! balancers over one fleet are tested in `crates/laboratory`.
 
 mod common;
--- a/crates/balance/tests/settings_update.rs
+++ b/crates/balance/tests/settings_update.rs
@@ -137,7 +137,7 @@
     let (id, request) = test_node.new_request();
     let actions = test_node.handle(Event::Request(Request { tenant, ..request }));
     let server = sent(&actions).first().copied();
-    // Some answers are slow: without delays no request has to yield.
+    // Some answers are slow: without delays no request over its tenant's share is refused.
     let took = if id.is_multiple_of(3) { 60 * MS } else { 10 * MS };
     server.into_iter().for_each(|server| drop(test_node.outcome(id, server, 0, took, Ending::Ok)));
     server.is_none()
