--- a/crates/balance/src/balancer/health.rs
+++ b/crates/balance/src/balancer/health.rs
@@ -17,8 +17,8 @@
 const TYPICAL_FALL_SAMPLES: f64 = 50.0;
 /// Weight of a new sample in a class's minimal response time: of a faster answer, and of a slower one that
 /// did not wait behind other attempts of this node.
-const MIN_TIME_FALL_WEIGHT: f64 = 0.2;
-const MIN_TIME_RISE_WEIGHT: f64 = 0.002;
+const MINIMUM_FALL_WEIGHT: f64 = 0.2;
+const MINIMUM_RISE_WEIGHT: f64 = 0.002;
 /// Weight of a new ending in a server's failure rate, and the least success rate that is assumed.
 const FAILURE_WEIGHT: f64 = 0.15;
 const MIN_SUCCESS_RATE: f64 = 0.02;
@@ -72,11 +72,11 @@
             };
             class_state.typical_nanos += (took - class_state.typical_nanos) / samples;
             let (unit_time, rise) =
-                (took / weight, if attempt.server_was_idle { MIN_TIME_RISE_WEIGHT } else { 0.0 });
+                (took / weight, if attempt.server_was_idle { MINIMUM_RISE_WEIGHT } else { 0.0 });
             class_state.min_nanos =
                 if class_state.min_nanos == 0.0 { unit_time } else { class_state.min_nanos };
             class_state.min_nanos += (unit_time - class_state.min_nanos)
-                * if unit_time < class_state.min_nanos { MIN_TIME_FALL_WEIGHT } else { rise };
+                * if unit_time < class_state.min_nanos { MINIMUM_FALL_WEIGHT } else { rise };
             class_state.delay.add_sample(
                 now,
                 self.delay_decay_nanos,
--- a/crates/balance/src/balancer/start_times.rs
+++ b/crates/balance/src/balancer/start_times.rs
@@ -15,8 +15,8 @@
 pub(super) struct StartClock {
     /// When discovery last sent a list or a heartbeat; none before its first list.
     observed_at: Option<Nanos>,
-    /// Consecutive starts that were announced before they were possible, and the least time by which our
-    /// clock may be ahead of theirs.
+    /// Consecutive starts that were announced before they were possible, and the least time by which
+    /// this node's clock is ahead according to them.
     skewed_starts: u32,
     skew: Nanos,
 }
--- a/crates/balance/src/interface.rs
+++ b/crates/balance/src/interface.rs
@@ -151,15 +151,15 @@
     pub peers: bool,
     /// Refusals advise clients when to retry.
     pub retry_after: bool,
-    /// Longest such advice.
+    /// Longest such advice that clients follow.
     pub max_retry_after: Nanos,
     /// Least fraction of its capacity that a server has at its start; above 0, at most 1.
     pub cold_from: f64,
     /// Time from its start after which a server has its full capacity.
     pub ramp: Nanos,
-    /// A cold server fails if it gets more than this multiple of its current capacity for `overload_window`.
+    /// More than this multiple of its current capacity, for `overload_window`, overloads a cold server.
     pub tip_multiple: f64,
-    /// How long an overload may last before a cold server fails; see `tip_multiple`.
+    /// The time over which that load is measured; see `tip_multiple`.
     pub overload_window: Nanos,
     /// Listed sizes are comparable between servers.
     pub sizes_known: bool,
