--- a/crates/operate/src/events.rs
+++ b/crates/operate/src/events.rs
@@ -1,32 +1,32 @@
-//! The last events of requests and connections, kept in memory for whoever looks for a cause afterwards. Each names its subject and
-//! the reason, where there was a choice.
+//! The most recent events of requests and connections, kept in memory for diagnosis. Each names its subject, and the
+//! reason of a decision.
 
 use corkhollow_balance::interface::{Ending, Nanos, RequestId};
 use std::collections::VecDeque;
 use std::fmt;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// How many events are kept; older ones go.
+/// Capacity of the event log; the oldest events are dropped first.
 const MAX_EVENTS: usize = 2_048;
-/// How much of a client's own request id is kept, in bytes.
-const MAX_ID: usize = 32;
+/// Longer request ids of clients are truncated.
+const MAX_CLIENT_REQUEST_ID_BYTES: usize = 32;
 
-/// A client's own id of a request, cut to what is kept of it.
+/// The request id that a client sent, truncated to a fixed size.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub struct ClientRequestId {
-    bytes: [u8; MAX_ID],
+    bytes: [u8; MAX_CLIENT_REQUEST_ID_BYTES],
     length: u8,
 }
 
 impl ClientRequestId {
-    /// Keeps the beginning of an id; bytes that are not printable become dots.
+    /// Truncates an id and replaces non-printable bytes with dots.
     pub fn new(id: &[u8]) -> Self {
-        let mut bytes = [0; MAX_ID];
-        let kept = id.len().min(MAX_ID);
-        for (to, from) in bytes.iter_mut().zip(id) {
-            *to = if from.is_ascii_graphic() { *from } else { b'.' };
+        let mut bytes = [0; MAX_CLIENT_REQUEST_ID_BYTES];
+        let length = id.len().min(MAX_CLIENT_REQUEST_ID_BYTES);
+        for (target, byte) in bytes.iter_mut().zip(id) {
+            *target = if byte.is_ascii_graphic() { *byte } else { b'.' };
         }
-        ClientRequestId { bytes, length: kept as u8 }
+        ClientRequestId { bytes, length: length as u8 }
     }
 }
 
@@ -43,57 +43,57 @@
     }
 }
 
-/// Who an event is about.
+/// What an event is about.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Subject {
-    /// A request, by its number in its pool.
+    /// A request.
     Request {
-        /// The pool's name.
+        /// Name of the pool.
         pool: Arc<str>,
-        /// The number.
+        /// Number of the request, unique in its pool.
         number: RequestId,
     },
-    /// A client's connection, by its number in the process.
+    /// A client connection, by its number, which is unique in the process.
     Connection(u64),
 }
 
 /// What happened.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A request was taken: its client's own id.
+    /// A request was received, with this client request id.
     Received(ClientRequestId),
-    /// An attempt was sent on its way.
+    /// An attempt was sent to a server.
     AttemptSent {
-        /// Its number among the request's attempts.
+        /// Number among the request's attempts.
         attempt: u8,
-        /// The server's name.
+        /// Name of the server.
         server: Arc<str>,
-        /// It runs beside another one.
+        /// Whether another attempt of the request is still running.
         hedge: bool,
     },
-    /// An attempt has ended.
+    /// An attempt ended.
     AttemptEnded {
-        /// Its number.
+        /// Number among the request's attempts.
         attempt: u8,
-        /// How.
+        /// How it ended.
         ending: Ending,
     },
-    /// What was proposed was denied, for this reason.
+    /// The rules denied a proposed attempt or answer, for this reason.
     Denied(&'static str),
-    /// The request has its final answer, for this reason where there was a choice.
+    /// The request got its final answer, named so.
     Answered(&'static str),
-    /// Its client left before there was an answer.
+    /// The client left before there was an answer.
     ClientLeft,
-    /// The connection ended, for this reason.
+    /// The connection was closed, for this reason.
     Closed(&'static str),
 }
 
 /// An event with its time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
-    /// When, on the process's clock.
+    /// Time on the process's clock.
     pub at: Nanos,
-    /// Who it is about.
+    /// What the event is about.
     pub subject: Subject,
     /// What happened.
     pub event: Event,
@@ -120,7 +120,7 @@
     }
 }
 
-/// The last events. Cheap to clone; written by the serving thread, read by any.
+/// A ring of recent events. Clones share it; the serving thread writes, any thread reads.
 #[derive(Clone, Debug, Default)]
 pub struct EventLog(Arc<Mutex<VecDeque<Record>>>);
 
@@ -129,7 +129,7 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Keeps an event, in place of the oldest one where there is no room.
+    /// Appends an event, dropping the oldest one if the log is full.
     pub fn record(&self, at: Nanos, subject: Subject, event: Event) {
         let mut events = self.lock();
         if events.len() >= MAX_EVENTS {
@@ -138,9 +138,9 @@
         events.push_back(Record { at, subject, event });
     }
 
-    /// A line for each, the oldest first.
+    /// One line per event, oldest first.
     pub fn render(&self) -> String {
-        // Written without the lock: the serving thread must not wait for a reader.
+        // Format outside the lock, so that the serving thread does not wait for a reader.
         let events: Vec<Record> = self.lock().iter().cloned().collect();
         events.iter().map(|event| format!("{event}\n")).collect()
     }
--- a/crates/operate/src/fleet_page.rs
+++ b/crates/operate/src/fleet_page.rs
@@ -1,63 +1,63 @@
-//! The node's view of its fleet, as operators see it.
+//! The node's view of its fleet: the JSON of the fleet page and the fleet metrics.
 
 use crate::metrics::FleetMetrics;
 use corkhollow_fleet::{Group, Kind, Nanos, Refusal, Snapshot, State, Stats};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// What `GET /-/fleet` answers, in JSON.
+/// JSON body of `GET /-/fleet`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetPage {
-    /// The fleet's name.
+    /// Name of the fleet.
     pub fleet: String,
-    /// The node's own.
+    /// Name of this node.
     pub node: String,
-    /// Its incarnation.
+    /// Incarnation of this node.
     pub incarnation: u64,
-    /// The digest of its view, in hex: equal exactly where names, incarnations and presence are.
+    /// Digest of the view, in hex. Views with the same names, incarnations and presence have the same digest.
     pub view: String,
-    /// Whether its view stands still and those that it hears have the same.
+    /// Whether the view is stable and agrees with those of the nodes that this one hears from.
     pub settled: bool,
-    /// Its number among those that are there, from 0.
+    /// Rank of this node among the present members, from 0.
     pub ordinal: u32,
-    /// How many are there: what a sum over all nodes is divided by.
+    /// Number of present members, this node included. Fleet-wide limits are divided by it.
     pub size: u32,
-    /// Another process that has been there for longer has its name: it looks on.
+    /// Address of an older process with the same name; while it is there, this node only observes the fleet.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub refused_by: Option<SocketAddr>,
-    /// All members by name, itself included.
+    /// All members by name, this node included.
     pub members: Vec<FleetMember>,
 }
 
-/// One member.
+/// One member of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetMember {
-    /// Its name.
+    /// Name of the node.
     pub node: String,
-    /// Where it is reached.
+    /// Address for datagrams of the fleet.
     pub address: SocketAddr,
-    /// Its zone; empty where it has none.
+    /// Zone of the node; empty if it has none.
     pub zone: String,
-    /// `alive`, `suspect`, `dead` or `left`.
+    /// State in this node's view: `alive`, `suspect`, `dead` or `left`.
     pub state: String,
-    /// Its incarnation.
+    /// Incarnation of the node.
     pub incarnation: u64,
-    /// For how long the state has held, in milliseconds.
+    /// Time since the state changed, in milliseconds.
     pub since_ms: u64,
-    /// Its operator empties it.
+    /// Whether the node is draining.
     pub drains: bool,
 }
 
 impl FleetPage {
-    /// A view, as it was `ago` nanoseconds before.
-    pub fn new(snapshot: &Snapshot, refused_by: Option<SocketAddr>, ago: Nanos) -> Self {
+    /// Builds the page from a snapshot taken `age` nanoseconds ago.
+    pub fn new(snapshot: &Snapshot, refused_by: Option<SocketAddr>, age: Nanos) -> Self {
         let member = |member: &corkhollow_fleet::MemberView| FleetMember {
             node: member.name.clone(),
             address: member.address,
             zone: member.zone.clone(),
             state: member.state.name().to_owned(),
             incarnation: member.incarnation,
-            since_ms: (member.since + ago) / 1_000_000,
+            since_ms: (member.since + age) / 1_000_000,
             drains: member.drains,
         };
         let Group { ordinal, size } = snapshot.group;
@@ -74,44 +74,45 @@
         }
     }
 
-    /// In JSON.
+    /// Serialises the page.
     pub fn to_json(&self) -> String {
-        // Nothing in it can fail to be written.
+        // Serialisation of this type cannot fail.
         serde_json::to_string(self).unwrap_or_default()
     }
 
-    /// Reads what another node has answered.
+    /// Parses the page of another node.
     ///
     /// # Errors
-    /// Where it is no such page.
+    /// If the bytes are not a fleet page.
     pub fn from_json(json: &[u8]) -> Result<Self, serde_json::Error> {
         serde_json::from_slice(json)
     }
 }
 
 impl FleetMetrics {
-    /// Brings the figures up to date.
+    /// Updates the metrics from a snapshot and the node's counters.
     pub fn update(&self, snapshot: &Snapshot, stats: &Stats) {
         for state in State::ALL {
             let count = snapshot.members.iter().filter(|member| member.state == state).count();
             self.members.with_label_values(&[state.name()]).set(count as i64);
         }
-        let raise =
-            |counter: &prometheus::IntCounter, to: u64| counter.inc_by(to.saturating_sub(counter.get()));
-        raise(&self.changes, stats.changes);
-        raise(&self.refuted, stats.refuted);
+        let raise_to = |counter: &prometheus::IntCounter, total: u64| {
+            counter.inc_by(total.saturating_sub(counter.get()))
+        };
+        raise_to(&self.changes, stats.changes);
+        raise_to(&self.refuted, stats.refuted);
         for kind in Kind::ALL {
-            for (way, counts) in [("out", &stats.sent), ("in", &stats.taken)] {
-                let (datagrams, bytes) = counts[kind as usize];
-                raise(&self.datagrams.with_label_values(&[kind.name(), way]), datagrams);
-                raise(&self.bytes.with_label_values(&[kind.name(), way]), bytes);
+            for (way, counters) in [("out", &stats.sent), ("in", &stats.taken)] {
+                let (datagrams, bytes) = counters[kind as usize];
+                raise_to(&self.datagrams.with_label_values(&[kind.name(), way]), datagrams);
+                raise_to(&self.bytes.with_label_values(&[kind.name(), way]), bytes);
             }
         }
-        for why in Refusal::ALL {
-            raise(&self.refused.with_label_values(&[why.name()]), stats.refused[why as usize]);
+        for refusal in Refusal::ALL {
+            raise_to(&self.refused.with_label_values(&[refusal.name()]), stats.refused[refusal as usize]);
         }
-        self.late.set(stats.late as f64 / 1e9);
-        self.latest.set(stats.latest as f64 / 1e9);
+        self.late_seconds.set(stats.late as f64 / 1e9);
+        self.max_late_seconds.set(stats.latest as f64 / 1e9);
         self.settled.set(i64::from(snapshot.settled));
         self.size.set(i64::from(snapshot.group.size));
     }
--- a/crates/operate/src/request_tracker.rs
+++ b/crates/operate/src/request_tracker.rs
@@ -1,4 +1,4 @@
-//! One request under way, and the one place where its end is counted.
+//! Tracks one request and counts its outcome exactly once.
 
 use corkhollow_balance::interface::Nanos;
 use prometheus::{Histogram, IntCounter, IntGauge};
@@ -6,28 +6,28 @@
 /// Why a request was not served.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnservedReason {
-    /// No server could take it in time (declined).
+    /// No server had capacity in time (declined).
     Busy,
-    /// Its client's connection had no place (declined).
+    /// The client's connection was over the connection limit (declined).
     ConnectionLimit,
-    /// A server would not have it: 429 or 503 (declined).
+    /// A server answered 429 or 503 (declined).
     ServerBusy,
-    /// No answer in time (aborted).
+    /// There was no answer before the deadline (aborted).
     TimedOut,
-    /// Attempts failed, or none could be made (aborted).
+    /// All attempts failed, or none could be made (aborted).
     Failed,
-    /// A server told of an error of its own (aborted).
+    /// A server answered with a 5xx other than 503 (aborted).
     ServerError,
-    /// The answer broke off on its way (aborted).
+    /// The answer ended before it was complete (aborted).
     AnswerTruncated,
     /// The client left before there was an answer (aborted).
     ClientLeft,
-    /// The program turned it down as it was: unreadable, too long, too slow (aborted).
+    /// The gateway rejected the request: malformed, too large or too slow (aborted).
     RejectedByGateway,
 }
 
 impl UnservedReason {
-    /// All there are, in the order of their numbers.
+    /// All reasons, in the order of their discriminants.
     pub const ALL: [UnservedReason; 9] = [
         UnservedReason::Busy,
         UnservedReason::ConnectionLimit,
@@ -40,7 +40,7 @@
         UnservedReason::RejectedByGateway,
     ];
 
-    /// Its name on the page.
+    /// The reason's label in metrics.
     pub fn name(self) -> &'static str {
         match self {
             UnservedReason::Busy => "busy",
@@ -60,19 +60,19 @@
     }
 }
 
-/// Where the requests of one class are counted.
+/// Metrics of one class of requests.
 #[derive(Clone, Debug)]
 pub struct ClassMetrics {
     pub(crate) succeeded: IntCounter,
     pub(crate) declined: IntCounter,
     pub(crate) aborted: IntCounter,
-    /// By the reason's number.
+    /// Indexed by [`UnservedReason`].
     pub(crate) unserved: [IntCounter; UnservedReason::ALL.len()],
-    pub(crate) answered: Histogram,
+    pub(crate) answer_seconds: Histogram,
     pub(crate) outstanding: IntGauge,
 }
 
-/// How a request stands.
+/// Outcome of a request so far.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Outcome {
     Open,
@@ -80,8 +80,7 @@
     Unserved(UnservedReason),
 }
 
-/// One request under way. It is counted when this is dropped, once: as left by its client unless something else was
-/// said.
+/// Counts one request when dropped: by the outcome recorded, or as [`UnservedReason::ClientLeft`] if there was none.
 #[derive(Debug)]
 pub struct RequestTracker {
     class: ClassMetrics,
@@ -90,12 +89,12 @@
 }
 
 impl RequestTracker {
-    /// A request whose class is known.
+    /// Starts tracking a request of this class.
     pub fn new(class: ClassMetrics) -> Self {
         RequestTracker { class, received_at: None, outcome: Outcome::Open }
     }
 
-    /// Its last byte has come.
+    /// Records that the last byte of the request was received; it is outstanding from now on.
     pub fn mark_received(&mut self, now: Nanos) {
         if self.received_at.is_none() {
             self.received_at = Some(now);
@@ -103,15 +102,15 @@
         }
     }
 
-    /// Its client is only told to come back.
+    /// Records that the request is refused because its connection is over the limit.
     pub fn mark_over_limit(&mut self) {
         self.outcome = Outcome::Unserved(UnservedReason::ConnectionLimit);
     }
 
-    /// It is answered with this status: a server's, or the program's own.
+    /// Records the status of the final answer, made by a server or by the gateway itself.
     pub fn record_answer(&mut self, now: Nanos, status: u16, by_server: bool) {
-        // A server that says that there is no such thing has served the request; the program that says so has not.
-        let standing = match (status, by_server) {
+        // A server's 4xx (e.g. 404) counts as served; the gateway's own does not.
+        let outcome = match (status, by_server) {
             (429 | 503, true) => Outcome::Unserved(UnservedReason::ServerBusy),
             (429 | 503, false) => Outcome::Unserved(UnservedReason::Busy),
             (200..=399, _) | (400..=499, true) => Outcome::Served,
@@ -120,15 +119,15 @@
             (504, false) => Outcome::Unserved(UnservedReason::TimedOut),
             (_, false) => Outcome::Unserved(UnservedReason::Failed),
         };
-        if let (Outcome::Served, Some(at)) = (standing, self.received_at) {
-            self.class.answered.observe(now.saturating_sub(at) as f64 / 1e9);
+        if let (Outcome::Served, Some(received_at)) = (outcome, self.received_at) {
+            self.class.answer_seconds.observe(now.saturating_sub(received_at) as f64 / 1e9);
         }
         if self.outcome == Outcome::Open {
-            self.outcome = standing;
+            self.outcome = outcome;
         }
     }
 
-    /// The answer has broken off.
+    /// Records that the answer ended before it was complete.
     pub fn mark_truncated(&mut self) {
         self.outcome = Outcome::Unserved(UnservedReason::AnswerTruncated);
     }
@@ -159,34 +158,34 @@
     use proptest::prelude::*;
     use proptest::test_runner::RngSeed;
 
-    fn page(figures: &Metrics) -> String {
-        String::from_utf8(figures.render().unwrap().0).unwrap()
+    fn render(metrics: &Metrics) -> String {
+        String::from_utf8(metrics.render().unwrap().0).unwrap()
     }
 
     #[test]
-    fn each_request_is_counted_once_by_how_it_ended() {
-        let figures = Metrics::new().unwrap();
-        let class = figures.for_class("status");
-        let mut open = RequestTracker::new(class.clone());
-        open.mark_received(0);
-        open.mark_received(0);
-        assert!(page(&figures).contains("\ngw_outstanding 1\n"));
+    fn each_request_is_counted_once_by_its_outcome() {
+        let metrics = Metrics::new().unwrap();
+        let class = metrics.for_class("status");
+        let mut unanswered = RequestTracker::new(class.clone());
+        unanswered.mark_received(0);
+        unanswered.mark_received(0);
+        assert!(render(&metrics).contains("\ngw_outstanding 1\n"));
         for status in [200, 200, 503, 429, 502, 404] {
-            let mut tally = RequestTracker::new(class.clone());
-            tally.mark_received(1_000_000_000);
-            tally.record_answer(1_040_000_000, status, false);
+            let mut tracker = RequestTracker::new(class.clone());
+            tracker.mark_received(1_000_000_000);
+            tracker.record_answer(1_040_000_000, status, false);
         }
-        let mut cut = RequestTracker::new(class.clone());
-        cut.record_answer(0, 200, true);
-        cut.mark_truncated();
-        drop(cut);
-        let mut turned_away = RequestTracker::new(class);
-        turned_away.mark_over_limit();
-        turned_away.record_answer(0, 503, false);
-        drop(turned_away);
-        RequestTracker::new(figures.for_class("general")).record_answer(0, 404, true);
-        drop(open);
-        let page = page(&figures);
+        let mut truncated = RequestTracker::new(class.clone());
+        truncated.record_answer(0, 200, true);
+        truncated.mark_truncated();
+        drop(truncated);
+        let mut over_limit = RequestTracker::new(class);
+        over_limit.mark_over_limit();
+        over_limit.record_answer(0, 503, false);
+        drop(over_limit);
+        RequestTracker::new(metrics.for_class("general")).record_answer(0, 404, true);
+        drop(unanswered);
+        let rendered = render(&metrics);
         for line in [
             "gw_succeeded{service=\"status\"} 2",
             "gw_declined{service=\"status\"} 3",
@@ -203,62 +202,61 @@
             "gw_succeeded{service=\"general\"} 1",
             "gw_outstanding 0",
         ] {
-            assert!(page.lines().any(|l| l == line), "{line} is not in\n{page}");
+            assert!(rendered.lines().any(|shown| shown == line), "{line} is not in\n{rendered}");
         }
     }
 
     #[derive(Clone, Copy, Debug)]
     enum Step {
-        Begin,
-        Take,
-        NoPlace,
+        Start,
+        Receive,
+        OverLimit,
         Answer(u16, bool),
-        Cut,
+        Truncate,
         End,
     }
 
     fn step() -> impl Strategy<Value = (usize, Step)> {
         let step = prop_oneof![
-            3 => Just(Step::Begin),
-            3 => Just(Step::Take),
-            1 => Just(Step::NoPlace),
+            3 => Just(Step::Start),
+            3 => Just(Step::Receive),
+            1 => Just(Step::OverLimit),
             3 => (any::<u16>(), any::<bool>()).prop_map(|(s, by)| Step::Answer(200 + s % 400, by)),
-            1 => Just(Step::Cut),
+            1 => Just(Step::Truncate),
             2 => Just(Step::End),
         ];
         (0..8usize, step)
     }
 
     proptest! {
-        // The same cases every time.
+        // A fixed seed: every run tests the same cases.
         #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(7), failure_persistence: None, ..ProptestConfig::default() })]
 
-        /// Whatever becomes of requests, in whatever order: none is lost, none counted twice, and the reasons come to
-        /// what was declined and aborted.
+        /// No request is lost or counted twice, and the reasons add up to those declined and aborted.
         #[test]
-        fn all_that_begins_is_open_or_counted(steps in proptest::collection::vec(step(), 0..120)) {
-            let figures = Metrics::new().unwrap();
-            let class = figures.for_class("one");
-            let (mut open, mut begun) = (Vec::<RequestTracker>::new(), 0u64);
-            for (at, step) in steps {
-                match (step, open.get_mut(at)) {
-                    (Step::Begin, _) => {
-                        open.push(RequestTracker::new(class.clone()));
-                        begun += 1;
+        fn every_request_is_open_or_counted_exactly_once(steps in proptest::collection::vec(step(), 0..120)) {
+            let metrics = Metrics::new().unwrap();
+            let class = metrics.for_class("one");
+            let (mut open_requests, mut started_count) = (Vec::<RequestTracker>::new(), 0u64);
+            for (index, step) in steps {
+                match (step, open_requests.get_mut(index)) {
+                    (Step::Start, _) => {
+                        open_requests.push(RequestTracker::new(class.clone()));
+                        started_count += 1;
                     }
                     (_, None) => {}
-                    (Step::Take, Some(tally)) => tally.mark_received(begun),
-                    (Step::NoPlace, Some(tally)) => tally.mark_over_limit(),
-                    (Step::Answer(status, by_server), Some(tally)) => tally.record_answer(begun, status, by_server),
-                    (Step::Cut, Some(tally)) => tally.mark_truncated(),
-                    (Step::End, Some(_)) => drop(open.swap_remove(at)),
+                    (Step::Receive, Some(tracker)) => tracker.mark_received(started_count),
+                    (Step::OverLimit, Some(tracker)) => tracker.mark_over_limit(),
+                    (Step::Answer(status, by_server), Some(tracker)) => tracker.record_answer(started_count, status, by_server),
+                    (Step::Truncate, Some(tracker)) => tracker.mark_truncated(),
+                    (Step::End, Some(_)) => drop(open_requests.swap_remove(index)),
                 }
-                let ended = [&class.succeeded, &class.declined, &class.aborted].map(IntCounter::get);
-                prop_assert_eq!(begun, ended.iter().sum::<u64>() + open.len() as u64);
-                let taken = open.iter().filter(|t| t.received_at.is_some()).count();
-                prop_assert_eq!(class.outstanding.get(), taken as i64);
+                let ended_counts = [&class.succeeded, &class.declined, &class.aborted].map(IntCounter::get);
+                prop_assert_eq!(started_count, ended_counts.iter().sum::<u64>() + open_requests.len() as u64);
+                let received_count = open_requests.iter()    .filter(|tracker| tracker.received_at.is_some()).count();
+                prop_assert_eq!(class.outstanding.get(), received_count as i64);
                 let reasons: u64 = class.unserved.iter().map(IntCounter::get).sum();
-                prop_assert_eq!(reasons, ended[1] + ended[2]);
+                prop_assert_eq!(reasons, ended_counts[1] + ended_counts[2]);
             }
         }
     }
