--- a/crates/operate/src/handover.rs
+++ b/crates/operate/src/handover.rs
@@ -1,114 +1,115 @@
-//! What a process hands to the one that takes its place, as bytes: a line that names the form, the body's length and
-//! CRC-32 (big endian), and the body in JSON.
+//! The state that a process hands over to its successor. Encoding: a line that names the format, the length and the CRC-32
+//! of the body (both `u32`, big endian), then the body in JSON.
 
 use corkhollow_balance::Knowledge;
 use serde::{Deserialize, Serialize};
 
-/// The first line. Another version of the form has another one.
-const FORM: &[u8] = b"corkhollow-handover 1\n";
-const HEAD: usize = FORM.len() + 8;
-/// The longest handover, in bytes.
+/// First line; names the format and its version.
+const HEADER: &[u8] = b"corkhollow-handover 1\n";
+/// Length of everything before the body.
+const PREFIX_BYTES: usize = HEADER.len() + 8;
+/// Longest encoded hand-over.
 pub const MAX_HANDOVER_BYTES: usize = 4 << 20;
 
-/// What a process knows that the next one goes on with.
+/// State that a process hands over to its successor.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Handover {
-    /// Its operator empties the node.
+    /// Whether the node is draining.
     #[serde(default)]
     pub drains: bool,
-    /// The fleet as it holds it, if it is a member of one.
+    /// View of the fleet, if the node is a member of one.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub fleet: Option<FleetHandover>,
-    /// By pool.
+    /// State of each pool.
     pub pools: Vec<PoolHandover>,
 }
 
-/// What a member of a fleet goes on with: until it is heard of itself, nothing else says how many there are.
+/// Fleet membership that a successor assumes until it has joined the fleet itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetHandover {
-    /// Its number among those that are there.
+    /// Rank of the node among the present members, from 0.
     pub ordinal: u32,
-    /// How many are there.
+    /// Number of present members, the node included.
     pub size: u32,
-    /// Its incarnation.
+    /// Incarnation of the node.
     pub incarnation: u64,
-    /// Where others are reached.
+    /// Addresses of the other members.
     pub members: Vec<std::net::SocketAddr>,
 }
 
-/// What one pool has learnt.
+/// What the balancer of one pool has learnt.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct PoolHandover {
-    /// The pool's name.
+    /// Name of the pool.
     pub name: String,
-    /// The names of the classes, in the order of [`Knowledge::classes`].
+    /// Names of the classes, in the order of [`Knowledge::classes`].
     pub classes: Vec<String>,
-    /// What its decision module knew.
+    /// Measurements of the pool's servers and classes.
     pub knowledge: Knowledge,
 }
 
-/// Why bytes are no handover.
+/// Why a hand-over cannot be encoded or decoded.
 #[derive(Debug, thiserror::Error)]
 pub enum HandoverError {
-    /// Over [`MAX_HANDOVER_BYTES`].
-    #[error("of {0} bytes; allowed: up to {MAX_HANDOVER_BYTES}")]
+    /// Longer than [`MAX_HANDOVER_BYTES`].
+    #[error("hand-over is {0} bytes long; the limit is {MAX_HANDOVER_BYTES}")]
     TooLong(usize),
-    /// Another program's, or another version's.
-    #[error("of another form")]
+    /// The first line does not name this format.
+    #[error("hand-over has an unknown format")]
     UnknownFormat,
-    /// Cut, longer than it says, or damaged.
-    #[error("not whole")]
+    /// Length or checksum do not match the body.
+    #[error("hand-over is truncated or corrupt")]
     Damaged,
-    /// Whole, but not what this version writes.
-    #[error("{0}")]
+    /// The body cannot be written or read as JSON of this format.
+    #[error("hand-over body: {0}")]
     Json(#[from] serde_json::Error),
 }
 
 impl Handover {
-    /// Writes it down.
+    /// Encodes the hand-over.
     ///
     /// # Errors
-    /// Where it would be longer than [`MAX_HANDOVER_BYTES`].
+    /// If it would be longer than [`MAX_HANDOVER_BYTES`].
     pub fn encode(&self) -> Result<Vec<u8>, HandoverError> {
         let body = serde_json::to_vec(self)?;
-        let all = HEAD + body.len();
-        let length = u32::try_from(body.len()).ok().filter(|_| all <= MAX_HANDOVER_BYTES);
-        let length = length.ok_or(HandoverError::TooLong(all))?;
-        let mut bytes = Vec::with_capacity(all);
-        bytes.extend(FORM);
+        let total_bytes = PREFIX_BYTES + body.len();
+        let length = u32::try_from(body.len()).ok().filter(|_| total_bytes <= MAX_HANDOVER_BYTES);
+        let length = length.ok_or(HandoverError::TooLong(total_bytes))?;
+        let mut bytes = Vec::with_capacity(total_bytes);
+        bytes.extend(HEADER);
         bytes.extend(length.to_be_bytes());
         bytes.extend(crc32fast::hash(&body).to_be_bytes());
         bytes.extend(body);
         Ok(bytes)
     }
 
-    /// Reads one that is whole.
+    /// Decodes a hand-over.
     ///
     /// # Errors
-    /// Where the bytes are not exactly one handover of this form.
+    /// If the bytes are not exactly one hand-over in this format.
     pub fn decode(bytes: &[u8]) -> Result<Self, HandoverError> {
         if bytes.len() > MAX_HANDOVER_BYTES {
             return Err(HandoverError::TooLong(bytes.len()));
         }
-        let rest = bytes.strip_prefix(FORM).ok_or(HandoverError::UnknownFormat)?;
+        let rest = bytes.strip_prefix(HEADER).ok_or(HandoverError::UnknownFormat)?;
         let (length, rest) = rest.split_first_chunk().ok_or(HandoverError::Damaged)?;
-        let (sum, body) = rest.split_first_chunk().ok_or(HandoverError::Damaged)?;
-        let whole = u32::from_be_bytes(*length) as usize == body.len();
-        if !whole || u32::from_be_bytes(*sum) != crc32fast::hash(body) {
+        let (checksum, body) = rest.split_first_chunk().ok_or(HandoverError::Damaged)?;
+        let is_complete = u32::from_be_bytes(*length) as usize == body.len();
+        if !is_complete || u32::from_be_bytes(*checksum) != crc32fast::hash(body) {
             return Err(HandoverError::Damaged);
         }
         Ok(serde_json::from_slice(body)?)
     }
 
-    /// The same on another clock, on which the oldest of it was written down then. The two processes may have read a wall clock that was
-    /// set in between, each at its start.
+    /// Shifts all timestamps so that the oldest one becomes `written_at`. The two processes may have started on different
+    /// settings of the wall clock.
     pub fn rebased_to(mut self, written_at: u64) -> Self {
-        let ahead = self.oldest_written_at().map_or(0, |at| written_at.wrapping_sub(at) as i64);
-        self.pools.iter_mut().for_each(|pool| pool.knowledge.shift(ahead));
+        let offset = self.oldest_written_at().map_or(0, |at| written_at.wrapping_sub(at) as i64);
+        self.pools.iter_mut().for_each(|pool| pool.knowledge.shift(offset));
         self
     }
 
-    /// When the oldest of it was written down, in nanoseconds since the Unix epoch; none where nothing was.
+    /// Oldest time at which a pool's knowledge was exported, in nanoseconds since the Unix epoch; `None` without pools.
     pub fn oldest_written_at(&self) -> Option<u64> {
         self.pools.iter().map(|pool| pool.knowledge.at).min()
     }
@@ -148,10 +149,10 @@
     }
 
     #[test]
-    fn whole_it_is_read_as_written_and_cut_or_flipped_anywhere_it_is_turned_down() {
-        let told = handover(3, 1.0 / 3.0);
-        let bytes = told.encode().unwrap();
-        assert_eq!(Handover::decode(&bytes).unwrap(), told);
+    fn intact_bytes_decode_and_truncated_or_corrupt_ones_are_rejected() {
+        let original = handover(3, 1.0 / 3.0);
+        let bytes = original.encode().unwrap();
+        assert_eq!(Handover::decode(&bytes).unwrap(), original);
         for at in 0..bytes.len() {
             assert!(Handover::decode(&bytes[..at]).is_err(), "cut at {at}");
             for bit in 0..8 {
@@ -165,29 +166,29 @@
     }
 
     #[test]
-    fn what_is_too_long_or_no_number_is_not_handed_over() {
+    fn oversized_and_non_finite_values_are_rejected() {
         assert!(matches!(handover(60_000, 1.0).encode(), Err(HandoverError::TooLong(_))));
         assert!(matches!(Handover::decode(&vec![0; MAX_HANDOVER_BYTES + 1]), Err(HandoverError::TooLong(_))));
-        // JSON has no word for it, so that it can't come back as another figure.
+        // JSON has no NaN: serde_json writes null, which must not decode as a number.
         let bytes = handover(1, f64::NAN).encode().unwrap();
         assert!(matches!(Handover::decode(&bytes), Err(HandoverError::Json(_))));
     }
 
     proptest! {
-        // The same cases every time.
+        // A fixed seed: every run tests the same cases.
         #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(11), failure_persistence: None, ..ProptestConfig::default() })]
 
         #[test]
-        fn any_bytes_are_read_or_turned_down(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
-            let framed = [FORM, &(bytes.len() as u32).to_be_bytes(), &crc32fast::hash(&bytes).to_be_bytes(), &bytes].concat();
+        fn arbitrary_bytes_are_rejected_without_a_panic(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
+            let framed = [HEADER, &(bytes.len() as u32).to_be_bytes(), &crc32fast::hash(&bytes).to_be_bytes(), &bytes].concat();
             prop_assert!(Handover::decode(&bytes).is_err());
-            prop_assert!(Handover::decode(&framed).is_err(), "no JSON of this form is so short by chance");
+            prop_assert!(Handover::decode(&framed).is_err(), "random bytes decoded as a hand-over");
         }
 
         #[test]
-        fn every_finite_figure_comes_back_as_it_was(servers in 0..40u64, lag in -1e9..1e9f64) {
-            let told = handover(servers, lag);
-            prop_assert_eq!(Handover::decode(&told.encode().unwrap()).unwrap(), told);
+        fn finite_numbers_survive_encoding_exactly(servers in 0..40u64, lag in -1e9..1e9f64) {
+            let original = handover(servers, lag);
+            prop_assert_eq!(Handover::decode(&original.encode().unwrap()).unwrap(), original);
         }
     }
 }
--- a/crates/operate/src/lib.rs
+++ b/crates/operate/src/lib.rs
@@ -1,5 +1,5 @@
-//! What operators see and steer: the node's life, its figures. The choices here have no input or output; whoever
-//! holds sockets asks them.
+//! The operator's side of a node: metrics, recent events, readiness and drain, and the hand-over to a successor process.
+//! Nothing here does I/O; the callers own the sockets and files.
 
 mod events;
 mod fleet_page;
--- a/crates/operate/src/succession.rs
+++ b/crates/operate/src/succession.rs
@@ -1,19 +1,19 @@
-//! How one process replaces another that serves the same clients from the same listening socket.
+//! Replacement of one process by another that accepts from the same listening socket (hot restart).
 
-/// Which other processes serve the same clients at this moment.
+/// Which other processes share the listening socket with this one.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Succession {
-    /// One that was there before; it will be told to end.
+    /// An older process is still serving; it will be told to terminate.
     pub has_predecessor: bool,
-    /// One that has come since; it goes on when this one ends.
+    /// A newer process has started; it continues when this one terminates.
     pub has_successor: bool,
-    /// Another one has come to the older one's place first: this one's turn is when that one serves alone or has gone.
+    /// Another successor started before this one: this process waits until that one serves alone or has ended.
     pub is_queued: bool,
 }
 
 impl Succession {
-    /// Part of the node's limits that this process may use: the limits are for the two together that may serve at once.
-    /// One that waits holds next to nothing.
+    /// Share of the node's limits that this process may use. Two processes that overlap split the limits; a queued one
+    /// gets none.
     pub fn limit_share(&self) -> f64 {
         match (self.has_predecessor || self.has_successor, self.is_queued) {
             (_, true) => 0.0,
@@ -22,8 +22,8 @@
         }
     }
 
-    /// Whether connections are taken from the socket that all share. While the older one is there, this one leaves
-    /// them alone until it can serve them: they would only wait here.
+    /// Whether this process accepts connections from the shared socket. While there is a predecessor, it does so only once
+    /// it is ready: until then the predecessor can serve them at once.
     pub fn accepts_connections(&self, ready: bool) -> bool {
         !self.is_queued && (ready || !self.has_predecessor)
     }
@@ -34,29 +34,34 @@
     use super::*;
 
     #[test]
-    fn all_processes_together_keep_to_the_limits() {
-        let shares = |all: &[(bool, bool, bool)]| -> f64 {
-            all.iter()
+    fn limit_shares_of_all_processes_sum_to_one() {
+        let shares = |processes: &[(bool, bool, bool)]| -> f64 {
+            processes
+                .iter()
                 .map(|&(has_predecessor, has_successor, is_queued)| {
                     Succession { has_predecessor, has_successor, is_queued }.limit_share()
                 })
                 .sum()
         };
-        let (old, next, third) = ((false, true, false), (true, false, false), (true, false, true));
-        assert_eq!(shares(&[old, next, third]), 1.0);
-        assert_eq!(shares(&[old, next]), 1.0);
+        let (predecessor, first_successor, queued) =
+            ((false, true, false), (true, false, false), (true, false, true));
+        assert_eq!(shares(&[predecessor, first_successor, queued]), 1.0);
+        assert_eq!(shares(&[predecessor, first_successor]), 1.0);
         assert_eq!(Succession::default().limit_share(), 1.0);
     }
 
     #[test]
-    fn one_that_is_not_ready_leaves_clients_to_the_other() {
-        let beside = Succession { has_predecessor: true, ..Succession::default() };
-        assert!(!beside.accepts_connections(false) && beside.accepts_connections(true));
-        let third = Succession { is_queued: true, ..beside };
-        assert!(!third.accepts_connections(true) && !third.accepts_connections(false), "it is not its turn");
+    fn process_that_is_not_ready_leaves_connections_to_its_predecessor() {
+        let successor = Succession { has_predecessor: true, ..Succession::default() };
+        assert!(!successor.accepts_connections(false) && successor.accepts_connections(true));
+        let queued = Succession { is_queued: true, ..successor };
+        assert!(
+            !queued.accepts_connections(true) && !queued.accepts_connections(false),
+            "a queued process must not accept"
+        );
         assert!(
             Succession::default().accepts_connections(false),
-            "alone, it has to tell clients that it is not ready"
+            "without a predecessor it must answer that it is not ready"
         );
     }
 }
