--- a/crates/proxy/src/operator.rs
+++ b/crates/proxy/src/operator.rs
@@ -65,7 +65,7 @@
     async fn serve(self, listener: TcpListener) {
         let listener = match tokio::net::TcpListener::from_std(listener) {
             Ok(listener) => listener,
-            Err(error) => return log(format_args!("operator's address: {error}")),
+            Err(error) => return log(format_args!("operator listener: {error}")),
         };
         let mut connections: VecDeque<AbortHandle> = VecDeque::new();
         loop {
--- a/crates/proxy/src/socket.rs
+++ b/crates/proxy/src/socket.rs
@@ -67,6 +67,7 @@
 }
 
 impl WriteProgress {
+    /// Whether head and body are written.
     fn is_complete(&self) -> bool {
         self.blank_line_bytes == 4 && self.body_bytes_left == 0
     }
@@ -108,6 +109,7 @@
         })
     }
 
+    /// Records bytes that are handed to hyper, and keeps them while they belong to the head.
     fn record_received(&self, bytes: &[u8]) {
         self.had_traffic.set(true);
         let mut head = self.head.borrow_mut();
--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -22,7 +22,7 @@
 
 /// A reset within this time means that the connection was already lost while it was idle; a later one means
 /// that the server failed while it processed the request.
-const IMMEDIATE_RESET: Nanos = 20_000_000;
+const IMMEDIATE_RESET_WINDOW: Nanos = 20_000_000;
 /// How long to wait for `100 Continue` before the body is sent without it (RFC 9110, 10.1.1).
 const CONTINUE_TIMEOUT: Duration = Duration::from_secs(1);
 
@@ -153,7 +153,7 @@
             }
             Err(_) if socket.is_request_written() => {
                 let now = upstreams.clock.now();
-                let reset_at_once = now.saturating_sub(started_at) < IMMEDIATE_RESET;
+                let reset_at_once = now.saturating_sub(started_at) < IMMEDIATE_RESET_WINDOW;
                 upstreams
                     .with_servers(|servers| servers.idle_lifetime.record_use(now, idle_for, reset_at_once));
                 Err(Ending::Reset)
@@ -188,15 +188,16 @@
     match upstreams.dialect {
         Dialect::Platform => platform::forward_answer(upstreams, engine, id, connection, response).await,
         Dialect::Http => {
-            let bodiless = message.method == Method::HEAD;
-            http::forward_answer(upstreams, engine, id, connection, response, bodiless).await
+            let is_head_request = message.method == Method::HEAD;
+            http::forward_answer(upstreams, engine, id, connection, response, is_head_request).await
         }
     }
 }
 
-/// The body declared_length from the client's `Content-Length`, or 0 without one.
+/// The body length from the client's `Content-Length`, or 0 without one.
 fn declared_length(message: &Message) -> u64 {
-    let length = message.headers.get(header::CONTENT_LENGTH).and_then(|l| l.to_str().ok()?.parse().ok());
+    let length =
+        message.headers.get(header::CONTENT_LENGTH).and_then(|length| length.to_str().ok()?.parse().ok());
     length.unwrap_or(0)
 }
 
--- a/crates/proxy/src/upstream/discovery.rs
+++ b/crates/proxy/src/upstream/discovery.rs
@@ -140,6 +140,7 @@
         watcher
     }
 
+    /// A random number from 0 to 1.
     fn random_fraction(&mut self) -> f64 {
         f64::from(self.rng.next_u32()) / f64::from(u32::MAX)
     }
@@ -153,7 +154,7 @@
             self.opened_at = None;
             let watch_ended = async {
                 let error = self.watch().await;
-                // An agent that refuses connections is called many times a second: log at growing intervals.
+                // An agent that refuses connections is called many times a second: log failure 1, 2, 4, 8, ...
                 failures_in_a_row = if self.opened_at.is_some() { 1 } else { failures_in_a_row + 1 };
                 if failures_in_a_row.is_power_of_two() {
                     log(format_args!("discovery: {error}"));
@@ -207,6 +208,7 @@
         }
     }
 
+    /// Fetches the list once.
     async fn fetch(&mut self) -> Result<(), WatchError> {
         let (body, _connection) = self.get("/discovery/hosts".to_owned(), CALL_TIMEOUT).await?;
         let limited = http_body_util::Limited::new(body, LONGEST_LIST);
@@ -222,6 +224,7 @@
         }
     }
 
+    /// Opens a watch and applies its lists until the response ends.
     async fn read_watch(&mut self) -> Result<(), WatchError> {
         let mut path = "/discovery/hosts?follow=1".to_owned();
         if !self.has_no_list && self.older_in_a_row == 0 {
@@ -261,6 +264,7 @@
         reader.take(data)?.into_iter().try_for_each(|list| self.accept(list))
     }
 
+    /// Applies a list, unless it is older than the one in use.
     fn accept(&mut self, list: HostList) -> Result<(), WatchError> {
         if list.seq < self.seq && !self.has_no_list {
             self.older_in_a_row += 1;
--- a/crates/proxy/src/upstream/http.rs
+++ b/crates/proxy/src/upstream/http.rs
@@ -41,10 +41,10 @@
     id: AttemptId,
     connection: &mut ServerConnection,
     response: Response<Incoming>,
-    bodiless: bool,
+    is_head_request: bool,
 ) -> bool {
     let (head, mut body) = response.into_parts();
-    let not_processed = head.headers.get(NOT_PROCESSED).is_some_and(|v| v == "1");
+    let not_processed = head.headers.get(NOT_PROCESSED).is_some_and(|value| value == "1");
     let ending = classify(head.status, not_processed);
     // With both lengths, the peers may disagree on where this answer ends: response splitting (RFC 9112,
     // 6.3).
@@ -52,7 +52,7 @@
         && connection.socket.head_contains("\ncontent-length:");
     let (status, mut headers) = (head.status, head.headers);
     strip_hop_by_hop(&mut headers);
-    if !bodiless && status != StatusCode::NOT_MODIFIED {
+    if !is_head_request && status != StatusCode::NOT_MODIFIED {
         headers.remove(header::CONTENT_LENGTH);
     }
     let length = body.size_hint().exact();
--- a/crates/proxy/src/upstream/idle_lifetime.rs
+++ b/crates/proxy/src/upstream/idle_lifetime.rs
@@ -6,7 +6,7 @@
 const DECAY_INTERVAL: Nanos = 10_000_000_000;
 /// Connections count as lost because of their idle time only if, from some idle time on, there are at least
 /// `MIN_LOSSES` losses, their share of uses exceeds `MIN_LOSS_SHARE`, and that share exceeds the share below
-/// that idle time by `MIN_LOSS_RATIO`.
+/// that idle time by the factor `MIN_LOSS_RATIO`.
 const MIN_LOSSES: f64 = 1.5;
 const MIN_LOSS_SHARE: f64 = 0.1;
 const MIN_LOSS_RATIO: f64 = 2.0;
@@ -33,7 +33,7 @@
         IdleLifetime { buckets: [(0.0, 0.0); 16], decayed_at: 0, upper_limit, max_idle: upper_limit }
     }
 
-    /// Sets the upper limit; a lower limit that has been learnt stays.
+    /// Sets the upper limit; a lower limit that has been learned stays.
     pub(super) fn set_upper_limit(&mut self, upper_limit: Nanos) {
         self.max_idle =
             if self.max_idle == self.upper_limit { upper_limit } else { self.max_idle.min(upper_limit) };
--- a/crates/proxy/src/upstream/platform.rs
+++ b/crates/proxy/src/upstream/platform.rs
@@ -35,7 +35,7 @@
     response: Response<Incoming>,
 ) -> bool {
     let (head, mut body) = response.into_parts();
-    let not_processed = head.headers.get(NOT_PROCESSED).is_some_and(|v| v == "1");
+    let not_processed = head.headers.get(NOT_PROCESSED).is_some_and(|value| value == "1");
     let is_overloaded_status =
         matches!(head.status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT);
     if head.status != StatusCode::OK {
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -101,7 +101,8 @@
     /// Until when requests wait for the first list.
     first_list_deadline: Nanos,
     roster: Rc<RefCell<Roster>>,
-    discovery: Option<watch::Sender<SocketAddr>>,
+    /// The configured address of discovery, for the watcher.
+    discovery_address: Option<watch::Sender<SocketAddr>>,
     /// The pool was dropped: the engine's timers end with its last request.
     retired: Rc<Cell<bool>>,
     /// The task that keeps the server list up to date.
@@ -140,12 +141,12 @@
         let retired = Rc::new(Cell::new(false));
         spawn_local(engine.clone().run_timers(retired.clone()));
         let ready = Rc::new(watch::Sender::new(false));
-        let mut discovery = None;
-        let mut source = None;
+        let mut discovery_address = None;
+        let mut source_task = None;
         let is_pushed = matches!(config.source, Source::Discovery(_)) && !config.settings.must_subscribe;
         if let Source::Discovery(from) = &config.source {
             let (address_sender, address_updates) = watch::channel(from.address);
-            discovery = Some(address_sender);
+            discovery_address = Some(address_sender);
             if from.known.as_ref().is_some_and(|known| !known.hosts.is_empty()) {
                 let ready = ready.clone();
                 spawn_local(async move {
@@ -168,7 +169,7 @@
                 address_updates,
                 ready.clone(),
             );
-            source = Some(if must_subscribe {
+            source_task = Some(if must_subscribe {
                 spawn_local(watcher.follow_on_demand(calls)).abort_handle()
             } else {
                 spawn_local(watcher.follow_pushed()).abort_handle()
@@ -184,10 +185,10 @@
             upstreams,
             ready,
             roster,
-            discovery,
+            discovery_address,
             retired,
             first_list_deadline: if is_pushed { shared.clock.now() + FIRST_LIST_TIMEOUT } else { 0 },
-            source_task: RefCell::new(source),
+            source_task: RefCell::new(source_task),
             check_task: RefCell::default(),
             config,
         });
@@ -209,7 +210,7 @@
         plan: &Plan,
         index: usize,
         differs: Differs,
-        quotas: bool,
+        quotas_changed: bool,
         common: &CommonSettings,
         predecessors: impl FnOnce() -> Vec<Option<u16>>,
     ) -> Result<Option<Vec<u16>>, SettingsError> {
@@ -217,16 +218,16 @@
         let mut class_indexes = None;
         if differs.settings {
             class_indexes = Some(self.engine.update_settings(common.settings(config), &predecessors())?);
-        } else if quotas {
+        } else if quotas_changed {
             self.engine.set_tenant_quotas(common.quotas.clone())?;
         }
         if differs.times {
             self.upstreams.set_timeouts(config);
         }
         if differs.source {
-            match (&self.discovery, &config.source) {
-                (Some(discovery), Source::Discovery(from)) => {
-                    self.set_discovery_address(discovery, from.address)
+            match (&self.discovery_address, &config.source) {
+                (Some(address_sender), Source::Discovery(from)) => {
+                    self.set_discovery_address(address_sender, from.address)
                 }
                 (_, source) => self.start_source(plan, source),
             }
@@ -234,8 +235,8 @@
         Ok(class_indexes)
     }
 
-    fn set_discovery_address(&self, discovery: &watch::Sender<SocketAddr>, address: SocketAddr) {
-        discovery.send_if_modified(|old| std::mem::replace(old, address) != address);
+    fn set_discovery_address(&self, address_sender: &watch::Sender<SocketAddr>, address: SocketAddr) {
+        address_sender.send_if_modified(|old| std::mem::replace(old, address) != address);
     }
 
     fn start_source(&self, plan: &Plan, source: &Source) {
@@ -244,7 +245,7 @@
             Source::Watch(path) => {
                 let file = WatchedFile { path: path.clone(), last_read: None };
                 let zones = (plan.zone, plan.zones.clone());
-                let task = spawn_local(watch_file(self.updater(), file, zones)).abort_handle();
+                let task = spawn_local(watch_file(self.list_updater(), file, zones)).abort_handle();
                 // The old list stays in use until the new one is read.
                 if let Some(old) = self.source_task.replace(Some(task)) {
                     old.abort();
@@ -254,7 +255,7 @@
         }
     }
 
-    fn updater(&self) -> ServerListUpdater {
+    fn list_updater(&self) -> ServerListUpdater {
         ServerListUpdater {
             engine: self.engine.clone(),
             upstreams: self.upstreams.clone(),
@@ -264,7 +265,7 @@
     }
 
     fn replace(&self, servers: &[plan::Server]) {
-        self.updater().replace(servers);
+        self.list_updater().replace(servers);
     }
 
     /// Waits for the first server list, at most until the deadline for it.
@@ -287,7 +288,7 @@
         if let Some(listed) = changed {
             let state = if listed.phase == Phase::Ready { "healthy" } else { "unhealthy" };
             log(format_args!("pool {}: health checks mark server {name} {state}", self.config.name));
-            self.updater().apply(ListKind::Changes, vec![listed]);
+            self.list_updater().apply(ListKind::Changes, vec![listed]);
         }
     }
 }
@@ -338,9 +339,9 @@
 impl WatchedFile {
     fn has_changed(&mut self) -> bool {
         let meta = std::fs::metadata(&self.path).ok();
-        let now = meta.and_then(|m| Some((m.modified().ok()?, m.len())));
-        let has_changed = now.is_some() && now != self.last_read;
-        self.last_read = now.or(self.last_read);
+        let current = meta.and_then(|meta| Some((meta.modified().ok()?, meta.len())));
+        let has_changed = current.is_some() && current != self.last_read;
+        self.last_read = current.or(self.last_read);
         has_changed
     }
 }
@@ -351,8 +352,8 @@
         if file.has_changed() {
             match read_server_list(&file.path, zone, &zones) {
                 Ok(servers) => updater.replace(&servers),
-                Err(why) => {
-                    log(format_args!("{}: rejected, keeping the previous list: {why}", file.path.display()))
+                Err(error) => {
+                    log(format_args!("{}: rejected, keeping the previous list: {error}", file.path.display()))
                 }
             }
         }
@@ -363,5 +364,5 @@
 fn read_server_list(path: &Path, zone: u8, zones: &[String]) -> Result<Vec<plan::Server>, String> {
     let text = std::fs::read_to_string(path).map_err(|error| error.to_string())?;
     parse_server_list(&text, zone, zones)
-        .map_err(|faults| faults.first().map(ToString::to_string).unwrap_or_default())
+        .map_err(|diagnostics| diagnostics.first().map(ToString::to_string).unwrap_or_default())
 }
--- a/crates/proxy/src/upstream/servers.rs
+++ b/crates/proxy/src/upstream/servers.rs
@@ -21,6 +21,7 @@
     pub server: Server,
 }
 
+/// A listed server with its idle connections.
 struct ServerState {
     host: Arc<str>,
     address: SocketAddr,
@@ -30,7 +31,7 @@
     restarted_at: Nanos,
     /// Since when it accepts no new requests: drained or removed from the list.
     closed_at: Option<Nanos>,
-    /// Oldest first. The newest is reused first, so that surplus connections age and are closed.
+    /// Oldest first. The newest is reused first, so that connections beyond the need age and are closed.
     idle: Vec<IdleConnection>,
 }
 
@@ -52,13 +53,13 @@
 pub enum ReuseDelay {
     /// Always: for servers that are known to answer twice.
     Always,
-    /// For [`SURPLUS_MEMORY`] after a server has sent surplus bytes. Under steady load the delay costs
+    /// For [`SURPLUS_RETENTION`] after a server has sent surplus bytes. Under steady load the delay costs
     /// additional connections.
     AfterSurplusBytes,
 }
 
 /// How long the delay applies after surplus bytes were seen.
-const SURPLUS_MEMORY: Nanos = 60_000_000_000;
+const SURPLUS_RETENTION: Nanos = 60_000_000_000;
 const MIN_IDLE_BEFORE_REUSE: Nanos = 10_000_000;
 
 /// Connections are reused for this fraction of the server's idle timeout, so that the server does not close
@@ -92,7 +93,7 @@
     }
 
     fn id_for_host(&self, host: &str) -> ServerId {
-        let is_unclaimed = |id: &ServerId| self.servers.get(id).is_none_or(|u| &*u.host == host);
+        let is_unclaimed = |id: &ServerId| self.servers.get(id).is_none_or(|state| &*state.host == host);
         (0..=u8::MAX)
             .map(|salt| hash_server_id(host, salt))
             .find(is_unclaimed)
@@ -127,22 +128,26 @@
             servers.push(Server { id, ..entry.server });
         }
         if matches!(kind, ListKind::Full | ListKind::Cached) {
-            let listed: BTreeSet<_> = servers.iter().map(|s| s.id).collect();
-            self.servers.iter_mut().filter(|(id, _)| !listed.contains(id)).for_each(|(_, u)| u.close(now));
+            let listed: BTreeSet<_> = servers.iter().map(|server| server.id).collect();
+            self.servers
+                .iter_mut()
+                .filter(|(id, _)| !listed.contains(id))
+                .for_each(|(_, state)| state.close(now));
         }
-        self.servers
-            .retain(|_, u| u.closed_at.is_none_or(|at| now.saturating_sub(at) < REMOVED_SERVER_RETENTION));
+        self.servers.retain(|_, state| {
+            state.closed_at.is_none_or(|at| now.saturating_sub(at) < REMOVED_SERVER_RETENTION)
+        });
         servers
     }
 
     /// The server's name in the list.
     pub(super) fn name(&self, server: ServerId) -> Option<Arc<str>> {
-        self.servers.get(&server).map(|u| u.host.clone())
+        self.servers.get(&server).map(|state| state.host.clone())
     }
 
     /// The address to connect to; `None` if the server accepts no new requests.
     pub(super) fn address(&self, server: ServerId) -> Option<SocketAddr> {
-        self.servers.get(&server).filter(|u| u.closed_at.is_none()).map(|u| u.address)
+        self.servers.get(&server).filter(|state| state.closed_at.is_none()).map(|state| state.address)
     }
 
     /// Takes the newest idle connection that can be reused now, and closes those that can no longer be.
@@ -150,8 +155,8 @@
         let oldest = now.saturating_sub(self.idle_lifetime.max_idle);
         let newest = now.saturating_sub(self.reuse_delay(now));
         let state = self.servers.get_mut(&server)?;
-        while let Some(at) = state.idle.iter().rposition(|idle| idle.idle_since <= newest) {
-            let idle = state.idle.remove(at);
+        while let Some(index) = state.idle.iter().rposition(|idle| idle.idle_since <= newest) {
+            let idle = state.idle.remove(index);
             // Unread bytes would be taken for the next request's answer, and a close would lose that request.
             // The check asks the kernel, because the runtime may not have been notified yet.
             if idle.idle_since >= oldest && idle.connection.socket.is_quiet() {
@@ -166,7 +171,7 @@
 
     /// How long a connection must have been idle before it is reused.
     fn reuse_delay(&self, now: Nanos) -> Nanos {
-        let seen_recently = self.surplus_at.is_some_and(|at| now.saturating_sub(at) < SURPLUS_MEMORY);
+        let seen_recently = self.surplus_at.is_some_and(|at| now.saturating_sub(at) < SURPLUS_RETENTION);
         match self.reuse_delay {
             ReuseDelay::Always => MIN_IDLE_BEFORE_REUSE,
             ReuseDelay::AfterSurplusBytes if seen_recently => MIN_IDLE_BEFORE_REUSE,
@@ -187,9 +192,9 @@
 
     /// Keeps a connection for reuse, unless its server was closed, moved or restarted since it was opened.
     pub(super) fn checkin(&mut self, server: ServerId, address: SocketAddr, idle: IdleConnection) {
-        if let Some(u) = self.servers.get_mut(&server) {
-            if u.closed_at.is_none() && u.address == address && u.restarted_at <= idle.opened_at {
-                u.idle.push(idle);
+        if let Some(state) = self.servers.get_mut(&server) {
+            if state.closed_at.is_none() && state.address == address && state.restarted_at <= idle.opened_at {
+                state.idle.push(idle);
             }
         }
     }
@@ -197,21 +202,21 @@
     /// Closes connections that have been idle for too long, were closed by their server or have unread bytes.
     pub fn sweep(&mut self, now: Nanos) {
         let oldest = now.saturating_sub(self.idle_lifetime.max_idle);
-        let mut surplus = false;
+        let mut has_surplus = false;
         for state in self.servers.values_mut() {
-            state.idle.retain(|i| {
-                surplus |= i.connection.socket.has_unread_bytes();
-                i.idle_since >= oldest && i.connection.socket.is_quiet()
+            state.idle.retain(|idle| {
+                has_surplus |= idle.connection.socket.has_unread_bytes();
+                idle.idle_since >= oldest && idle.connection.socket.is_quiet()
             });
         }
-        self.surplus_at = surplus.then_some(now).or(self.surplus_at);
+        self.surplus_at = has_surplus.then_some(now).or(self.surplus_at);
     }
 
     /// Closes the connection that has been idle for longest; false if there is none.
     pub(super) fn close_oldest_idle(&mut self) -> bool {
-        let since = |u: &ServerState| u.idle.first().map(|i| i.idle_since);
-        let idle_servers = self.servers.values_mut().filter(|u| !u.idle.is_empty());
-        idle_servers.min_by_key(|u| since(u)).map(|u| u.idle.remove(0)).is_some()
+        let oldest_idle_since = |state: &ServerState| state.idle.first().map(|idle| idle.idle_since);
+        let idle_servers = self.servers.values_mut().filter(|state| !state.idle.is_empty());
+        idle_servers.min_by_key(|state| oldest_idle_since(state)).map(|state| state.idle.remove(0)).is_some()
     }
 }
 
@@ -280,7 +285,7 @@
         let idle = table
             .checkout(server, checked_in_at + MIN_IDLE_BEFORE_REUSE)
             .expect("it is reused after the delay");
-        let later = checked_in_at + SURPLUS_MEMORY;
+        let later = checked_in_at + SURPLUS_RETENTION;
         table.checkin(server, address, IdleConnection { idle_since: later, ..idle });
         assert!(table.checkout(server, later).is_some(), "the surplus bytes are forgotten");
     }
