--- a/crates/corkhollow/src/commands/reload.rs
+++ b/crates/corkhollow/src/commands/reload.rs
@@ -63,7 +63,7 @@
         Told::File(path, operator) => (read(path, *operator)?, None),
         Told::Platform(shape) => {
             let config = Config::reload(shape).map_err(StartError::from)?;
-            (config.plan_beside(old).map_err(StartError::from)?, Some(Box::new(config.shape)))
+            (config.plan_replacing(old).map_err(StartError::from)?, Some(Box::new(config.shape)))
         }
     };
     let fleet = membership::reloaded(old, &plan)?;
--- a/crates/corkhollow/src/commands/run.rs
+++ b/crates/corkhollow/src/commands/run.rs
@@ -302,7 +302,7 @@
         Operator { control, metrics, clock, changed, fleet }.start(calls)?;
     }
     if let Some(neighbours) = &neighbours {
-        budget.keep_to(neighbours.now().limit_share());
+        budget.set_limit_share(neighbours.now().limit_share());
         tokio::select! {
             // Nothing has been taken yet.
             _ = terminate.recv() => return Ok(()),
@@ -408,9 +408,9 @@
         }
         looks = looks.wrapping_add(1);
         for (held, (now, most)) in [
-            (&metrics.client_connections, budget.clients()),
-            (&metrics.server_connections, budget.servers()),
-            (&metrics.body_bytes, budget.bytes()),
+            (&metrics.client_connections, budget.client_usage()),
+            (&metrics.server_connections, budget.server_usage()),
+            (&metrics.body_bytes, budget.body_bytes_usage()),
         ] {
             held.set(now, most);
         }
@@ -421,7 +421,7 @@
 /// Keeps to this process's share of the limits, for good.
 async fn share(neighbours: Rc<Neighbours>, budget: Rc<Budget>) {
     loop {
-        budget.keep_to(neighbours.now().limit_share());
+        budget.set_limit_share(neighbours.now().limit_share());
         tokio::time::sleep(SHARE).await;
     }
 }
--- a/crates/laboratory/tests/changes.rs
+++ b/crates/laboratory/tests/changes.rs
@@ -79,7 +79,7 @@
 fn checks_grow_like_the_file() {
     let of = |part: f64| {
         let site = sized(part);
-        let (covered, held) = plan(&site).routes.covered_counted();
+        let (covered, held) = plan(&site).routes.covered_with_comparisons();
         assert!(covered.iter().all(Option::is_none), "no route is in another one's way");
         (held, site.counts().routes as usize, text(&site).len())
     };
--- a/crates/plan/src/change.rs
+++ b/crates/plan/src/change.rs
@@ -171,7 +171,7 @@
         let mut compare = Compare(0);
         let (listeners, _) = compare.named(&old.listeners, &self.listeners, |l| &l.name, |a, b| a == b);
         let (classes, class_places) = compare.named(&old.classes, &self.classes, |c| &c.name, |a, b| a == b);
-        self.tenants.numbered_as(&old.tenants);
+        self.tenants.keep_numbers_of(&old.tenants);
         let tenants = self.tenants_changed(old, &mut compare);
         let same_classes = old.classes.len() == self.classes.len()
             && class_places.iter().enumerate().all(|(k, place)| *place == Some(k));
@@ -198,7 +198,7 @@
                 servers.removed += of_it.removed;
                 servers.changed += of_it.changed;
             }
-            pool_changes.push(match old.limits == self.limits && was.goes_on_as(pool) {
+            pool_changes.push(match old.limits == self.limits && was.can_be_reused_as(pool) {
                 true => PoolChange::GoesOn { former, differs },
                 false => PoolChange::Starts,
             });
@@ -259,5 +259,5 @@
     let listeners = |plan: &Plan, route: &Route| {
         route.listeners.iter().map(|at| plan.listeners[*at].name.clone()).collect::<Vec<_>>()
     };
-    pools && class(was, a) == class(is, b) && listeners(was, a) == listeners(is, b) && a.does_as(b)
+    pools && class(was, a) == class(is, b) && listeners(was, a) == listeners(is, b) && a.has_same_effect(b)
 }
--- a/crates/plan/src/hosts.rs
+++ b/crates/plan/src/hosts.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 /// The longest list; one of 10,000 servers has a fifth of that.
-pub const LONGEST_LIST: usize = 8 << 20;
+pub const MAX_LIST_BYTES: usize = 8 << 20;
 
 /// One line of discovery.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
@@ -60,7 +60,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ListError {
     /// It is longer than any list.
-    #[error("a list of over {LONGEST_LIST} bytes")]
+    #[error("a list of over {MAX_LIST_BYTES} bytes")]
     TooLong,
     /// It cannot be read as one.
     #[error("a list that cannot be read: {0}")]
@@ -101,7 +101,7 @@
             if self.ends(byte) {
                 lists.push(serde_json::from_slice(&self.held)?);
                 *self = ListReader::default();
-            } else if self.held.len() > LONGEST_LIST {
+            } else if self.held.len() > MAX_LIST_BYTES {
                 return Err(ListError::TooLong);
             }
         }
@@ -187,7 +187,7 @@
             let told = reader.take(nonsense.as_bytes()).and_then(|_| reader.check());
             assert!(told.is_err() || nonsense == "\"", "{nonsense}");
         }
-        let endless = vec![b'['; LONGEST_LIST + 2];
+        let endless = vec![b'['; MAX_LIST_BYTES + 2];
         assert!(read([b"{\"hosts\":".to_vec(), endless].into_iter()).is_err());
     }
 
--- a/crates/plan/src/limits.rs
+++ b/crates/plan/src/limits.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 /// The most that the body of a request or of an answer may hold.
-pub const MOST_BODY: u64 = 32 << 20;
+pub const MAX_BODY_BYTES: u64 = 32 << 20;
 /// Descriptors that are neither a client's nor a server's: standard streams, listeners, pollers, locks, discovery (20 in
 /// all), and 8 operators. On a small node each one more is a connection less.
 const OWN_SOCKETS: usize = 28;
@@ -59,59 +59,59 @@
     }
 
     /// Keeps to a part of the limits from here on; what is held beyond it goes when its holders let go.
-    pub fn keep_to(&self, share: f64) {
+    pub fn set_limit_share(&self, share: f64) {
         let part = |of: usize| ((of as f64 * share) as usize).max(1);
         let Most { clients, servers, bytes } = self.full;
         self.most.set(Most { clients: part(clients), servers: part(servers), bytes: part(bytes) });
     }
 
     /// Connections that may be open to servers.
-    pub fn most_servers(&self) -> usize {
+    pub fn max_server_connections(&self) -> usize {
         self.most.get().servers
     }
 
     /// More connections to servers are open than may be.
-    pub fn servers_over(&self) -> bool {
+    pub fn is_over_server_limit(&self) -> bool {
         self.servers.get() > self.most.get().servers
     }
 
     /// New clients can only be told to come back.
-    pub fn clients_full(&self) -> bool {
+    pub fn must_refuse_clients(&self) -> bool {
         self.clients.get() >= self.most.get().clients
     }
 
     /// No further client may even be turned away: the backlog has to hold it.
-    pub fn clients_exhausted(&self) -> bool {
+    pub fn must_stop_accepting(&self) -> bool {
         self.clients.get() >= self.most.get().clients + self.most.get().clients / 8
     }
 
     /// A place for one more client; the caller sees to it that there is one.
-    pub fn client(self: &Rc<Self>) -> Slot {
+    pub fn client_slot(self: &Rc<Self>) -> Slot {
         Slot::take(self, |b| &b.clients)
     }
 
     /// A place for one more connection to a server, if there is any.
-    pub fn server(self: &Rc<Self>) -> Option<Slot> {
+    pub fn server_slot(self: &Rc<Self>) -> Option<Slot> {
         (self.servers.get() < self.most.get().servers).then(|| Slot::take(self, |b| &b.servers))
     }
 
     /// Connections of clients: how many there are, and how many there may be.
-    pub fn clients(&self) -> (usize, usize) {
+    pub fn client_usage(&self) -> (usize, usize) {
         (self.clients.get(), self.most.get().clients)
     }
 
     /// Connections to servers, likewise.
-    pub fn servers(&self) -> (usize, usize) {
+    pub fn server_usage(&self) -> (usize, usize) {
         (self.servers.get(), self.most.get().servers)
     }
 
     /// Bytes of bodies, likewise.
-    pub fn bytes(&self) -> (usize, usize) {
+    pub fn body_bytes_usage(&self) -> (usize, usize) {
         (self.bytes.get(), self.most.get().bytes)
     }
 
     /// Nothing held yet, for a body of at most 64 KiB; it grows with `Lease::grow`.
-    pub fn lease(self: &Rc<Self>) -> Lease {
+    pub fn small_lease(self: &Rc<Self>) -> Lease {
         self.lease_for(Some(0))
     }
 
@@ -195,7 +195,7 @@
         for upload in &mut uploads[1..] {
             keep(upload, 3 << 20);
         }
-        let mut short: Vec<_> = (0..500).map(|_| budget.lease()).collect();
+        let mut short: Vec<_> = (0..500).map(|_| budget.small_lease()).collect();
         assert!(short.iter_mut().all(|lease| lease.grow(2048)), "short requests find no room");
     }
 
--- a/crates/plan/src/plan.rs
+++ b/crates/plan/src/plan.rs
@@ -265,7 +265,7 @@
 impl Pool {
     /// Whether a pool can go on as another one: with another list of servers, with other settings for its decision module,
     /// with other times for its connections, at most.
-    pub fn goes_on_as(&self, other: &Pool) -> bool {
+    pub fn can_be_reused_as(&self, other: &Pool) -> bool {
         let kind = |source: &Source| std::mem::discriminant(source);
         let fixed = |s: &Settings| (s.zone, s.backup_zone, s.must_subscribe);
         self.name == other.name
@@ -308,7 +308,7 @@
             lines.push(format!("passed    route {}: {miss}", self.routes.routes()[at].name));
         }
         let Some((at, route)) = self.routes.find(target) else {
-            let allowed = self.routes.other_methods(target);
+            let allowed = self.routes.allowed_methods(target);
             lines.push(match allowed.is_empty() {
                 true => "answer    404: no route takes it".to_owned(),
                 false => {
--- a/crates/plan/src/platform.rs
+++ b/crates/plan/src/platform.rs
@@ -231,7 +231,7 @@
     ///
     /// # Errors
     /// Where it changes what needs a restart.
-    pub fn plan_beside(&self, old: &Plan) -> Result<Plan, ConfigError> {
+    pub fn plan_replacing(&self, old: &Plan) -> Result<Plan, ConfigError> {
         let plan = self.plan();
         let addresses = |plan: &Plan| plan.listeners.iter().map(|l| l.address).collect::<Vec<_>>();
         let fixed = [
--- a/crates/plan/src/routes/table.rs
+++ b/crates/plan/src/routes/table.rs
@@ -138,7 +138,7 @@
     }
 
     /// Whether it does what another one does, but for its pool, its class and its listeners, which it names by their places.
-    pub(crate) fn does_as(&self, other: &Route) -> bool {
+    pub(crate) fn has_same_effect(&self, other: &Route) -> bool {
         let outcome = match (&self.outcome, &other.outcome) {
             (Outcome::Forward { rewrite, .. }, Outcome::Forward { rewrite: others, .. }) => rewrite == others,
             (own, others) => own == others,
@@ -235,11 +235,11 @@
 
     /// For each route, the first before it that takes all its requests, as far as [`Route::covers`] can tell.
     pub fn covered(&self) -> Vec<Option<usize>> {
-        self.covered_counted().0
+        self.covered_with_comparisons().0
     }
 
     /// The same, and how many routes were held against each other for it: a measure of the work.
-    pub fn covered_counted(&self) -> (Vec<Option<usize>>, usize) {
+    pub fn covered_with_comparisons(&self) -> (Vec<Option<usize>>, usize) {
         super::cover::covered(&self.routes)
     }
 
@@ -287,7 +287,7 @@
     }
 
     /// The methods with which the request would find a route, where its own finds none.
-    pub fn other_methods(&self, target: &Target<'_>) -> Vec<Method> {
+    pub fn allowed_methods(&self, target: &Target<'_>) -> Vec<Method> {
         let mut methods = Vec::new();
         for route in &self.routes {
             for method in route.methods.iter().filter(|m| !methods.contains(*m)).collect::<Vec<_>>() {
--- a/crates/plan/src/tenants.rs
+++ b/crates/plan/src/tenants.rs
@@ -67,7 +67,7 @@
 
     /// Gives names that an older table has the numbers that they have there, and all others numbers that were nobody's. Where the
     /// shares are the same after that, both hold one table of them.
-    pub(crate) fn numbered_as(&mut self, old: &Tenants) {
+    pub(crate) fn keep_numbers_of(&mut self, old: &Tenants) {
         // Numbers last for more than four thousand million new names; after that all begin anew.
         let mut next = old.next;
         if u32::MAX - next <= self.numbers.len() as u32 {
--- a/crates/plan/tests/routes.rs
+++ b/crates/plan/tests/routes.rs
@@ -160,7 +160,7 @@
         };
         RouteTable::new((0..count).map(route).collect(), 1)
     };
-    let work = |count: usize| table(count).covered_counted().1;
+    let work = |count: usize| table(count).covered_with_comparisons().1;
     let (small, large) = (work(1_250), work(10_000));
     assert!(large <= 20 * (small + 1_250), "{small}, {large}");
 }
--- a/crates/proxy/src/http1/client_connections.rs
+++ b/crates/proxy/src/http1/client_connections.rs
@@ -65,7 +65,7 @@
         };
         let waited = || blocked_since.get().map_or(Duration::ZERO, |since| since.elapsed());
         loop {
-            while self.service.budget.clients_exhausted() {
+            while self.service.budget.must_stop_accepting() {
                 blocked_since.set(blocked_since.get().or(Some(Instant::now())));
                 if !self.close_longest_idle() {
                     self.log_full();
@@ -101,7 +101,7 @@
     /// Serves an accepted connection, which may have waited in the backlog for so long.
     fn start_serving(self: &Rc<Self>, name: &Rc<str>, stream: TcpStream, peer: SocketAddr, waited: Duration) {
         let budget = &self.service.budget;
-        let surplus = budget.clients_full() && !self.close_longest_idle();
+        let surplus = budget.must_refuse_clients() && !self.close_longest_idle();
         let id = self.next_number.get();
         self.next_number.set(id + 1);
         let connection = AcceptedConnection {
@@ -112,7 +112,7 @@
             backlog_wait: waited,
             over_limit: surplus,
         };
-        let client = ClientConnection::new(connection, self.service.clock.now(), budget.client());
+        let client = ClientConnection::new(connection, self.service.clock.now(), budget.client_slot());
         self.open.borrow_mut().insert(id, client.clone());
         let clients = self.clone();
         tokio::task::spawn_local(async move {
--- a/crates/proxy/src/http1/general.rs
+++ b/crates/proxy/src/http1/general.rs
@@ -294,7 +294,7 @@
 }
 
 fn no_route_problem(site: &ActivePlan, target: &Target<'_>) -> Problem {
-    let allowed = site.plan.routes.other_methods(target);
+    let allowed = site.plan.routes.allowed_methods(target);
     if allowed.is_empty() {
         return Problem::new(StatusCode::NOT_FOUND, "no-route", "no route takes this request");
     }
--- a/crates/proxy/src/http1/platform.rs
+++ b/crates/proxy/src/http1/platform.rs
@@ -11,7 +11,7 @@
 use bytes::Bytes;
 use corkhollow_balance::interface::{self, Nanos, Settings};
 use corkhollow_engine::{Answer, Message, Payload};
-use corkhollow_plan::limits::MOST_BODY;
+use corkhollow_plan::limits::MAX_BODY_BYTES;
 use corkhollow_plan::routes::{Outcome, Target};
 use hyper::body::{Body, Incoming};
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
@@ -62,7 +62,7 @@
     client.track_request(&site.class_metrics[class]);
     let rules = BodyLimits {
         max_buffered_bytes: site.plan.limits.replay_buffer,
-        max_bytes: MOST_BODY,
+        max_bytes: MAX_BODY_BYTES,
         stall_timeout: BODY_STALL_TIMEOUT,
         min_pace: Some(MinPace { grace: BODY_PACE_GRACE, bytes_per_second: MIN_BODY_BYTES_PER_SECOND }),
         forward_stall_timeout: Duration::from_nanos(site.plan.limits.stall_timeout),
@@ -71,7 +71,7 @@
     };
     if client.over_limit {
         // It is only told to come back, once it has sent all.
-        if body.size_hint().lower() <= MOST_BODY {
+        if body.size_hint().lower() <= MAX_BODY_BYTES {
             upload::discard_body(body, &rules).await;
         }
         return with_connection_close(refusal_response(Nanos::MAX, settings));
--- a/crates/proxy/src/http1/upload.rs
+++ b/crates/proxy/src/http1/upload.rs
@@ -76,7 +76,7 @@
     client: &Rc<ClientConnection>,
 ) -> Result<Payload, UploadError> {
     if body.is_end_stream() {
-        return Ok(Payload::Buffered(Rc::new(BufferedBody::new(budget.lease()))));
+        return Ok(Payload::Buffered(Rc::new(BufferedBody::new(budget.small_lease()))));
     }
     if body.size_hint().lower() > limits.max_bytes {
         return Err(UploadError::TooLarge);
--- a/crates/proxy/src/upstream/connection.rs
+++ b/crates/proxy/src/upstream/connection.rs
@@ -127,7 +127,7 @@
 ) -> Result<ServerConnection, ConnectError> {
     let permit = upstreams.acquire_permit().await.ok_or(ConnectError::NoCapacity)?;
     let slot = loop {
-        if let Some(slot) = upstreams.budget.server() {
+        if let Some(slot) = upstreams.budget.server_slot() {
             break slot;
         }
         if upstreams.close_oldest_idle() {
--- a/crates/proxy/src/upstream/discovery.rs
+++ b/crates/proxy/src/upstream/discovery.rs
@@ -6,7 +6,7 @@
 use crate::socket::{Socket, SocketIo};
 use corkhollow_balance::interface::{ListKind, Phase, Server, ServerId};
 use corkhollow_engine::{log, DiscoveryCall, Engine};
-use corkhollow_plan::hosts::{Health, Host, HostList, ListError, ListReader, LONGEST_LIST};
+use corkhollow_plan::hosts::{Health, Host, HostList, ListError, ListReader, MAX_LIST_BYTES};
 use http_body_util::{BodyExt, Empty};
 use hyper::body::{Bytes, Incoming};
 use hyper::{Request, StatusCode};
@@ -200,7 +200,7 @@
 
     async fn fetch(&mut self) -> Result<(), WatchError> {
         let (body, _connection) = self.get("/discovery/hosts".to_owned(), CALL).await?;
-        let limited = http_body_util::Limited::new(body, LONGEST_LIST);
+        let limited = http_body_util::Limited::new(body, MAX_LIST_BYTES);
         let whole = timeout(CALL, limited.collect()).await.map_err(|_| WatchError::Silent)?;
         let bytes = whole.map_err(|_| WatchError::Ended)?.to_bytes();
         self.take(serde_json::from_slice(&bytes).map_err(ListError::from)?)
--- a/crates/proxy/src/upstream/http.rs
+++ b/crates/proxy/src/upstream/http.rs
@@ -53,7 +53,7 @@
         headers.remove(header::CONTENT_LENGTH);
     }
     let length = body.size_hint().exact();
-    let mut gathered = BufferedBody::new(upstreams.budget.lease());
+    let mut gathered = BufferedBody::new(upstreams.budget.small_lease());
     let over = loop {
         match at_hand(connection, &mut body).await {
             None => break None,
--- a/crates/proxy/src/upstream/platform.rs
+++ b/crates/proxy/src/upstream/platform.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use corkhollow_balance::interface::Ending;
 use corkhollow_engine::{Answer, AttemptId, BufferedBody, Engine, IncompleteBody};
-use corkhollow_plan::limits::MOST_BODY;
+use corkhollow_plan::limits::MAX_BODY_BYTES;
 use http_body_util::BodyExt;
 use hyper::body::{Body, Frame, Incoming};
 use hyper::header::{self, HeaderMap};
@@ -19,7 +19,7 @@
 /// Longer answers are passed on as they come.
 const WHOLE: u64 = 64 * 1024;
 /// An answer that is longer is spoilt: whatever keeps coming is not made for one request.
-const LONGEST: u64 = MOST_BODY;
+const LONGEST: u64 = MAX_BODY_BYTES;
 /// The head of a short answer has come: its body cannot be held up for this long, and is never coming.
 const SHORT_STALL: Duration = Duration::from_millis(250);
 /// A long answer that stands still for this long has broken: a vanished machine never says so.
@@ -56,7 +56,7 @@
         engine.on_attempt_ended(id, Ending::Reset);
         return false;
     }
-    let mut pieces = BufferedBody::new(upstreams.budget.lease());
+    let mut pieces = BufferedBody::new(upstreams.budget.small_lease());
     let mut next = None;
     while length.is_none_or(|l| l <= WHOLE) {
         match tokio::time::timeout(SHORT_STALL, connection.drive(body.frame())).await {
--- a/crates/proxy/src/upstream/upstreams.rs
+++ b/crates/proxy/src/upstream/upstreams.rs
@@ -138,7 +138,7 @@
     /// Closes what has stood idle for too long or was closed by its server.
     pub fn close_expired_idle(&self) {
         self.with_servers(|servers| servers.sweep(self.clock.now()));
-        while self.budget.servers_over() && self.close_oldest_idle() {}
+        while self.budget.is_over_server_limit() && self.close_oldest_idle() {}
     }
 
     /// AbortOnDrop attempts that have lingered for long enough.
