--- a/crates/corkhollow/src/commands/reload.rs
+++ b/crates/corkhollow/src/commands/reload.rs
@@ -69,7 +69,7 @@
     let fleet = membership::reloaded(old, &plan)?;
     let read = begun.elapsed();
     let begun = Instant::now();
-    let (plan, change) = plan.follow(old);
+    let (plan, change) = plan.rebase_on(old);
     Ok(Compiled { plan, change, fleet, shape, read, compared: begun.elapsed() })
 }
 
@@ -171,7 +171,7 @@
         let swapped = begun.elapsed();
         let times = [read, compared, swapped];
         tell(&site, &change, times);
-        let told = (times.map(|time| time.as_secs_f64()), change.touched());
+        let told = (times.map(|time| time.as_secs_f64()), change.changed_pools());
         target.shared.metrics.set_active_config(&change.to.to_string(), Some(told));
         Ok(())
     }
@@ -204,6 +204,6 @@
          pools touched: {}; read and checked in {read:.1} ms, compared in {compared:.1} ms, in force in {swapped:.1} ms",
         change.to,
         change.from,
-        change.touched(),
+        change.changed_pools(),
     ));
 }
--- a/crates/laboratory/tests/changes.rs
+++ b/crates/laboratory/tests/changes.rs
@@ -36,8 +36,8 @@
         let mut site = sized(part);
         let before = plan(&site);
         site.change(change, 5);
-        let (_, told) = plan(&site).follow(&before);
-        (told.looked_up, things(&site))
+        let (_, told) = plan(&site).rebase_on(&before);
+        (told.lookups, things(&site))
     };
     for change in Change::ALL {
         let ((small, few), (large, many)) = (worked(0.0625, change), worked(0.25, change));
@@ -62,13 +62,13 @@
     ] {
         let mut site = site.clone();
         site.change(change, 5);
-        let (after, told) = plan(&site).follow(&before);
-        assert_eq!(told.touched(), touched, "{change:?}: {told}");
+        let (after, told) = plan(&site).rebase_on(&before);
+        assert_eq!(told.changed_pools(), touched, "{change:?}: {told}");
         let shared =
             after.pools.iter().filter(|pool| before.pools.iter().any(|p| Arc::ptr_eq(p, pool))).count();
         assert_eq!(shared, pools - touched, "{change:?}: pools held in common");
         // One table of shares for all pools; where none has changed, the one of before.
-        assert_eq!(told.quotas, matches!(change, Change::Tenant | Change::Everything), "{change:?}");
+        assert_eq!(told.quotas_changed, matches!(change, Change::Tenant | Change::Everything), "{change:?}");
         let bytes: usize = after.pools.iter().map(|pool| pool.settings.tenant_quota.len()).sum();
         assert_eq!(bytes, 0, "no pool has a copy of them");
     }
--- a/crates/plan/src/change.rs
+++ b/crates/plan/src/change.rs
@@ -12,37 +12,37 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PoolChange {
     /// It starts: there was none of its name, or what differs needs a new one.
-    Starts,
+    Created,
     /// One of the old plan goes on.
-    GoesOn {
+    Reused {
         /// Its place in the old plan.
-        former: usize,
+        old_index: usize,
         /// What it has to be told.
-        differs: Differs,
+        differences: PoolDifferences,
     },
 }
 
 /// In what a pool differs from the one that it goes on from.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Differs {
+pub struct PoolDifferences {
     /// What its decision module is told, or the order of the classes' names.
     pub settings: bool,
     /// Times of its connections.
-    pub times: bool,
+    pub timeouts: bool,
     /// Who its servers are, or who tells that.
     pub source: bool,
 }
 
-impl Differs {
+impl PoolDifferences {
     /// Whether it differs in anything.
     pub fn any(&self) -> bool {
-        self.settings || self.times || self.source
+        self.settings || self.timeouts || self.source
     }
 }
 
 /// How many of one kind of thing have come, gone, become others, or stand in another order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counted {
+pub struct ChangeCounts {
     /// In the new plan alone.
     pub added: usize,
     /// In the old plan alone.
@@ -63,25 +63,24 @@
     /// By pool of the new plan.
     pub pools: Vec<PoolChange>,
     /// By class of the new plan, the place that one of that name has in the old one.
-    pub classes: Vec<Option<usize>>,
+    pub old_class_indexes: Vec<Option<usize>>,
     /// Tenants' shares are others.
-    pub quotas: bool,
+    pub quotas_changed: bool,
     /// What has changed, by kind: listeners, classes, tenants, pools, servers, routes.
-    pub counts: [(&'static str, Counted); 6],
+    pub counts: [(&'static str, ChangeCounts); 6],
     /// How many names were looked up for all that, a measure of the work.
-    pub looked_up: usize,
+    pub lookups: usize,
 }
 
 impl Change {
     /// Pools that have to be touched at all.
-    pub fn touched(&self) -> usize {
-        let rests =
-            |change: &PoolChange| matches!(change, PoolChange::GoesOn { differs, .. } if !differs.any());
+    pub fn changed_pools(&self) -> usize {
+        let rests = |change: &PoolChange| matches!(change, PoolChange::Reused { differences, .. } if !differences.any());
         self.pools.iter().filter(|change| !rests(change)).count()
     }
 
     /// What has changed of one kind.
-    pub fn count(&self, kind: &str) -> Counted {
+    pub fn count(&self, kind: &str) -> ChangeCounts {
         self.counts.iter().find(|(name, _)| *name == kind).map(|(_, counted)| *counted).unwrap_or_default()
     }
 }
@@ -132,14 +131,14 @@
         new: &'t [T],
         name: impl Fn(&'t T) -> &'t str,
         same: impl Fn(&T, &T) -> bool,
-    ) -> (Counted, Vec<Option<usize>>) {
+    ) -> (ChangeCounts, Vec<Option<usize>>) {
         let places = self.places(old.iter().map(&name));
         self.0 += new.len();
         let former: Vec<_> = new.iter().map(|thing| places.get(name(thing)).copied()).collect();
         let kept: Vec<_> = former.iter().flatten().copied().collect();
         let changed =
             new.iter().zip(&former).filter(|(thing, at)| at.is_some_and(|at| !same(&old[at], thing))).count();
-        let counted = Counted {
+        let counted = ChangeCounts {
             added: new.len() - kept.len(),
             // Two of one name are no plan.
             removed: old.len().saturating_sub(kept.len()),
@@ -167,7 +166,7 @@
 impl Plan {
     /// Lets the plan follow one that is in force: tenants that stay keep their numbers, pools that are the same are held in common.
     /// Tells what differs.
-    pub fn follow(mut self, old: &Plan) -> (Plan, Change) {
+    pub fn rebase_on(mut self, old: &Plan) -> (Plan, Change) {
         let mut compare = Compare(0);
         let (listeners, _) = compare.named(&old.listeners, &self.listeners, |l| &l.name, |a, b| a == b);
         let (classes, class_places) = compare.named(&old.classes, &self.classes, |c| &c.name, |a, b| a == b);
@@ -178,20 +177,21 @@
         let (mut pools, pool_places) = compare.named(&old.pools, &self.pools, |p| &p.name, |a, b| a == b);
         // A pool whose zones are numbered otherwise is told so with its servers.
         let same_zones = old.zones == self.zones;
-        let (mut servers, mut pool_changes) = (Counted::default(), Vec::with_capacity(self.pools.len()));
+        let (mut servers, mut pool_changes) = (ChangeCounts::default(), Vec::with_capacity(self.pools.len()));
         for (pool, place) in self.pools.iter_mut().zip(&pool_places) {
-            let Some(former) = *place else {
+            let Some(old_index) = *place else {
                 servers.added += pool.source.servers().len();
-                pool_changes.push(PoolChange::Starts);
+                pool_changes.push(PoolChange::Created);
                 continue;
             };
-            let was = &old.pools[former];
-            let differs = Differs {
+            let was = &old.pools[old_index];
+            let differences = PoolDifferences {
                 settings: !same_classes || was.settings != pool.settings,
-                times: (was.connect_timeout, was.idle_timeout) != (pool.connect_timeout, pool.idle_timeout),
+                timeouts: (was.connect_timeout, was.idle_timeout)
+                    != (pool.connect_timeout, pool.idle_timeout),
                 source: was.source != pool.source || (!same_zones && matches!(pool.source, Source::Watch(_))),
             };
-            if differs.source {
+            if differences.source {
                 let (of_it, _) =
                     compare.named(was.source.servers(), pool.source.servers(), |s| &s.name, |a, b| a == b);
                 servers.added += of_it.added;
@@ -199,8 +199,8 @@
                 servers.changed += of_it.changed;
             }
             pool_changes.push(match old.limits == self.limits && was.can_be_reused_as(pool) {
-                true => PoolChange::GoesOn { former, differs },
-                false => PoolChange::Starts,
+                true => PoolChange::Reused { old_index, differences },
+                false => PoolChange::Created,
             });
             if was == pool {
                 *pool = Arc::clone(was);
@@ -221,22 +221,22 @@
             from: old.version,
             to: self.version,
             pools: pool_changes,
-            classes: class_places,
-            quotas: old.tenants.quotas() != self.tenants.quotas(),
+            old_class_indexes: class_places,
+            quotas_changed: old.tenants.quotas() != self.tenants.quotas(),
             counts: [
-                ("listeners", Counted { moved: 0, ..listeners }),
+                ("listeners", ChangeCounts { moved: 0, ..listeners }),
                 ("classes", classes),
                 ("tenants", tenants),
                 ("pools", pools),
                 ("servers", servers),
                 ("routes", routes),
             ],
-            looked_up: compare.0,
+            lookups: compare.0,
         };
         (self, change)
     }
 
-    fn tenants_changed(&self, old: &Plan, compare: &mut Compare) -> Counted {
+    fn tenants_changed(&self, old: &Plan, compare: &mut Compare) -> ChangeCounts {
         let (was, is) = (old.tenants.quotas(), self.tenants.quotas());
         compare.0 += was.len() + is.len();
         let kept = is.iter().filter_map(|(number, share)| Some((was.get(number)?, share)));
@@ -245,7 +245,7 @@
             stay += 1;
             changed += usize::from(before != now);
         });
-        Counted { added: is.len() - stay, removed: was.len() - stay, changed, moved: 0 }
+        ChangeCounts { added: is.len() - stay, removed: was.len() - stay, changed, moved: 0 }
     }
 }
 
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -14,7 +14,7 @@
 pub mod version;
 
 /// A stable hash: FNV-1a with its bits mixed, so that its low ones are as good as its high ones.
-pub fn mix(bytes: &[u8]) -> u64 {
+pub fn stable_hash(bytes: &[u8]) -> u64 {
     let hash = bytes
         .iter()
         .fold(0xcbf2_9ce4_8422_2325, |h: u64, b| (h ^ u64::from(*b)).wrapping_mul(0x0100_0000_01b3));
--- a/crates/plan/src/platform.rs
+++ b/crates/plan/src/platform.rs
@@ -174,7 +174,8 @@
             operator: file.operator,
             discovery: file.discovery,
             // Any text is a seed: what counts is that it is new with each start.
-            seed: u64::from_str_radix(&file.seed, 16).unwrap_or_else(|_| crate::mix(file.seed.as_bytes())),
+            seed: u64::from_str_radix(&file.seed, 16)
+                .unwrap_or_else(|_| crate::stable_hash(file.seed.as_bytes())),
             limits: file.limits,
             known: file.known,
             settings,
--- a/crates/plan/tests/change.rs
+++ b/crates/plan/tests/change.rs
@@ -1,6 +1,6 @@
 //! What a plan changes of the one in force, on files made and changed at random.
 
-use corkhollow_plan::change::{Change, Counted, Differs, PoolChange};
+use corkhollow_plan::change::{Change, ChangeCounts, PoolChange, PoolDifferences};
 use corkhollow_plan::config::parse_config;
 use corkhollow_plan::plan::{Plan, Source};
 use http::HeaderValue;
@@ -113,7 +113,7 @@
 }
 
 /// What has changed, found by trying each name against each other one.
-fn counted(old: &[(String, String)], new: &[(String, String)], ordered: bool) -> Counted {
+fn counted(old: &[(String, String)], new: &[(String, String)], ordered: bool) -> ChangeCounts {
     let find = |all: &[(String, String)], name: &str| all.iter().position(|(n, _)| n == name);
     let kept: Vec<_> = new.iter().filter_map(|(name, _)| find(old, name)).collect();
     // The longest rise that ends at each place.
@@ -122,7 +122,7 @@
         let before = (0..k).filter(|j| kept[*j] < *place).map(|j| rises[j]).max().unwrap_or(0);
         rises.push(before + 1);
     }
-    Counted {
+    ChangeCounts {
         added: new.len() - kept.len(),
         removed: old.iter().filter(|(name, _)| find(new, name).is_none()).count(),
         changed: new
@@ -139,7 +139,8 @@
 }
 
 fn rests(change: &Change) -> Vec<bool> {
-    let rests = |pool: &PoolChange| matches!(pool, PoolChange::GoesOn { differs, .. } if !differs.any());
+    let rests =
+        |pool: &PoolChange| matches!(pool, PoolChange::Reused { differences, .. } if !differences.any());
     change.pools.iter().map(rests).collect()
 }
 
@@ -157,7 +158,7 @@
         for (old, new) in sites.iter().zip(&sites[1..]) {
             let before = plan.clone();
             let fresh = new.plan();
-            let (next, change) = fresh.clone().follow(&plan);
+            let (next, change) = fresh.clone().rebase_on(&plan);
             plan = next;
             for (kind, ordered) in [("classes", true), ("tenants", false), ("pools", false), ("routes", true)] {
                 let expected = counted(&old.words(kind), &new.words(kind), ordered);
@@ -172,25 +173,25 @@
                 prop_assert_eq!(*names.entry(own).or_insert(*name), *name, "a number of another name");
             }
             prop_assert_eq!(plan.tenants.len(), new.tenants.len());
-            prop_assert_eq!(change.quotas, plan.tenants.quotas() != before.tenants.quotas());
+            prop_assert_eq!(change.quotas_changed, plan.tenants.quotas() != before.tenants.quotas());
             let same_order = |site: &Site| site.classes.iter().map(|c| c.0).collect::<Vec<_>>();
             for ((pool, rests), of) in new.pools.iter().zip(rests(&change)).zip(&change.pools) {
                 let was = old.pools.iter().position(|p| p.0 == pool.0);
                 let same = was.is_some_and(|at| old.pools[at] == *pool) && old.classes == new.classes;
                 prop_assert_eq!(rests, same, "{:?}: {:?}", of, pool);
-                let expected = was.map(|former| PoolChange::GoesOn {
-                    former,
-                    differs: Differs {
-                        settings: old.classes != new.classes || old.pools[former].1 != pool.1,
-                        times: old.pools[former].2 != pool.2,
-                        source: old.pools[former].3 != pool.3,
+                let expected = was.map(|old_index| PoolChange::Reused {
+                    old_index,
+                    differences: PoolDifferences {
+                        settings: old.classes != new.classes || old.pools[old_index].1 != pool.1,
+                        timeouts: old.pools[old_index].2 != pool.2,
+                        source: old.pools[old_index].3 != pool.3,
                     },
                 });
-                prop_assert_eq!(*of, expected.unwrap_or(PoolChange::Starts));
+                prop_assert_eq!(*of, expected.unwrap_or(PoolChange::Created));
             }
             // The place of each name that stays, wherever it stands.
             let places: Vec<_> = same_order(new).iter().map(|c| same_order(old).iter().position(|o| o == c)).collect();
-            prop_assert_eq!(&change.classes[..places.len()], &places[..]);
+            prop_assert_eq!(&change.old_class_indexes[..places.len()], &places[..]);
             // What is held in common is what the file says.
             for (pool, of_fresh) in plan.pools.iter().zip(&fresh.pools) {
                 prop_assert_eq!(pool, of_fresh);
@@ -198,8 +199,8 @@
         }
         // The same once more is no change.
         let text = sites.last().unwrap().plan();
-        let (_, change) = text.follow(&plan);
-        prop_assert_eq!(change.touched(), 0);
+        let (_, change) = text.rebase_on(&plan);
+        prop_assert_eq!(change.changed_pools(), 0);
         prop_assert_eq!(change.to_string(), "nothing differs");
     }
 }
@@ -220,10 +221,10 @@
         plan.tenants.number(Some(&HeaderValue::try_from(format!("t{name}")).unwrap()))
     };
     let two = file(&[(1, 1.0), (2, 2.0)]);
-    let (one, change) = file(&[(2, 2.0)]).follow(&two);
+    let (one, change) = file(&[(2, 2.0)]).rebase_on(&two);
     assert_eq!((of(&one, 1), of(&one, 2)), (None, Some(1)));
     assert_eq!(change.to_string(), "tenants: 1 removed");
-    let (back, change) = file(&[(1, 1.0), (2, 3.0)]).follow(&one);
+    let (back, change) = file(&[(1, 1.0), (2, 3.0)]).rebase_on(&one);
     assert_eq!((of(&back, 1), of(&back, 2)), (Some(2), Some(1)));
     assert_eq!(change.to_string(), "tenants: 1 added, 1 changed");
     assert_eq!(back.tenants.share("t2"), Some(3.0));
@@ -231,8 +232,11 @@
     let mut all: Vec<_> = (0..15_000).map(|k| (k, k as f64)).collect();
     let first = file(&all);
     all.reverse();
-    let (second, change) = file(&all).follow(&first);
-    assert_eq!((change.to_string().as_str(), change.quotas, change.touched()), ("nothing differs", false, 0));
+    let (second, change) = file(&all).rebase_on(&first);
+    assert_eq!(
+        (change.to_string().as_str(), change.quotas_changed, change.changed_pools()),
+        ("nothing differs", false, 0)
+    );
     assert!((0..15_000).all(|k| of(&first, k) == of(&second, k)));
     // A value that is no text names nobody.
     assert_eq!(second.tenants.number(Some(&HeaderValue::from_bytes(b"\xff").unwrap())), None);
@@ -250,30 +254,30 @@
     };
     let old = file("servers = [{ address = \"127.0.0.1:1\" }]", "");
     for (pool, more, expected) in [
-        ("servers = [{ address = \"127.0.0.1:1\" }]", "", Some(Differs::default())),
+        ("servers = [{ address = \"127.0.0.1:1\" }]", "", Some(PoolDifferences::default())),
         (
             "servers = [{ address = \"127.0.0.1:2\" }]",
             "",
-            Some(Differs { source: true, ..Differs::default() }),
+            Some(PoolDifferences { source: true, ..PoolDifferences::default() }),
         ),
         (
             "servers = [{ address = \"127.0.0.1:1\" }]\nidle_timeout = \"3s\"",
             "",
-            Some(Differs { times: true, ..Differs::default() }),
+            Some(PoolDifferences { timeouts: true, ..PoolDifferences::default() }),
         ),
         (
             "servers = [{ address = \"127.0.0.1:1\" }]\nconcurrency = 3",
             "",
-            Some(Differs { settings: true, ..Differs::default() }),
+            Some(PoolDifferences { settings: true, ..PoolDifferences::default() }),
         ),
         ("servers = [{ address = \"127.0.0.1:1\" }]\nmax_waiting = 3", "", None),
         ("servers = [{ address = \"127.0.0.1:1\" }]\ncheck = { path = \"/\" }", "", None),
         ("watch = \"list.toml\"", "", None),
         ("servers = [{ address = \"127.0.0.1:1\" }]", "[limits]\nheader_timeout = \"3s\"\n", None),
     ] {
-        let (plan, change) = file(pool, more).follow(&old);
-        let expected =
-            expected.map_or(PoolChange::Starts, |differs| PoolChange::GoesOn { former: 0, differs });
+        let (plan, change) = file(pool, more).rebase_on(&old);
+        let expected = expected
+            .map_or(PoolChange::Created, |differences| PoolChange::Reused { old_index: 0, differences });
         assert_eq!(change.pools, [expected], "{pool} {more}");
         let servers = matches!(plan.pools[0].source, Source::Static(_));
         assert_eq!(
--- a/crates/proxy/src/active_plan.rs
+++ b/crates/proxy/src/active_plan.rs
@@ -110,11 +110,11 @@
         let mut started = Vec::new();
         for (at, pool) in change.pools.iter().enumerate() {
             match pool {
-                PoolChange::Starts => started.push(start(&plan, at, shared, seed, &terms)?),
-                PoolChange::GoesOn { differs, .. } if differs.settings || change.quotas => {
+                PoolChange::Created => started.push(start(&plan, at, shared, seed, &terms)?),
+                PoolChange::Reused { differences, .. } if differences.settings || change.quotas_changed => {
                     terms.settings(&plan.pools[at]).validate().map_err(fault(at))?;
                 }
-                PoolChange::GoesOn { .. } => {}
+                PoolChange::Reused { .. } => {}
             }
         }
         // Nothing can fail from here on: the settings are sound.
@@ -123,13 +123,14 @@
         let mut pools = Vec::with_capacity(plan.pools.len());
         for (at, pool) in change.pools.iter().enumerate() {
             pools.push(match pool {
-                PoolChange::Starts => (started.next().expect("it has been started"), fresh.clone()),
-                PoolChange::GoesOn { former, differs } => {
-                    let (pool, places) = (&self.pools[*former], &self.class_indexes[*former]);
+                PoolChange::Created => (started.next().expect("it has been started"), fresh.clone()),
+                PoolChange::Reused { old_index, differences } => {
+                    let (pool, places) = (&self.pools[*old_index], &self.class_indexes[*old_index]);
                     // A class's predecessor is the one of its name.
                     let predecessors =
-                        || change.classes.iter().map(|k| Some(places[(*k)?])).collect::<Vec<_>>();
-                    let told = pool.update(&plan, at, *differs, change.quotas, &terms, predecessors);
+                        || change.old_class_indexes.iter().map(|k| Some(places[(*k)?])).collect::<Vec<_>>();
+                    let told =
+                        pool.update(&plan, at, *differences, change.quotas_changed, &terms, predecessors);
                     let told = told.map_err(fault(at))?;
                     (pool.clone(), told.map_or_else(|| places.clone(), Rc::from))
                 }
@@ -197,7 +198,7 @@
     terms: &CommonSettings,
 ) -> Result<Rc<Pool>, PoolError> {
     let name = &plan.pools[at].name;
-    let own = seed ^ corkhollow_plan::mix(name.as_bytes());
+    let own = seed ^ corkhollow_plan::stable_hash(name.as_bytes());
     let started = Pool::start(plan, at, shared, if plan.seed.is_some() { seed } else { own }, terms);
     started.map_err(|error| PoolError { pool: name.clone(), error })
 }
--- a/crates/proxy/src/http1/general.rs
+++ b/crates/proxy/src/http1/general.rs
@@ -335,7 +335,7 @@
         headers.append(header::VIA, via.clone());
     }
     if !headers.contains_key(&listener.request_id) {
-        let id = corkhollow_plan::mix(&service.clock.now().to_le_bytes()) ^ service.next_request_id();
+        let id = corkhollow_plan::stable_hash(&service.clock.now().to_le_bytes()) ^ service.next_request_id();
         if let Ok(id) = HeaderValue::try_from(format!("{id:016x}")) {
             headers.insert(&listener.request_id, id);
         }
--- a/crates/proxy/src/http1/platform.rs
+++ b/crates/proxy/src/http1/platform.rs
@@ -193,7 +193,7 @@
 
 fn parse_route_key(text: &[u8]) -> u64 {
     let hex = std::str::from_utf8(text).ok().and_then(|t| u64::from_str_radix(t, 16).ok());
-    hex.unwrap_or_else(|| corkhollow_plan::mix(text))
+    hex.unwrap_or_else(|| corkhollow_plan::stable_hash(text))
 }
 
 fn server_response(headers: HeaderMap, body: AnswerBody) -> Response<AnswerBody> {
--- a/crates/proxy/src/http1/service.rs
+++ b/crates/proxy/src/http1/service.rs
@@ -46,6 +46,6 @@
     /// A number that no other request has, spread over all bits.
     pub(super) fn next_request_id(&self) -> u64 {
         self.request_id_counter.set(self.request_id_counter.get() + 1);
-        corkhollow_plan::mix(&self.request_id_counter.get().to_le_bytes())
+        corkhollow_plan::stable_hash(&self.request_id_counter.get().to_le_bytes())
     }
 }
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -10,7 +10,7 @@
 use corkhollow_engine::{log, Clock, Engine};
 use corkhollow_fleet::Group;
 use corkhollow_operate::Metrics;
-use corkhollow_plan::change::Differs;
+use corkhollow_plan::change::PoolDifferences;
 use corkhollow_plan::config::parse_server_list;
 use corkhollow_plan::limits::Budget;
 use corkhollow_plan::plan::{self, Plan, Source};
@@ -195,22 +195,22 @@
         &self,
         plan: &Plan,
         at: usize,
-        differs: Differs,
+        differences: PoolDifferences,
         quotas: bool,
         terms: &CommonSettings,
         predecessors: impl FnOnce() -> Vec<Option<u16>>,
     ) -> Result<Option<Vec<u16>>, SettingsError> {
         let told = &plan.pools[at];
         let mut places = None;
-        if differs.settings {
+        if differences.settings {
             places = Some(self.engine.update_settings(terms.settings(told), &predecessors())?);
         } else if quotas {
             self.engine.set_tenant_quotas(terms.quotas.clone())?;
         }
-        if differs.times {
+        if differences.timeouts {
             self.upstreams.set_timeouts(told);
         }
-        if differs.source {
+        if differences.source {
             match (&self.discovery, &told.source) {
                 (Some(discovery), Source::Discovery(from)) => self.move_discovery(discovery, from.address),
                 (_, source) => self.follow(plan, source),
--- a/crates/proxy/src/upstream/servers.rs
+++ b/crates/proxy/src/upstream/servers.rs
@@ -65,7 +65,7 @@
 fn identity(host: &str, round: u8) -> ServerId {
     let mut name = host.as_bytes().to_vec();
     name.extend((round > 0).then_some(round));
-    ServerId(corkhollow_plan::mix(&name))
+    ServerId(corkhollow_plan::stable_hash(&name))
 }
 
 impl ServerTable {
--- a/crates/proxy/tests/follow.rs
+++ b/crates/proxy/tests/follow.rs
@@ -204,7 +204,7 @@
                 if !late {
                     regroup(&site).await;
                 }
-                let (plan, change) = file.plan().follow(&site.plan);
+                let (plan, change) = file.plan().rebase_on(&site.plan);
                 if *late {
                     regroup(&site).await;
                 }
@@ -214,16 +214,16 @@
                 site = old.reload(plan, &change, &shared, 1, group(counts)).unwrap();
                 // Pools that go on are the same ones.
                 for (pool, change) in site.pools.iter().zip(&change.pools) {
-                    if let PoolChange::GoesOn { former, .. } = change {
-                        prop_assert_eq!(Rc::as_ptr(pool), before[*former]);
+                    if let PoolChange::Reused { old_index, .. } = change {
+                        prop_assert_eq!(Rc::as_ptr(pool), before[*old_index]);
                     }
                 }
                 // A class that stays keeps its place there, and with it what is known of it, wherever it stands in the file.
                 for (at, pool) in change.pools.iter().enumerate() {
-                    let PoolChange::GoesOn { former, .. } = pool else { continue };
-                    for (k, predecessor) in change.classes.iter().enumerate() {
+                    let PoolChange::Reused { old_index, .. } = pool else { continue };
+                    for (k, predecessor) in change.old_class_indexes.iter().enumerate() {
                         let Some(predecessor) = predecessor.filter(|predecessor| old.plan.classes[*predecessor] == site.plan.classes[k]) else { continue };
-                        prop_assert_eq!(site.class_indexes[at][k], old.class_indexes[*former][predecessor]);
+                        prop_assert_eq!(site.class_indexes[at][k], old.class_indexes[*old_index][predecessor]);
                     }
                 }
                 last = file;
