--- a/crates/corkhollow/src/commands/explain.rs
+++ b/crates/corkhollow/src/commands/explain.rs
@@ -4,7 +4,7 @@
 use crate::cli::ExplainArgs;
 use corkhollow_plan::plan::Plan;
 use corkhollow_plan::routes::path::normalise;
-use corkhollow_plan::routes::{Host, Target};
+use corkhollow_plan::routes::{Host, RequestHead};
 use http::{HeaderMap, HeaderName, HeaderValue, Method, Uri};
 use std::io::Write;
 
@@ -52,7 +52,7 @@
             Err(e) => return Ok(vec![format!("answer    400: {e}")]),
         },
     };
-    let target = Target {
+    let target = RequestHead {
         listener,
         host: host.as_str(),
         path: &path,
--- a/crates/plan/src/config/routes.rs
+++ b/crates/plan/src/config/routes.rs
@@ -6,8 +6,8 @@
 use crate::plan::Listener;
 use crate::routes::rewrite::PathRewrite;
 use crate::routes::{
-    FieldMatch, FieldTest, HeaderEdits, HostPattern, Outcome, PathPattern, PathRules, Redirect, Rewrite,
-    Route, RouteTable,
+    FieldMatch, FieldTest, HeaderEdits, HostPattern, PathPattern, PathRules, Redirect, Rewrite, Route,
+    RouteAction, RouteTable,
 };
 use http::header::HeaderValue;
 use http::Method;
@@ -102,13 +102,13 @@
     if route.pool.is_none() && route.rewrite.is_some() {
         validator.error(&key_path("rewrite"), "`rewrite` requires `pool`");
     }
-    let outcome = match (&route.pool, &route.redirect, &route.answer) {
+    let action = match (&route.pool, &route.redirect, &route.answer) {
         (Some(name), ..) => {
             let pool = tables.pools.find(name, &key_path("pool"), validator)?;
-            Outcome::Forward { pool, rewrite: Box::new(build_rewrite(route, rules, index, validator)) }
+            RouteAction::Forward { pool, rewrite: Box::new(build_rewrite(route, rules, index, validator)) }
         }
-        (_, Some(redirect), _) => Outcome::Redirect(Redirect::parse(&redirect.to, redirect.status).ok()?),
-        (.., Some(answer)) => Outcome::Answer {
+        (_, Some(redirect), _) => RouteAction::Redirect(Redirect::parse(&redirect.to, redirect.status).ok()?),
+        (.., Some(answer)) => RouteAction::Answer {
             status: answer.status,
             content_type: HeaderValue::from_str(&answer.content_type).ok()?,
             body: answer.body.clone().into(),
@@ -124,7 +124,7 @@
         headers,
         query,
         class,
-        outcome,
+        action,
     })
 }
 
@@ -195,8 +195,8 @@
             regex::Regex::new(&format!("^(?:{text})$")).ok().map(|regex| FieldTest::Matches(regex.into()))
         };
         let test = match (&field.is, &field.begins, &field.matches, field.present) {
-            (Some(text), ..) => Some(FieldTest::Is(text.clone())),
-            (_, Some(text), ..) => Some(FieldTest::Begins(text.clone())),
+            (Some(text), ..) => Some(FieldTest::Equals(text.clone())),
+            (_, Some(text), ..) => Some(FieldTest::StartsWith(text.clone())),
             (_, _, Some(text), _) => match_whole(text),
             (.., Some(false)) => Some(FieldTest::Absent),
             _ => Some(FieldTest::Present),
@@ -230,7 +230,7 @@
         validator.error(&key_path("prefix"), "`rewrite.prefix` requires `path_prefix`");
     }
     let path = match (&rewrite.path, &rewrite.prefix, &rewrite.regex) {
-        (Some(path), ..) => Some(PathRewrite::Whole(path.clone())),
+        (Some(path), ..) => Some(PathRewrite::Replace(path.clone())),
         (_, Some(to), _) => match from {
             Some(Ok(PathPattern::Prefix(from))) => {
                 Some(PathRewrite::Prefix { from, to: to.trim_end_matches('/').to_owned() })
--- a/crates/plan/src/plan.rs
+++ b/crates/plan/src/plan.rs
@@ -1,7 +1,7 @@
 //! The plan: a configuration that has been checked, with every name resolved to an index.
 
 use crate::hosts::HostList;
-use crate::routes::{PathRules, RouteTable, Target};
+use crate::routes::{PathRules, RequestHead, RouteTable};
 use crate::tenants::Tenants;
 use crate::version::Version;
 use corkhollow_balance::interface::{Class, Nanos, Settings};
@@ -297,15 +297,15 @@
     }
 
     /// Why a request goes where it goes, in lines for the operator.
-    pub fn explain(&self, target: &Target<'_>) -> Vec<String> {
+    pub fn explain(&self, target: &RequestHead<'_>) -> Vec<String> {
         let mut lines = Vec::new();
         if let Some(listener) = self.listeners.get(target.listener) {
             lines.push(format!("listener  {} at {}", listener.name, listener.address));
         }
         lines.push(format!("host      {}", if target.host.is_empty() { "(none)" } else { target.host }));
         lines.push(format!("path      {}", target.path));
-        for (at, miss) in self.routes.misses(target) {
-            lines.push(format!("passed    route {}: {miss}", self.routes.routes()[at].name));
+        for (at, mismatch) in self.routes.mismatches(target) {
+            lines.push(format!("passed    route {}: {mismatch}", self.routes.routes()[at].name));
         }
         let Some((at, route)) = self.routes.find(target) else {
             let allowed = self.routes.allowed_methods(target);
@@ -319,20 +319,27 @@
             return lines;
         };
         lines.push(format!("route     {} (number {} of {})", route.name, at + 1, self.routes.routes().len()));
-        self.explain_outcome(target, route, &mut lines);
+        self.explain_action(target, route, &mut lines);
         lines
     }
 
-    fn explain_outcome(&self, target: &Target<'_>, route: &crate::routes::Route, lines: &mut Vec<String>) {
-        use crate::routes::Outcome;
-        match &route.outcome {
-            Outcome::Answer { status, .. } => lines.push(format!("answer    {status}, fixed by the route")),
-            Outcome::Redirect(redirect) => {
+    fn explain_action(
+        &self,
+        target: &RequestHead<'_>,
+        route: &crate::routes::Route,
+        lines: &mut Vec<String>,
+    ) {
+        use crate::routes::RouteAction;
+        match &route.action {
+            RouteAction::Answer { status, .. } => {
+                lines.push(format!("answer    {status}, fixed by the route"))
+            }
+            RouteAction::Redirect(redirect) => {
                 let location = redirect.location("http", target.host, target.path, target.query);
                 let location = location.as_ref().and_then(|l| l.to_str().ok()).unwrap_or("(no location)");
                 lines.push(format!("redirect  {} to {location}", redirect.status));
             }
-            Outcome::Forward { pool, rewrite } => {
+            RouteAction::Forward { pool, rewrite } => {
                 let class = &self.classes[self.class_of(route.class, target.method)];
                 let why = if route.class.is_some() { "named by the route" } else { "by the method" };
                 let effect = format!("{:?}", class.class.effect).to_lowercase();
--- a/crates/plan/src/platform.rs
+++ b/crates/plan/src/platform.rs
@@ -4,7 +4,7 @@
 
 use crate::hosts::HostList;
 use crate::plan::{Dialect, Discovery, Limits as Holding, Listener, Plan, Pool, RequestClass, Source};
-use crate::routes::{Outcome, PathPattern, PathRules, Route, RouteTable};
+use crate::routes::{PathPattern, PathRules, Route, RouteAction, RouteTable};
 use crate::tenants::Tenants;
 use crate::version::Version;
 use corkhollow_balance::interface::{Nanos, Quotas, Settings};
@@ -265,7 +265,7 @@
             headers: Vec::new(),
             query: Vec::new(),
             class: Some(k),
-            outcome: Outcome::Forward { pool: 0, rewrite: Box::default() },
+            action: RouteAction::Forward { pool: 0, rewrite: Box::default() },
         };
         let longest = settings.classes.iter().map(|c| c.give_up).max().unwrap_or(LONGEST_COUNTED);
         let shares = self.tenants.iter().cloned().zip(settings.tenant_quota.iter().map(|(_, share)| share));
--- a/crates/plan/src/routes/cover.rs
+++ b/crates/plan/src/routes/cover.rs
@@ -11,7 +11,7 @@
 enum HostKey<'r> {
     Any,
     Exact(&'r str),
-    Below(&'r str),
+    Subdomains(&'r str),
 }
 
 /// What a route is for of paths.
@@ -97,17 +97,17 @@
 fn own(host: &HostPattern) -> HostKey<'_> {
     match host {
         HostPattern::Exact(name) => HostKey::Exact(name),
-        HostPattern::Below(name) => HostKey::Below(name),
+        HostPattern::Subdomains(name) => HostKey::Subdomains(name),
     }
 }
 
 /// Hosts that take in this one.
 fn wider_hosts(host: &HostPattern) -> Vec<HostKey<'_>> {
     let mut hosts = vec![HostKey::Any, own(host)];
-    let (HostPattern::Exact(name) | HostPattern::Below(name)) = host;
+    let (HostPattern::Exact(name) | HostPattern::Subdomains(name)) = host;
     let mut rest = name.as_str();
     while let Some((_, parent)) = rest.split_once('.') {
-        hosts.push(HostKey::Below(parent));
+        hosts.push(HostKey::Subdomains(parent));
         rest = parent;
     }
     hosts
--- a/crates/plan/src/routes/fields.rs
+++ b/crates/plan/src/routes/fields.rs
@@ -19,21 +19,21 @@
     /// There is none.
     Absent,
     /// It is this.
-    Is(String),
+    Equals(String),
     /// It begins with this.
-    Begins(String),
+    StartsWith(String),
     /// The whole of it matches.
     Matches(Expression),
 }
 
 impl FieldMatch {
     /// Whether the condition holds for these values.
-    pub fn holds<'v>(&self, mut values: impl Iterator<Item = &'v [u8]>) -> bool {
+    pub fn matches<'v>(&self, mut values: impl Iterator<Item = &'v [u8]>) -> bool {
         match &self.test {
             FieldTest::Present => values.next().is_some(),
             FieldTest::Absent => values.next().is_none(),
-            FieldTest::Is(own) => values.any(|v| v == own.as_bytes()),
-            FieldTest::Begins(own) => values.any(|v| v.starts_with(own.as_bytes())),
+            FieldTest::Equals(own) => values.any(|v| v == own.as_bytes()),
+            FieldTest::StartsWith(own) => values.any(|v| v.starts_with(own.as_bytes())),
             FieldTest::Matches(regex) => {
                 values.any(|v| std::str::from_utf8(v).is_ok_and(|text| regex.is_match(text)))
             }
@@ -41,7 +41,7 @@
     }
 
     /// Whether the condition holds for a query, as it stands behind the `?`.
-    pub fn holds_in_query(&self, query: &str) -> bool {
+    pub fn matches_query(&self, query: &str) -> bool {
         let values: Vec<Vec<u8>> = query
             .split('&')
             .filter(|part| !part.is_empty())
@@ -49,7 +49,7 @@
             .filter(|(name, _)| decode(name) == self.name.as_bytes())
             .map(|(_, value)| decode(value))
             .collect();
-        self.holds(values.iter().map(Vec::as_slice))
+        self.matches(values.iter().map(Vec::as_slice))
     }
 }
 
@@ -81,8 +81,8 @@
         match &self.test {
             FieldTest::Present => write!(f, "{name} is there"),
             FieldTest::Absent => write!(f, "{name} is not there"),
-            FieldTest::Is(own) => write!(f, "{name} is {own:?}"),
-            FieldTest::Begins(own) => write!(f, "{name} begins with {own:?}"),
+            FieldTest::Equals(own) => write!(f, "{name} is {own:?}"),
+            FieldTest::StartsWith(own) => write!(f, "{name} begins with {own:?}"),
             FieldTest::Matches(regex) => write!(f, "{name} matches {regex}"),
         }
     }
@@ -94,7 +94,7 @@
     use proptest::prelude::*;
 
     fn is(name: &str, value: &str) -> FieldMatch {
-        FieldMatch { name: name.into(), test: FieldTest::Is(value.into()) }
+        FieldMatch { name: name.into(), test: FieldTest::Equals(value.into()) }
     }
 
     #[test]
@@ -108,16 +108,16 @@
             ("", false),
             ("a", false),
         ] {
-            assert_eq!(is("a", "b c").holds_in_query(query), hit, "{query}");
+            assert_eq!(is("a", "b c").matches_query(query), hit, "{query}");
         }
         let absent = FieldMatch { name: "a".into(), test: FieldTest::Absent };
-        assert!(absent.holds_in_query("b=1") && !absent.holds_in_query("a"));
+        assert!(absent.matches_query("b=1") && !absent.matches_query("a"));
     }
 
     proptest! {
         #[test]
         fn no_query_panics(query in ".{0,60}") {
-            let _ = is("a", "b").holds_in_query(&query);
+            let _ = is("a", "b").matches_query(&query);
         }
     }
 }
--- a/crates/plan/src/routes/host.rs
+++ b/crates/plan/src/routes/host.rs
@@ -10,7 +10,7 @@
 /// A host that cannot be one (RFC 3986, 3.2.2).
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("`{0}` is no host name")]
-pub struct BadHost(pub String);
+pub struct InvalidHost(pub String);
 
 fn name_byte(b: u8) -> bool {
     b.is_ascii_alphanumeric() || matches!(b, b'-' | b'.' | b'_' | b'~' | b'!' | b'$' | b'&' | b'\'')
@@ -21,8 +21,8 @@
     ///
     /// # Errors
     /// Where it holds user information, characters that no host has, an empty label or a port that is none.
-    pub fn parse(authority: &'a str) -> Result<Self, BadHost> {
-        let bad = || BadHost(authority.chars().take(80).collect());
+    pub fn parse(authority: &'a str) -> Result<Self, InvalidHost> {
+        let bad = || InvalidHost(authority.chars().take(80).collect());
         if authority.is_empty() {
             return Ok(Host(Cow::Borrowed("")));
         }
@@ -68,7 +68,7 @@
     /// This one.
     Exact(String),
     /// All below this one, at any depth, but not itself: `*.example.org`.
-    Below(String),
+    Subdomains(String),
 }
 
 impl HostPattern {
@@ -76,22 +76,22 @@
     ///
     /// # Errors
     /// Where the name is none, has a port, or holds `*` elsewhere.
-    pub fn parse(text: &str) -> Result<Self, BadHost> {
+    pub fn parse(text: &str) -> Result<Self, InvalidHost> {
         let (name, below) = text.strip_prefix("*.").map_or((text, false), |rest| (rest, true));
         let host = Host::parse(name)?;
         let port = if name.starts_with('[') { name.contains("]:") } else { name.contains(':') };
         if name.is_empty() || port {
-            return Err(BadHost(text.to_owned()));
+            return Err(InvalidHost(text.to_owned()));
         }
         let name = host.0.into_owned();
-        Ok(if below { HostPattern::Below(name) } else { HostPattern::Exact(name) })
+        Ok(if below { HostPattern::Subdomains(name) } else { HostPattern::Exact(name) })
     }
 
     /// Whether a host is one of these.
     pub fn matches(&self, host: &str) -> bool {
         match self {
             HostPattern::Exact(name) => name == host,
-            HostPattern::Below(name) => {
+            HostPattern::Subdomains(name) => {
                 host.strip_suffix(name.as_str()).is_some_and(|front| front.len() > 1 && front.ends_with('.'))
             }
         }
@@ -102,7 +102,7 @@
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             HostPattern::Exact(name) => f.write_str(name),
-            HostPattern::Below(name) => write!(f, "*.{name}"),
+            HostPattern::Subdomains(name) => write!(f, "*.{name}"),
         }
     }
 }
--- a/crates/plan/src/routes/mod.rs
+++ b/crates/plan/src/routes/mod.rs
@@ -17,4 +17,4 @@
 pub use host::{Host, HostPattern};
 pub use path::{PathPattern, PathRules};
 pub use rewrite::{HeaderEdits, Redirect, Rewrite};
-pub use table::{Miss, Outcome, Route, RouteTable, Target};
+pub use table::{Mismatch, RequestHead, Route, RouteAction, RouteTable};
--- a/crates/plan/src/routes/path.rs
+++ b/crates/plan/src/routes/path.rs
@@ -24,7 +24,7 @@
 
 /// Why a path is turned away.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum BadPath {
+pub enum InvalidPath {
     /// It does not begin with a slash.
     #[error("the path does not begin with `/`")]
     Relative,
@@ -50,13 +50,13 @@
 /// Puts a path into the form in which paths are compared and passed on.
 ///
 /// # Errors
-/// See [`BadPath`].
-pub fn normalise(raw: &str, rules: PathRules) -> Result<Cow<'_, str>, BadPath> {
+/// See [`InvalidPath`].
+pub fn normalise(raw: &str, rules: PathRules) -> Result<Cow<'_, str>, InvalidPath> {
     if !raw.starts_with('/') {
-        return Err(BadPath::Relative);
+        return Err(InvalidPath::Relative);
     }
     if raw.bytes().any(|b| b.is_ascii_control()) {
-        return Err(BadPath::Control);
+        return Err(InvalidPath::Control);
     }
     let doubled = rules.merge_slashes && raw.contains("//");
     if !doubled && !raw.contains("/.") && !raw.bytes().any(|b| b == b'%' || b == b'\\') {
@@ -65,25 +65,27 @@
     Ok(Cow::Owned(without_dots(&unescape(raw, rules)?, rules)))
 }
 
-fn unescape(raw: &str, rules: PathRules) -> Result<String, BadPath> {
+fn unescape(raw: &str, rules: PathRules) -> Result<String, InvalidPath> {
     let mut out = String::with_capacity(raw.len());
     let mut rest = raw;
     while let Some(at) = rest.find(['%', '\\']) {
         out.push_str(&rest[..at]);
         if rest.as_bytes()[at] == b'\\' {
             if !rules.keep_escaped_slashes {
-                return Err(BadPath::Slash);
+                return Err(InvalidPath::Slash);
             }
             out.push('\\');
             rest = &rest[at + 1..];
             continue;
         }
-        let digits = rest.as_bytes().get(at + 1..at + 3).ok_or(BadPath::Escape)?;
-        let (Some(high), Some(low)) = (hex(digits[0]), hex(digits[1])) else { return Err(BadPath::Escape) };
+        let digits = rest.as_bytes().get(at + 1..at + 3).ok_or(InvalidPath::Escape)?;
+        let (Some(high), Some(low)) = (hex(digits[0]), hex(digits[1])) else {
+            return Err(InvalidPath::Escape);
+        };
         let byte = high * 16 + low;
         match byte {
-            b if b.is_ascii_control() => return Err(BadPath::Control),
-            b'/' | b'\\' if !rules.keep_escaped_slashes => return Err(BadPath::Slash),
+            b if b.is_ascii_control() => return Err(InvalidPath::Control),
+            b'/' | b'\\' if !rules.keep_escaped_slashes => return Err(InvalidPath::Slash),
             b if unreserved(b) => out.push(b as char),
             b => out.push_str(&format!("%{b:02X}")),
         }
@@ -139,7 +141,7 @@
     ///
     /// # Errors
     /// Where no request's path can ever be this one.
-    pub fn exact(path: &str, rules: PathRules) -> Result<Self, BadPath> {
+    pub fn exact(path: &str, rules: PathRules) -> Result<Self, InvalidPath> {
         Ok(PathPattern::Exact(normalise(path, rules)?.into_owned()))
     }
 
@@ -147,7 +149,7 @@
     ///
     /// # Errors
     /// As for [`PathPattern::exact`].
-    pub fn prefix(path: &str, rules: PathRules) -> Result<Self, BadPath> {
+    pub fn prefix(path: &str, rules: PathRules) -> Result<Self, InvalidPath> {
         let path = normalise(path, rules)?;
         Ok(PathPattern::Prefix(path.trim_end_matches('/').to_owned()))
     }
@@ -208,7 +210,7 @@
     use super::*;
     use proptest::prelude::*;
 
-    fn norm(raw: &str) -> Result<String, BadPath> {
+    fn norm(raw: &str) -> Result<String, InvalidPath> {
         normalise(raw, PathRules::default()).map(Cow::into_owned)
     }
 
@@ -243,18 +245,18 @@
     #[test]
     fn what_can_be_read_in_two_ways_is_turned_away() {
         for (raw, fault) in [
-            ("a", BadPath::Relative),
-            ("*", BadPath::Relative),
-            ("/%", BadPath::Escape),
-            ("/%4", BadPath::Escape),
-            ("/%zz", BadPath::Escape),
-            ("/%00", BadPath::Control),
-            ("/a%0d%0ab", BadPath::Control),
-            ("/a\0", BadPath::Control),
-            ("/a%2Fb", BadPath::Slash),
-            ("/a%2f..%2fb", BadPath::Slash),
-            ("/a%5c..", BadPath::Slash),
-            ("/a\\..\\b", BadPath::Slash),
+            ("a", InvalidPath::Relative),
+            ("*", InvalidPath::Relative),
+            ("/%", InvalidPath::Escape),
+            ("/%4", InvalidPath::Escape),
+            ("/%zz", InvalidPath::Escape),
+            ("/%00", InvalidPath::Control),
+            ("/a%0d%0ab", InvalidPath::Control),
+            ("/a\0", InvalidPath::Control),
+            ("/a%2Fb", InvalidPath::Slash),
+            ("/a%2f..%2fb", InvalidPath::Slash),
+            ("/a%5c..", InvalidPath::Slash),
+            ("/a\\..\\b", InvalidPath::Slash),
         ] {
             assert_eq!(norm(raw), Err(fault), "{raw}");
         }
--- a/crates/plan/src/routes/rewrite.rs
+++ b/crates/plan/src/routes/rewrite.rs
@@ -34,7 +34,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum PathRewrite {
     /// This path, whatever it was.
-    Whole(String),
+    Replace(String),
     /// The route's prefix gives way to another one.
     Prefix {
         /// Without a slash at its end.
@@ -67,17 +67,17 @@
 /// The rewritten path cannot stand in a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the rewritten path cannot stand in a request")]
-pub struct BadRewrite;
+pub struct InvalidRewrite;
 
 impl Rewrite {
     /// The target that a server gets for a path in its one form and its query.
     ///
     /// # Errors
     /// Where a substitution makes something that is no path.
-    pub fn target(&self, path: &str, query: Option<&str>) -> Result<PathAndQuery, BadRewrite> {
+    pub fn target(&self, path: &str, query: Option<&str>) -> Result<PathAndQuery, InvalidRewrite> {
         let mut out = match &self.path {
             None => path.to_owned(),
-            Some(PathRewrite::Whole(own)) => own.clone(),
+            Some(PathRewrite::Replace(own)) => own.clone(),
             Some(PathRewrite::Prefix { from, to }) => {
                 let rest = path.strip_prefix(from.as_str()).unwrap_or(path);
                 format!("{to}{rest}")
@@ -91,7 +91,7 @@
             out.push('?');
             out.push_str(query);
         }
-        PathAndQuery::try_from(out).map_err(|_| BadRewrite)
+        PathAndQuery::try_from(out).map_err(|_| InvalidRewrite)
     }
 }
 
@@ -115,7 +115,7 @@
 /// A template that cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("`{{{0}}}` is not known in a redirect; {{scheme}}, {{host}}, {{path}} and {{query}} are")]
-pub struct BadTemplate(String);
+pub struct InvalidTemplate(String);
 
 impl Redirect {
     /// Reads a template: `{scheme}`, `{host}` (without port), `{path}` (in its one form) and `{query}` (with its
@@ -123,21 +123,21 @@
     ///
     /// # Errors
     /// Where something else stands in braces, or a brace is not closed.
-    pub fn parse(template: &str, status: u16) -> Result<Self, BadTemplate> {
+    pub fn parse(template: &str, status: u16) -> Result<Self, InvalidTemplate> {
         let mut to = Vec::new();
         let mut rest = template;
         while let Some(open) = rest.find('{') {
             if open > 0 {
                 to.push(Piece::Text(rest[..open].to_owned()));
             }
-            let close = rest[open..].find('}').ok_or_else(|| BadTemplate(rest[open + 1..].to_owned()))?;
+            let close = rest[open..].find('}').ok_or_else(|| InvalidTemplate(rest[open + 1..].to_owned()))?;
             let name = &rest[open + 1..open + close];
             to.push(match name {
                 "scheme" => Piece::Scheme,
                 "host" => Piece::Host,
                 "path" => Piece::Path,
                 "query" => Piece::Query,
-                other => return Err(BadTemplate(other.to_owned())),
+                other => return Err(InvalidTemplate(other.to_owned())),
             });
             rest = &rest[open + close + 1..];
         }
@@ -174,7 +174,7 @@
 mod tests {
     use super::*;
 
-    fn rewritten(path: PathRewrite, from: &str, query: Option<&str>) -> Result<String, BadRewrite> {
+    fn rewritten(path: PathRewrite, from: &str, query: Option<&str>) -> Result<String, InvalidRewrite> {
         Rewrite { path: Some(path), ..Rewrite::default() }.target(from, query).map(|t| t.to_string())
     }
 
@@ -189,8 +189,8 @@
             with: with.into(),
         };
         assert_eq!(rewritten(swap("/user/$1/home"), "/u/ann/x", None).unwrap(), "/user/ann/home/x");
-        assert_eq!(rewritten(swap("/a b"), "/u/ann", None), Err(BadRewrite));
-        assert_eq!(rewritten(PathRewrite::Whole("/one".into()), "/two", Some("a")).unwrap(), "/one?a");
+        assert_eq!(rewritten(swap("/a b"), "/u/ann", None), Err(InvalidRewrite));
+        assert_eq!(rewritten(PathRewrite::Replace("/one".into()), "/two", Some("a")).unwrap(), "/one?a");
         assert_eq!(Rewrite::default().target("*", None).unwrap().to_string(), "*");
     }
 
--- a/crates/plan/src/routes/table.rs
+++ b/crates/plan/src/routes/table.rs
@@ -14,7 +14,7 @@
 
 /// What a request's head says to the routes.
 #[derive(Clone, Copy, Debug)]
-pub struct Target<'a> {
+pub struct RequestHead<'a> {
     /// The listener that it came to, as an index into the plan's.
     pub listener: usize,
     /// Its host in its one form ([`super::Host`]).
@@ -31,7 +31,7 @@
 
 /// What becomes of a request on a route.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Outcome {
+pub enum RouteAction {
     /// It goes to a server.
     Forward {
         /// The pool, as an index into the plan's.
@@ -72,12 +72,12 @@
     /// The class of its requests, as an index into the plan's; none goes by the method.
     pub class: Option<usize>,
     /// What becomes of the request.
-    pub outcome: Outcome,
+    pub action: RouteAction,
 }
 
 /// The first condition of a route that did not hold.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Miss {
+pub enum Mismatch {
     /// It is for other listeners.
     Listener,
     /// It is for other hosts.
@@ -92,55 +92,57 @@
     Query(String),
 }
 
-impl std::fmt::Display for Miss {
+impl std::fmt::Display for Mismatch {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            Miss::Listener => f.write_str("it is for other listeners"),
-            Miss::Host => f.write_str("it is for other hosts"),
-            Miss::Path => f.write_str("it is for other paths"),
-            Miss::Method => f.write_str("it is for other methods"),
-            Miss::Header(what) => write!(f, "it wants that header {what}"),
-            Miss::Query(what) => write!(f, "it wants that query parameter {what}"),
+            Mismatch::Listener => f.write_str("it is for other listeners"),
+            Mismatch::Host => f.write_str("it is for other hosts"),
+            Mismatch::Path => f.write_str("it is for other paths"),
+            Mismatch::Method => f.write_str("it is for other methods"),
+            Mismatch::Header(what) => write!(f, "it wants that header {what}"),
+            Mismatch::Query(what) => write!(f, "it wants that query parameter {what}"),
         }
     }
 }
 
 impl Route {
     /// Why it does not take a request; none where it does.
-    pub fn miss(&self, target: &Target<'_>) -> Option<Miss> {
+    pub fn mismatch(&self, target: &RequestHead<'_>) -> Option<Mismatch> {
         if !self.listeners.is_empty() && !self.listeners.contains(&target.listener) {
-            return Some(Miss::Listener);
+            return Some(Mismatch::Listener);
         }
         if !self.hosts.is_empty() && !self.hosts.iter().any(|h| h.matches(target.host)) {
-            return Some(Miss::Host);
+            return Some(Mismatch::Host);
         }
         if self.path.as_ref().is_some_and(|p| !p.matches(target.path)) {
-            return Some(Miss::Path);
+            return Some(Mismatch::Path);
         }
         if !self.methods.is_empty() && !self.methods.contains(target.method) {
-            return Some(Miss::Method);
+            return Some(Mismatch::Method);
         }
         let values = |name: &str| target.headers.get_all(name).into_iter().map(HeaderValue::as_bytes);
-        if let Some(missed) = self.headers.iter().find(|h| !h.holds(values(&h.name))) {
-            return Some(Miss::Header(missed.to_string()));
+        if let Some(missed) = self.headers.iter().find(|h| !h.matches(values(&h.name))) {
+            return Some(Mismatch::Header(missed.to_string()));
         }
         let query = target.query.unwrap_or_default();
-        let missed = self.query.iter().find(|q| !q.holds_in_query(query))?;
-        Some(Miss::Query(missed.to_string()))
+        let missed = self.query.iter().find(|q| !q.matches_query(query))?;
+        Some(Mismatch::Query(missed.to_string()))
     }
 
     /// The pool that its requests go to, as an index into the plan's.
     pub fn pool(&self) -> Option<usize> {
-        match self.outcome {
-            Outcome::Forward { pool, .. } => Some(pool),
+        match self.action {
+            RouteAction::Forward { pool, .. } => Some(pool),
             _ => None,
         }
     }
 
     /// Whether it does what another one does, but for its pool, its class and its listeners, which it names by their places.
     pub(crate) fn has_same_effect(&self, other: &Route) -> bool {
-        let outcome = match (&self.outcome, &other.outcome) {
-            (Outcome::Forward { rewrite, .. }, Outcome::Forward { rewrite: others, .. }) => rewrite == others,
+        let outcome = match (&self.action, &other.action) {
+            (RouteAction::Forward { rewrite, .. }, RouteAction::Forward { rewrite: others, .. }) => {
+                rewrite == others
+            }
             (own, others) => own == others,
         };
         outcome
@@ -156,8 +158,8 @@
         let host = |theirs: &HostPattern| {
             self.hosts.iter().any(|own| match theirs {
                 HostPattern::Exact(name) => own.matches(name),
-                HostPattern::Below(name) => match own {
-                    HostPattern::Below(wide) => wide == name || own.matches(name),
+                HostPattern::Subdomains(name) => match own {
+                    HostPattern::Subdomains(wide) => wide == name || own.matches(name),
                     HostPattern::Exact(_) => false,
                 },
             })
@@ -224,7 +226,7 @@
                 for host in &route.hosts {
                     let bucket = match host {
                         HostPattern::Exact(name) => by_host.exact.entry(name.clone()).or_default(),
-                        HostPattern::Below(name) => by_host.below.entry(name.clone()).or_default(),
+                        HostPattern::Subdomains(name) => by_host.below.entry(name.clone()).or_default(),
                     };
                     bucket.add(at, path);
                 }
@@ -249,7 +251,7 @@
     }
 
     /// The first route that takes the request, with its place in the file.
-    pub fn find(&self, target: &Target<'_>) -> Option<(usize, &Route)> {
+    pub fn find(&self, target: &RequestHead<'_>) -> Option<(usize, &Route)> {
         let by_host = self.by_listener.get(target.listener)?;
         let segment = first_segment(target.path);
         let mut lists: Vec<&[u32]> = Vec::with_capacity(6);
@@ -270,7 +272,7 @@
         loop {
             let next = lists.iter().filter_map(|l| l.first()).min().copied()?;
             let route = &self.routes[next as usize];
-            if route.miss(target).is_none() {
+            if route.mismatch(target).is_none() {
                 return Some((next as usize, route));
             }
             for list in &mut lists {
@@ -282,16 +284,20 @@
     }
 
     /// Every route that was tried before the one that took the request, and why it did not take it.
-    pub fn misses(&self, target: &Target<'_>) -> Vec<(usize, Miss)> {
-        self.routes.iter().enumerate().map_while(|(at, r)| r.miss(target).map(|miss| (at, miss))).collect()
+    pub fn mismatches(&self, target: &RequestHead<'_>) -> Vec<(usize, Mismatch)> {
+        self.routes
+            .iter()
+            .enumerate()
+            .map_while(|(at, r)| r.mismatch(target).map(|mismatch| (at, mismatch)))
+            .collect()
     }
 
     /// The methods with which the request would find a route, where its own finds none.
-    pub fn allowed_methods(&self, target: &Target<'_>) -> Vec<Method> {
+    pub fn allowed_methods(&self, target: &RequestHead<'_>) -> Vec<Method> {
         let mut methods = Vec::new();
         for route in &self.routes {
             for method in route.methods.iter().filter(|m| !methods.contains(*m)).collect::<Vec<_>>() {
-                if route.miss(&Target { method, ..*target }).is_none() {
+                if route.mismatch(&RequestHead { method, ..*target }).is_none() {
                     methods.push(method.clone());
                 }
             }
--- a/crates/plan/tests/config.rs
+++ b/crates/plan/tests/config.rs
@@ -6,7 +6,7 @@
 use corkhollow_plan::config::{parse_config, parse_server_list, reference, Diagnostic, Severity};
 use corkhollow_plan::plan::Plan;
 use corkhollow_plan::routes::path::normalise;
-use corkhollow_plan::routes::{Host, Target};
+use corkhollow_plan::routes::{Host, RequestHead};
 use http::{HeaderMap, Method};
 use proptest::collection::{btree_map, vec};
 use proptest::option;
@@ -202,7 +202,7 @@
     let host = Host::parse(host).unwrap();
     let path = normalise(path, plan.listeners[0].paths).unwrap();
     let headers = HeaderMap::new();
-    let target = Target {
+    let target = RequestHead {
         listener: 0,
         host: host.as_str(),
         path: &path,
--- a/crates/plan/tests/routes.rs
+++ b/crates/plan/tests/routes.rs
@@ -38,8 +38,8 @@
     let test = prop_oneof![
         Just(FieldTest::Present),
         Just(FieldTest::Absent),
-        select(&["1", "2"][..]).prop_map(|v| FieldTest::Is(v.to_owned())),
-        Just(FieldTest::Begins("1".to_owned())),
+        select(&["1", "2"][..]).prop_map(|v| FieldTest::Equals(v.to_owned())),
+        Just(FieldTest::StartsWith("1".to_owned())),
     ];
     (select(&["x-a", "x-b"][..]), test).prop_map(|(name, test)| FieldMatch { name: name.to_owned(), test })
 }
@@ -54,8 +54,8 @@
         query in vec(field(), 0..2),
     ) -> Route {
         let redirect = Redirect::parse("/", 302).unwrap();
-        let outcome = Outcome::Redirect(redirect);
-        Route { name: String::new(), listeners, hosts, path, methods, headers, query, class: None, outcome }
+        let action = RouteAction::Redirect(redirect);
+        Route { name: String::new(), listeners, hosts, path, methods, headers, query, class: None, action }
     }
 }
 
@@ -67,14 +67,14 @@
     (0usize..3, select(&HOSTS[..]), path(), method(), vec(header, 0..3), query)
 }
 
-fn with<T>(asked: &Asked, f: impl FnOnce(&Target<'_>) -> T) -> T {
+fn with<T>(asked: &Asked, f: impl FnOnce(&RequestHead<'_>) -> T) -> T {
     let (listener, host, path, method, fields, query) = asked;
     let mut headers = HeaderMap::new();
     for (name, value) in fields {
         headers.append(HeaderName::from_static(name), HeaderValue::from_static(value));
     }
     let path = normalise(path, PathRules::default()).unwrap();
-    f(&Target { listener: *listener, host, path: &path, query: *query, method, headers: &headers })
+    f(&RequestHead { listener: *listener, host, path: &path, query: *query, method, headers: &headers })
 }
 
 proptest! {
@@ -86,9 +86,9 @@
         let table = RouteTable::new(routes, 3);
         for asked in &asked {
             with(asked, |target| {
-                let naive = table.routes().iter().position(|r| r.miss(target).is_none());
+                let naive = table.routes().iter().position(|r| r.mismatch(target).is_none());
                 assert_eq!(table.find(target).map(|(at, _)| at), naive, "{asked:?}");
-                assert_eq!(table.misses(target).len(), naive.unwrap_or(table.routes().len()));
+                assert_eq!(table.mismatches(target).len(), naive.unwrap_or(table.routes().len()));
             });
         }
     }
@@ -99,7 +99,7 @@
         if earlier.covers(&later) {
             for asked in &asked {
                 with(asked, |target| {
-                    assert!(later.miss(target).is_some() || earlier.miss(target).is_none(), "{asked:?}");
+                    assert!(later.mismatch(target).is_some() || earlier.mismatch(target).is_none(), "{asked:?}");
                 });
             }
         }
@@ -155,7 +155,7 @@
                 headers: Vec::new(),
                 query: Vec::new(),
                 class: None,
-                outcome: Outcome::Redirect(Redirect::parse("/", 302).unwrap()),
+                action: RouteAction::Redirect(Redirect::parse("/", 302).unwrap()),
             }
         };
         RouteTable::new((0..count).map(route).collect(), 1)
--- a/crates/proxy/src/http1/general.rs
+++ b/crates/proxy/src/http1/general.rs
@@ -13,7 +13,7 @@
 use corkhollow_engine::{Answer, InterimHandler, Message, Payload};
 use corkhollow_plan::plan::Listener;
 use corkhollow_plan::routes::path::normalise;
-use corkhollow_plan::routes::{Host, Outcome, Rewrite, Target};
+use corkhollow_plan::routes::{Host, RequestHead, Rewrite, RouteAction};
 use hyper::body::{Body, Incoming};
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::http::request::Parts;
@@ -130,7 +130,7 @@
         "*" if head.method == Method::OPTIONS => Cow::Borrowed("*"),
         raw => normalise(raw, listener.paths).map_err(|e| Problem::malformed(e.to_string()))?,
     };
-    let target = Target {
+    let target = RequestHead {
         listener: at,
         host: host.as_str(),
         path: &path,
@@ -141,14 +141,14 @@
     let Some((_, route)) = site.plan.routes.find(&target) else {
         return Err(no_route_problem(site, &target));
     };
-    match &route.outcome {
-        Outcome::Answer { status, content_type, body } => {
+    match &route.action {
+        RouteAction::Answer { status, content_type, body } => {
             let mut response = Response::new(AnswerBody::Text((!body.is_empty()).then(|| body.clone())));
             *response.status_mut() = StatusCode::from_u16(*status).unwrap_or(StatusCode::OK);
             response.headers_mut().insert(header::CONTENT_TYPE, content_type.clone());
             Ok(response)
         }
-        Outcome::Redirect(redirect) => {
+        RouteAction::Redirect(redirect) => {
             let location = redirect.location("http", host.as_str(), &path, head.uri.query());
             let location =
                 location.ok_or_else(|| Problem::malformed("no location can be made of this target"))?;
@@ -157,7 +157,7 @@
             response.headers_mut().insert(header::LOCATION, location);
             Ok(response)
         }
-        Outcome::Forward { pool, rewrite } => {
+        RouteAction::Forward { pool, rewrite } => {
             let class = site.plan.class_of(route.class, &head.method);
             client.track_request(&site.class_metrics[class]);
             let sent = upstream_target(rewrite, &path, &head.uri)?;
@@ -293,7 +293,7 @@
     }
 }
 
-fn no_route_problem(site: &ActivePlan, target: &Target<'_>) -> Problem {
+fn no_route_problem(site: &ActivePlan, target: &RequestHead<'_>) -> Problem {
     let allowed = site.plan.routes.allowed_methods(target);
     if allowed.is_empty() {
         return Problem::new(StatusCode::NOT_FOUND, "no-route", "no route takes this request");
--- a/crates/proxy/src/http1/platform.rs
+++ b/crates/proxy/src/http1/platform.rs
@@ -12,7 +12,7 @@
 use corkhollow_balance::interface::{self, Nanos, Settings};
 use corkhollow_engine::{Answer, Message, Payload};
 use corkhollow_plan::limits::MAX_BODY_BYTES;
-use corkhollow_plan::routes::{Outcome, Target};
+use corkhollow_plan::routes::{RequestHead, RouteAction};
 use hyper::body::{Body, Incoming};
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::{Method, Request, Response, StatusCode, Uri};
@@ -44,7 +44,7 @@
         return with_connection_close(text_response(StatusCode::BAD_REQUEST, "two lengths\n"));
     }
     // The path goes on as it came, and is matched so.
-    let target = Target {
+    let target = RequestHead {
         listener: 0,
         host: "",
         path: head.uri.path(),
@@ -52,8 +52,8 @@
         method: &head.method,
         headers: &head.headers,
     };
-    let Some((class, at)) = site.plan.routes.find(&target).and_then(|(_, route)| match route.outcome {
-        Outcome::Forward { pool, .. } => Some((route.class?, pool)),
+    let Some((class, at)) = site.plan.routes.find(&target).and_then(|(_, route)| match route.action {
+        RouteAction::Forward { pool, .. } => Some((route.class?, pool)),
         _ => None,
     }) else {
         return with_connection_close(text_response(StatusCode::NOT_FOUND, "no such class of requests\n"));
--- a/crates/proxy/tests/follow.rs
+++ b/crates/proxy/tests/follow.rs
@@ -9,7 +9,7 @@
 use corkhollow_plan::config::parse_config;
 use corkhollow_plan::limits::Budget;
 use corkhollow_plan::plan::Plan;
-use corkhollow_plan::routes::Target;
+use corkhollow_plan::routes::RequestHead;
 use corkhollow_proxy::active_plan::ActivePlan;
 use corkhollow_proxy::upstream::{Engines, PoolContext};
 use http::{HeaderMap, HeaderValue, Method};
@@ -162,7 +162,7 @@
     let (headers, method) = (HeaderMap::new(), Method::GET);
     let to = |path: u8| {
         let path = format!("/{path}");
-        let target = Target {
+        let target = RequestHead {
             listener: 0,
             host: "a.org",
             path: &path,
