--- a/crates/corkhollow/src/commands/check.rs
+++ b/crates/corkhollow/src/commands/check.rs
@@ -21,7 +21,7 @@
     if let Some(path) = plan.fleet.as_ref().and_then(|fleet| fleet.key_file.as_ref()) {
         let text = std::fs::read_to_string(path)
             .map_err(|error| Failure::Unreadable { path: path.clone(), error })?;
-        Fleet::key(&text).map_err(|why| Failure::Request(format!("{}: {why}", path.display())))?;
+        Fleet::parse_key(&text).map_err(|why| Failure::Request(format!("{}: {why}", path.display())))?;
     }
     let (routes, pools) = (plan.routes.routes().len(), plan.pools.len());
     writeln!(
--- a/crates/corkhollow/src/commands/membership.rs
+++ b/crates/corkhollow/src/commands/membership.rs
@@ -32,7 +32,7 @@
     let fault = |path: &std::path::Path, why: String| StartError::Key { path: path.to_owned(), why };
     let key = told.key_file.as_ref().map(|path| {
         let text = std::fs::read_to_string(path).map_err(|error| fault(path, error.to_string()))?;
-        plan::Fleet::key(&text).map_err(|why| fault(path, why))
+        plan::Fleet::parse_key(&text).map_err(|why| fault(path, why))
     });
     Ok(Config {
         fleet: told.name.clone(),
@@ -46,7 +46,7 @@
             probe_timeout: told.probe_timeout,
             suspect_for: told.suspect_for,
         },
-        datagram: told.datagram,
+        datagram: told.max_datagram_bytes,
         additions: Additions::default(),
         incarnation: 1,
     })
@@ -142,7 +142,7 @@
 pub fn reloaded(old: &Plan, new: &Plan) -> Result<Option<Config>, StartError> {
     match (&old.fleet, &new.fleet) {
         (None, None) => Ok(None),
-        (Some(was), Some(told)) => match was.fixed(told) {
+        (Some(was), Some(told)) => match was.changed_fixed_key(told) {
             Some(key) => Err(StartError::Fixed { key: format!("fleet.{key}") }),
             // Its own address is for good, and not looked at again.
             None => config(new, told, told.advertise.unwrap_or(told.listen)).map(Some),
--- a/crates/corkhollow/src/commands/mod.rs
+++ b/crates/corkhollow/src/commands/mod.rs
@@ -9,7 +9,7 @@
 pub mod run;
 
 use corkhollow_plan::config::{self, CheckedConfig, Diagnostic};
-use corkhollow_plan::settled;
+use corkhollow_plan::stable_read;
 use std::io::Write;
 use std::path::{Path, PathBuf};
 
@@ -31,7 +31,7 @@
 /// Reads an operator's file. What is wrong with it is printed, one line a fault.
 pub fn load(path: &Path) -> Result<CheckedConfig, Failure> {
     let unreadable = |error| Failure::Unreadable { path: path.to_owned(), error };
-    let bytes = settled::read(path).map_err(unreadable)?;
+    let bytes = stable_read::read(path).map_err(unreadable)?;
     let text = String::from_utf8(bytes)
         .map_err(|error| unreadable(std::io::Error::new(std::io::ErrorKind::InvalidData, error)))?;
     let folder = path.parent().unwrap_or(Path::new(""));
--- a/crates/corkhollow/src/commands/reload.rs
+++ b/crates/corkhollow/src/commands/reload.rs
@@ -10,7 +10,7 @@
 use corkhollow_operate::Metrics;
 use corkhollow_plan::change::Change;
 use corkhollow_plan::plan::{Plan, Source};
-use corkhollow_plan::platform::{Config, Shape};
+use corkhollow_plan::platform::{Config, RawConfig};
 use corkhollow_proxy::active_plan::{ActivePlan, CurrentPlan};
 use corkhollow_proxy::background::{self, Task};
 use corkhollow_proxy::fleet::FleetCell;
@@ -28,7 +28,7 @@
     /// An operator's file, and the operator's address where the command line gives another one.
     File(PathBuf, Option<SocketAddr>),
     /// The platform's file; what it held when it was last taken.
-    Platform(Box<Shape>),
+    Platform(Box<RawConfig>),
 }
 
 /// A file that can be put in force.
@@ -38,7 +38,7 @@
     /// What the fleet's node is told.
     fleet: Option<FleetConfig>,
     /// What the platform's file held.
-    shape: Option<Box<Shape>>,
+    shape: Option<Box<RawConfig>>,
     /// How long it took to read and check the file, and to compare its plan with the one in force.
     read: Duration,
     compared: Duration,
@@ -63,7 +63,7 @@
         Told::File(path, operator) => (read(path, *operator)?, None),
         Told::Platform(shape) => {
             let config = Config::reload(shape).map_err(StartError::from)?;
-            (config.plan_replacing(old).map_err(StartError::from)?, Some(Box::new(config.shape)))
+            (config.plan_replacing(old).map_err(StartError::from)?, Some(Box::new(config.raw)))
         }
     };
     let fleet = membership::reloaded(old, &plan)?;
--- a/crates/corkhollow/src/commands/run.rs
+++ b/crates/corkhollow/src/commands/run.rs
@@ -101,7 +101,7 @@
         None => {
             let mut config = Config::load().map_err(StartError::from)?;
             config.operator = args.operator.or(config.operator);
-            (Told::Platform(Box::new(config.shape.clone())), config.plan())
+            (Told::Platform(Box::new(config.raw.clone())), config.plan())
         }
     };
     background::silence_panic_messages();
@@ -263,7 +263,7 @@
     let clock = Clock::start();
     let neighbours = neighbours.map(Rc::new);
     let own = if plan.fleet.is_some() { membership::DESCRIPTORS } else { 0 };
-    let budget = Budget::new(plan.limits.descriptors.saturating_sub(own), plan.limits.memory);
+    let budget = Budget::new(plan.limits.descriptors.saturating_sub(own), plan.limits.memory_bytes);
     let metrics = Metrics::new()?;
     let shared =
         PoolContext { clock, budget: budget.clone(), metrics: metrics.clone(), engines: Engines::default() };
--- a/crates/plan/src/config/compile.rs
+++ b/crates/plan/src/config/compile.rs
@@ -4,7 +4,7 @@
 use super::routes;
 use super::validator::{Severity, Validator};
 use crate::plan::{
-    Check, Dialect, Discovery, Fleet, Limits, Listener, Plan, Pool, RequestClass, Server, Source,
+    Dialect, Discovery, Fleet, HealthCheck, Limits, Listener, Plan, Pool, RequestClass, Server, Source,
 };
 use crate::routes::{PathRules, RouteTable};
 use crate::tenants::Tenants;
@@ -143,7 +143,7 @@
         probe_every,
         probe_timeout,
         suspect_for,
-        datagram: fleet.datagram_bytes,
+        max_datagram_bytes: fleet.datagram_bytes,
     })
 }
 
@@ -223,8 +223,8 @@
     }
     Limits {
         descriptors: l.descriptors,
-        memory: l.memory.0,
-        replay_buffer: l.replay_buffer.0,
+        memory_bytes: l.memory.0,
+        replay_buffer_bytes: l.replay_buffer.0,
         header_bytes: l.header_bytes.0 as usize,
         header_timeout: l.header_timeout.0,
         idle_timeout: l.idle_timeout.0,
@@ -354,10 +354,10 @@
         idle_timeout: pool.idle_timeout.0,
         max_connections: pool.max_connections,
         max_waiting: pool.max_waiting,
-        cold: pool.cold_ramp.is_some(),
-        check: pool.check.as_ref().map(|c| Check {
+        slow_start: pool.cold_ramp.is_some(),
+        check: pool.check.as_ref().map(|c| HealthCheck {
             path: c.path.clone(),
-            every: c.every.0,
+            interval: c.every.0,
             timeout: c.timeout.0,
             rise: c.rise,
             fall: c.fall,
--- a/crates/plan/src/hosts.rs
+++ b/crates/plan/src/discovery_list.rs
@@ -15,12 +15,12 @@
     #[serde(default)]
     pub whole: bool,
     /// The entries.
-    pub hosts: Vec<Host>,
+    pub hosts: Vec<HostEntry>,
 }
 
 /// One server, as discovery words it.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
-pub struct Host {
+pub struct HostEntry {
     /// The same at every node.
     pub host: String,
     /// Where it listens for this node.
@@ -64,7 +64,7 @@
     TooLong,
     /// It cannot be read as one.
     #[error("a list that cannot be read: {0}")]
-    Nonsense(#[from] serde_json::Error),
+    Malformed(#[from] serde_json::Error),
 }
 
 /// Lists out of a stream of bytes, cut anywhere: one JSON object behind the other, on one line or on many, white space
@@ -83,7 +83,7 @@
 
 impl ListReader {
     /// A list has begun and is not whole.
-    pub fn amid(&self) -> bool {
+    pub fn is_mid_list(&self) -> bool {
         !self.held.is_empty()
     }
 
@@ -91,10 +91,10 @@
     ///
     /// # Errors
     /// Where it can't become a list. The reader is of no further use then: nobody knows where the next one begins.
-    pub fn take(&mut self, bytes: &[u8]) -> Result<Vec<HostList>, ListError> {
+    pub fn feed(&mut self, bytes: &[u8]) -> Result<Vec<HostList>, ListError> {
         let mut lists = Vec::new();
         for &byte in bytes {
-            if !self.amid() && byte.is_ascii_whitespace() {
+            if !self.is_mid_list() && byte.is_ascii_whitespace() {
                 continue;
             }
             self.held.push(byte);
@@ -120,7 +120,7 @@
     pub fn check(&mut self) -> Result<(), ListError> {
         self.checked = self.held.len();
         match serde_json::from_slice::<HostList>(&self.held) {
-            Err(error) if self.amid() && !error.is_eof() => Err(error.into()),
+            Err(error) if self.is_mid_list() && !error.is_eof() => Err(error.into()),
             _ => Ok(()),
         }
     }
@@ -161,7 +161,7 @@
         let mut reader = ListReader::default();
         let mut seen = Vec::new();
         for piece in pieces {
-            seen.extend(reader.take(&piece)?.into_iter().map(|list| list.seq));
+            seen.extend(reader.feed(&piece)?.into_iter().map(|list| list.seq));
         }
         Ok(seen)
     }
@@ -184,7 +184,7 @@
     fn what_is_no_list_is_told_at_once() {
         for nonsense in ["[]", "\u{1}", "7", "x", "]", "\"", "{\"seq\":1}", "{]", "null"] {
             let mut reader = ListReader::default();
-            let told = reader.take(nonsense.as_bytes()).and_then(|_| reader.check());
+            let told = reader.feed(nonsense.as_bytes()).and_then(|_| reader.check());
             assert!(told.is_err() || nonsense == "\"", "{nonsense}");
         }
         let endless = vec![b'['; MAX_LIST_BYTES + 2];
--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -2,14 +2,14 @@
 
 pub mod change;
 pub mod config;
-pub mod hosts;
+pub mod discovery_list;
 pub mod limits;
 pub mod plan;
 pub mod platform;
-pub mod pools;
+mod raw_config;
+pub mod roster;
 pub mod routes;
-pub mod settled;
-mod shape;
+pub mod stable_read;
 pub mod tenants;
 pub mod version;
 
--- a/crates/plan/src/plan.rs
+++ b/crates/plan/src/plan.rs
@@ -1,6 +1,6 @@
 //! The plan: a configuration that has been checked, with every name resolved to an index.
 
-use crate::hosts::HostList;
+use crate::discovery_list::HostList;
 use crate::routes::{PathRules, RequestHead, RouteTable};
 use crate::tenants::Tenants;
 use crate::version::Version;
@@ -64,12 +64,12 @@
     /// How long a suspect has to object.
     pub suspect_for: Nanos,
     /// The largest datagram, in bytes.
-    pub datagram: usize,
+    pub max_datagram_bytes: usize,
 }
 
 impl Fleet {
     /// The first key that cannot change while the program runs, if it differs.
-    pub fn fixed(&self, other: &Fleet) -> Option<&'static str> {
+    pub fn changed_fixed_key(&self, other: &Fleet) -> Option<&'static str> {
         let differs = [
             ("name", self.name != other.name),
             ("node", self.node != other.node),
@@ -83,7 +83,7 @@
     ///
     /// # Errors
     /// Says what is wrong with the text, without showing any of it.
-    pub fn key(text: &str) -> Result<[u8; 32], String> {
+    pub fn parse_key(text: &str) -> Result<[u8; 32], String> {
         let text = text.trim();
         if text.len() != 64 || !text.is_ascii() {
             return Err(format!("a key has 64 hex digits; here are {} characters", text.chars().count()));
@@ -116,9 +116,9 @@
     /// File descriptors.
     pub descriptors: usize,
     /// Memory, in bytes.
-    pub memory: u64,
+    pub memory_bytes: u64,
     /// The longest body of a request that is kept for another attempt, in bytes.
-    pub replay_buffer: u64,
+    pub replay_buffer_bytes: u64,
     /// The longest head, in bytes.
     pub header_bytes: usize,
     /// How long a client may take over a head.
@@ -137,8 +137,8 @@
 impl Limits {
     /// How much a connection may read at once, in bytes: long bodies cost half the work where it is 64 KiB in place of 16,
     /// but all connections together keep to their part of the memory, and a head has to fit.
-    pub fn read_buffer(&self) -> usize {
-        let part = self.memory / READ_PART / (self.descriptors as u64).max(1);
+    pub fn read_buffer_bytes(&self) -> usize {
+        let part = self.memory_bytes / READ_PART / (self.descriptors as u64).max(1);
         (part.min(MOST_READ) as usize).max(self.header_bytes)
     }
 }
@@ -197,9 +197,9 @@
     /// Most requests that wait for a connection.
     pub max_waiting: usize,
     /// Servers that come into the list are cold.
-    pub cold: bool,
+    pub slow_start: bool,
     /// Active checks.
-    pub check: Option<Check>,
+    pub check: Option<HealthCheck>,
 }
 
 /// Who a pool's servers are.
@@ -247,11 +247,11 @@
 
 /// An active check of servers.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Check {
+pub struct HealthCheck {
     /// What is asked for.
     pub path: String,
     /// How often.
-    pub every: Nanos,
+    pub interval: Nanos,
     /// An answer that takes longer is a failure.
     pub timeout: Nanos,
     /// Passes in a row that bring a server back.
@@ -273,7 +273,7 @@
             && fixed(&self.settings) == fixed(&other.settings)
             && self.dialect == other.dialect
             && (self.max_connections, self.max_waiting) == (other.max_connections, other.max_waiting)
-            && self.cold == other.cold
+            && self.slow_start == other.slow_start
             && self.check == other.check
     }
 }
@@ -374,16 +374,16 @@
 
     #[test]
     fn connections_read_what_the_memory_allows() {
-        let limits = |memory, descriptors, header_bytes| Limits {
-            memory,
+        let limits = |memory_bytes, descriptors, header_bytes| Limits {
+            memory_bytes,
             descriptors,
             header_bytes,
-            replay_buffer: 0,
+            replay_buffer_bytes: 0,
             header_timeout: 0,
             idle_timeout: 0,
             stall_timeout: 0,
         };
-        for (memory, descriptors, header_bytes, reads) in [
+        for (memory_bytes, descriptors, header_bytes, expected) in [
             (1 << 30, 1024, 16 << 10, 64 << 10),
             (192_000_000, 1024, 16 << 10, 46_875),
             (32 << 20, 1024, 16 << 10, 16 << 10),
@@ -391,9 +391,9 @@
             (1 << 30, 0, 16 << 10, 64 << 10),
         ] {
             assert_eq!(
-                limits(memory, descriptors, header_bytes).read_buffer(),
-                reads,
-                "{memory} {descriptors}"
+                limits(memory_bytes, descriptors, header_bytes).read_buffer_bytes(),
+                expected,
+                "{memory_bytes} {descriptors}"
             );
         }
     }
--- a/crates/plan/src/platform.rs
+++ b/crates/plan/src/platform.rs
@@ -1,8 +1,8 @@
 //! The platform's configuration, the file that `GW_CONFIG` names: read once, refused with one line when it cannot be acted on.
 
-pub use crate::shape::Shape;
+pub use crate::raw_config::RawConfig;
 
-use crate::hosts::HostList;
+use crate::discovery_list::HostList;
 use crate::plan::{Dialect, Discovery, Limits as Holding, Listener, Plan, Pool, RequestClass, Source};
 use crate::routes::{PathPattern, PathRules, Route, RouteAction, RouteTable};
 use crate::tenants::Tenants;
@@ -93,7 +93,7 @@
     /// What the decision module is told.
     pub settings: Settings,
     /// A server may close a connection that has stood idle for this long.
-    pub conn_idle: Nanos,
+    pub server_idle_timeout: Nanos,
     /// A connection that is not up after this has failed.
     pub connect_timeout: Nanos,
     /// Classes by their index in the settings.
@@ -107,7 +107,7 @@
     /// Which file it was.
     pub version: Version,
     /// What the file held.
-    pub shape: Shape,
+    pub raw: RawConfig,
 }
 
 impl Config {
@@ -115,9 +115,9 @@
     ///
     /// # Errors
     /// Where the file cannot be used, or lacks what the other one has.
-    pub fn reload(old: &Shape) -> Result<Self, ConfigError> {
+    pub fn reload(old: &RawConfig) -> Result<Self, ConfigError> {
         let config = Self::load()?;
-        match old.missing(&config.shape) {
+        match old.missing_key(&config.raw) {
             Some(key) => {
                 Err(ConfigError::Missing { path: std::env::var("GW_CONFIG").unwrap_or_default(), key })
             }
@@ -131,7 +131,7 @@
     /// Where the file cannot be used.
     pub fn load() -> Result<Self, ConfigError> {
         let path = std::env::var("GW_CONFIG").map_err(|_| ConfigError::Unset)?;
-        let bytes = crate::settled::read(Path::new(&path))
+        let bytes = crate::stable_read::read(Path::new(&path))
             .map_err(|error| ConfigError::Unreadable { path: path.clone(), error })?;
         let mut config = Self::parse(&path, &bytes)?;
         // A process that replaces another has the file in common with it, and an address of its own.
@@ -145,10 +145,10 @@
     fn parse(path: &str, bytes: &[u8]) -> Result<Self, ConfigError> {
         let path = path.to_owned();
         let malformed = |error| ConfigError::Malformed { path: path.clone(), error };
-        let shape: Value = serde_json::from_slice(bytes).map_err(malformed)?;
-        let file = File::deserialize(&shape).map_err(malformed)?;
-        let shape = Shape::new(shape);
-        if let Some(key) = shape.no_number() {
+        let raw: Value = serde_json::from_slice(bytes).map_err(malformed)?;
+        let file = File::deserialize(&raw).map_err(malformed)?;
+        let raw = RawConfig::new(raw);
+        if let Some(key) = raw.non_positive_number() {
             return Err(ConfigError::NoNumber { path, key });
         }
         for (name, value, least) in
@@ -164,7 +164,7 @@
         let (settings, _) = settings::parse(&pairs).map_err(fault)?;
         let names = |list: &str| names(&file.settings[list]);
         Ok(Config {
-            conn_idle: pairs.get("caps.connIdleNs").map_err(fault)?,
+            server_idle_timeout: pairs.get("caps.connIdleNs").map_err(fault)?,
             connect_timeout: pairs.get("caps.connectTimeoutNs").map_err(fault)?,
             classes: unlike(names("classes")).map_err(fault)?,
             tenants: names("tenants"),
@@ -180,7 +180,7 @@
             known: file.known,
             settings,
             version: Version::of(bytes),
-            shape,
+            raw,
         })
     }
 }
@@ -279,8 +279,8 @@
             fleet: None,
             limits: Holding {
                 descriptors: self.limits.sockets,
-                memory: self.limits.memory_mb << 20,
-                replay_buffer: (self.limits.memory_mb << 20) / KEPT_PART,
+                memory_bytes: self.limits.memory_mb << 20,
+                replay_buffer_bytes: (self.limits.memory_mb << 20) / KEPT_PART,
                 header_bytes: HEAD,
                 header_timeout: HEAD_WITHIN,
                 idle_timeout: IDLE,
@@ -310,10 +310,10 @@
                 dialect: Dialect::Platform,
                 settings: Settings { tenant_quota: Quotas::default(), ..settings.clone() },
                 connect_timeout: self.connect_timeout,
-                idle_timeout: self.conn_idle,
+                idle_timeout: self.server_idle_timeout,
                 max_connections: None,
                 max_waiting: 0,
-                cold: true,
+                slow_start: true,
                 check: None,
             })],
             routes: RouteTable::new(self.classes.iter().enumerate().map(route).collect(), 1),
--- a/crates/plan/src/shape.rs
+++ b/crates/plan/src/raw_config.rs
@@ -10,22 +10,22 @@
 
 /// The keys and values of a file.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Shape(Value);
+pub struct RawConfig(Value);
 
-impl Shape {
+impl RawConfig {
     /// What this holds.
     pub fn new(value: Value) -> Self {
-        Shape(value)
+        RawConfig(value)
     }
 
     /// The first key that this has and the other lacks, by its path. Of a list of objects each has to have what all
     /// objects of the old list have.
-    pub fn missing(&self, other: &Shape) -> Option<String> {
+    pub fn missing_key(&self, other: &RawConfig) -> Option<String> {
         missing("", &self.0, &other.0)
     }
 
     /// A deadline or a number of attempts that is no number above 0, by its path.
-    pub fn no_number(&self) -> Option<String> {
+    pub fn non_positive_number(&self) -> Option<String> {
         NUMBERS.iter().find_map(|path| {
             let parts: Vec<_> = path.split('.').collect();
             no_number("", &self.0, &parts)
@@ -93,13 +93,13 @@
 
     #[test]
     fn what_has_gone_is_named() {
-        let old = Shape::new(whole());
+        let old = RawConfig::new(whole());
         let without = |path: &str| {
             let mut new = whole();
             let (above, key) = path.rsplit_once('/').unwrap();
             let holder = new.pointer_mut(above).unwrap().as_object_mut().unwrap();
             assert!(holder.remove(key).is_some(), "{path}");
-            old.missing(&Shape::new(new))
+            old.missing_key(&RawConfig::new(new))
         };
         for (path, named) in [
             ("/listen", Some("listen")),
@@ -115,25 +115,33 @@
         let mut fewer = whole();
         fewer["settings"]["classes"].as_array_mut().unwrap().pop();
         fewer["settings"]["more"] = json!(1);
-        assert_eq!(old.missing(&Shape::new(fewer)), None, "classes may go and keys may come");
+        assert_eq!(old.missing_key(&RawConfig::new(fewer)), None, "classes may go and keys may come");
         let mut text = whole();
         text["settings"]["classes"] = json!("none");
-        assert_eq!(old.missing(&Shape::new(text)).as_deref(), Some("settings.classes"));
+        assert_eq!(old.missing_key(&RawConfig::new(text)).as_deref(), Some("settings.classes"));
     }
 
     #[test]
     fn only_numbers_above_0_are_numbers() {
-        assert_eq!(Shape::new(whole()).no_number(), None);
+        assert_eq!(RawConfig::new(whole()).non_positive_number(), None);
         for bad in [json!(0), json!(-5), json!("3"), json!(null), json!([3]), json!(true)] {
             let mut new = whole();
             new["settings"]["caps"]["maxAttempts"] = bad.clone();
-            assert_eq!(Shape::new(new).no_number().as_deref(), Some("settings.caps.maxAttempts"), "{bad}");
+            assert_eq!(
+                RawConfig::new(new).non_positive_number().as_deref(),
+                Some("settings.caps.maxAttempts"),
+                "{bad}"
+            );
             let mut new = whole();
             new["settings"]["classes"][1]["giveUpNs"] = bad.clone();
-            assert_eq!(Shape::new(new).no_number().as_deref(), Some("settings.classes.1.giveUpNs"), "{bad}");
+            assert_eq!(
+                RawConfig::new(new).non_positive_number().as_deref(),
+                Some("settings.classes.1.giveUpNs"),
+                "{bad}"
+            );
         }
         let mut new = whole();
         new["settings"]["caps"]["maxAttempts"] = json!(2.0);
-        assert_eq!(Shape::new(new).no_number(), None);
+        assert_eq!(RawConfig::new(new).non_positive_number(), None);
     }
 }
--- a/crates/plan/tests/fleet.rs
+++ b/crates/plan/tests/fleet.rs
@@ -21,7 +21,7 @@
         (fleet.probe_every, fleet.probe_timeout, fleet.suspect_for),
         (500_000_000, 200_000_000, 2_500_000_000)
     );
-    assert_eq!((fleet.datagram, fleet.seeds.len(), fleet.advertise), (1200, 0, None));
+    assert_eq!((fleet.max_datagram_bytes, fleet.seeds.len(), fleet.advertise), (1200, 0, None));
     assert_eq!(fleet.key_file.as_deref(), Some(Path::new("/etc/site/fleet.key")));
     assert!(parse_config(MINIMAL_CONFIG, Path::new("")).unwrap().plan.fleet.is_none());
 }
@@ -65,14 +65,14 @@
 #[test]
 fn only_a_key_of_64_hex_digits_is_accepted() {
     let text = format!(" {}\n", "0123456789abcdefABCDEF0000000000".repeat(2));
-    assert_eq!(Fleet::key(&text).unwrap()[..4], [0x01, 0x23, 0x45, 0x67]);
+    assert_eq!(Fleet::parse_key(&text).unwrap()[..4], [0x01, 0x23, 0x45, 0x67]);
     for (invalid, expected) in [
         ("".to_owned(), "here are 0 characters"),
         ("0".repeat(63), "here are 63 characters"),
         (format!("{}+f", "0".repeat(62)), "characters 63 and 64 are no hex digits"),
         ("\u{e9}".repeat(32), "here are 32 characters"),
     ] {
-        assert!(Fleet::key(&invalid).unwrap_err().contains(expected), "{invalid}");
+        assert!(Fleet::parse_key(&invalid).unwrap_err().contains(expected), "{invalid}");
     }
 }
 
@@ -81,11 +81,13 @@
     let listen = "listen = \"127.0.0.1:7946\"\n";
     let old = parse_fleet(listen).unwrap();
     assert_eq!(
-        old.fixed(&parse_fleet(&format!("{listen}seeds = [\"10.0.0.1:1\"]\nprobe_every = \"1s\"")).unwrap()),
+        old.changed_fixed_key(
+            &parse_fleet(&format!("{listen}seeds = [\"10.0.0.1:1\"]\nprobe_every = \"1s\"")).unwrap()
+        ),
         None
     );
     assert_eq!(
-        old.fixed(&parse_fleet(&format!("{listen}advertise = \"10.0.0.1:1\"")).unwrap()),
+        old.changed_fixed_key(&parse_fleet(&format!("{listen}advertise = \"10.0.0.1:1\"")).unwrap()),
         Some("advertise")
     );
 }
--- a/crates/plan/tests/golden.rs
+++ b/crates/plan/tests/golden.rs
@@ -5,7 +5,7 @@
 use corkhollow_plan::config::model::{ConfigFile, ServerList};
 use corkhollow_plan::config::schema::{Kind, Table, CONFIG, SERVER_LIST};
 use corkhollow_plan::config::{parse_config, parse_server_list};
-use corkhollow_plan::hosts::{Health, Host, HostList, ListReader};
+use corkhollow_plan::discovery_list::{Health, HostEntry, HostList, ListReader};
 use corkhollow_plan::plan::Source;
 use corkhollow_plan::platform::Config;
 use std::path::{Path, PathBuf};
@@ -109,7 +109,7 @@
     assert_eq!(config.operator.unwrap().to_string(), "127.0.0.1:9100");
     assert_eq!(config.seed, 0x8c1f_30d2_7a5b_e964);
     assert_eq!((config.limits.memory_mb, config.limits.sockets), (192, 1024));
-    assert_eq!((config.conn_idle, config.connect_timeout), (10_000_000_000, 120_000_000));
+    assert_eq!((config.server_idle_timeout, config.connect_timeout), (10_000_000_000, 120_000_000));
     assert_eq!(config.classes, ["status", "order", "write", "pay"]);
     assert_eq!(config.tenants, ["harbour", "ferry"]);
     assert_eq!((config.zones.join(","), config.kinds.join(",")), ("a,b".to_owned(), "std,big".to_owned()));
@@ -122,7 +122,7 @@
 
 fn check_hosts(list: &HostList) {
     assert!(list.seq == 12 && list.whole);
-    let full = Host {
+    let full = HostEntry {
         host: "s1".to_owned(),
         dial: "127.0.0.1:9001".parse().unwrap(),
         site: Some("b".to_owned()),
--- a/crates/proxy/src/http1/client_connections.rs
+++ b/crates/proxy/src/http1/client_connections.rs
@@ -197,7 +197,7 @@
 async fn serve_connection(service: &Rc<Service>, client: Rc<ClientConnection>) {
     let mut builder = http1::Builder::new();
     builder
-        .max_buf_size(service.current_plan.get().plan.limits.read_buffer())
+        .max_buf_size(service.current_plan.get().plan.limits.read_buffer_bytes())
         .timer(hyper_util::rt::TokioTimer::new())
         .header_read_timeout(None);
     let answering = service_fn(|request| respond(service, &client, request));
--- a/crates/proxy/src/http1/general.rs
+++ b/crates/proxy/src/http1/general.rs
@@ -169,7 +169,7 @@
             rewrite.request.apply(&mut headers);
             let limits = &site.plan.limits;
             let rules = upload::BodyLimits {
-                max_buffered_bytes: limits.replay_buffer,
+                max_buffered_bytes: limits.replay_buffer_bytes,
                 max_bytes: u64::MAX,
                 stall_timeout: Duration::from_nanos(limits.stall_timeout),
                 min_pace: None,
--- a/crates/proxy/src/http1/platform.rs
+++ b/crates/proxy/src/http1/platform.rs
@@ -61,7 +61,7 @@
     let (pool, settings) = (&site.pools[at], &site.plan.pools[at].settings);
     client.track_request(&site.class_metrics[class]);
     let rules = BodyLimits {
-        max_buffered_bytes: site.plan.limits.replay_buffer,
+        max_buffered_bytes: site.plan.limits.replay_buffer_bytes,
         max_bytes: MAX_BODY_BYTES,
         stall_timeout: BODY_STALL_TIMEOUT,
         min_pace: Some(MinPace { grace: BODY_PACE_GRACE, bytes_per_second: MIN_BODY_BYTES_PER_SECOND }),
--- a/crates/proxy/src/upstream/discovery.rs
+++ b/crates/proxy/src/upstream/discovery.rs
@@ -6,7 +6,7 @@
 use crate::socket::{Socket, SocketIo};
 use corkhollow_balance::interface::{ListKind, Phase, Server, ServerId};
 use corkhollow_engine::{log, DiscoveryCall, Engine};
-use corkhollow_plan::hosts::{Health, Host, HostList, ListError, ListReader, MAX_LIST_BYTES};
+use corkhollow_plan::discovery_list::{Health, HostEntry, HostList, ListError, ListReader, MAX_LIST_BYTES};
 use http_body_util::{BodyExt, Empty};
 use hyper::body::{Bytes, Incoming};
 use hyper::{Request, StatusCode};
@@ -227,13 +227,13 @@
         loop {
             let silent_at = moved_at + SILENCE;
             let pause = Instant::now() + PAUSED;
-            let until = if reader.amid() && !looked { pause.min(silent_at) } else { silent_at };
+            let until = if reader.is_mid_list() && !looked { pause.min(silent_at) } else { silent_at };
             match timeout_at(until, body.frame()).await {
                 Ok(None) => return Ok(()),
                 Ok(Some(frame)) => {
                     let Ok(data) = frame?.into_data() else { continue };
                     // White space in a list that does not go on is the heartbeat, behind one that was cut short.
-                    if !reader.amid() || !data.trim_ascii().is_empty() {
+                    if !reader.is_mid_list() || !data.trim_ascii().is_empty() {
                         (moved_at, looked) = (Instant::now(), false);
                     }
                     self.read(&mut reader, &data)?;
@@ -249,7 +249,7 @@
     }
 
     fn read(&mut self, reader: &mut ListReader, data: &[u8]) -> Result<(), WatchError> {
-        reader.take(data)?.into_iter().try_for_each(|list| self.take(list))
+        reader.feed(data)?.into_iter().try_for_each(|list| self.take(list))
     }
 
     fn take(&mut self, list: HostList) -> Result<(), WatchError> {
@@ -267,13 +267,13 @@
         Ok(())
     }
 
-    fn tell(&self, kind: ListKind, hosts: Vec<Host>) {
+    fn tell(&self, kind: ListKind, hosts: Vec<HostEntry>) {
         // A name that the settings do not hold stands for something of its own, after all that they hold.
         let place = |names: &[String], name: &Option<String>| {
             let name = name.as_deref().unwrap_or_default();
             names.iter().position(|n| n == name).unwrap_or(names.len())
         };
-        let entry = |h: Host| ListedServer {
+        let entry = |h: HostEntry| ListedServer {
             host: h.host,
             address: h.dial,
             server: Server {
--- a/crates/proxy/src/upstream/health_check.rs
+++ b/crates/proxy/src/upstream/health_check.rs
@@ -1,7 +1,7 @@
 //! Active checks: `GET` on a path of each server, on a connection of its own.
 
 use super::pool::Pool;
-use corkhollow_plan::plan::Check;
+use corkhollow_plan::plan::HealthCheck;
 use http_body_util::Empty;
 use hyper::body::Bytes;
 use hyper::client::conn::http1;
@@ -20,7 +20,7 @@
 const AT_ONCE: usize = 32;
 
 /// Checks the servers of a pool round after round, as long as there is a pool.
-pub(super) async fn run(pool: Weak<Pool>, check: Check, seed: u64) {
+pub(super) async fn run(pool: Weak<Pool>, check: HealthCheck, seed: u64) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x6368_6563);
     loop {
         let Some(servers) = pool.upgrade().map(|p| p.to_check()) else { return };
@@ -41,7 +41,7 @@
         }
         // Nodes that were started together must not check together.
         let spread = 0.75 + 0.5 * f64::from(rng.next_u32()) / f64::from(u32::MAX);
-        tokio::time::sleep(Duration::from_nanos(check.every).mul_f64(spread)).await;
+        tokio::time::sleep(Duration::from_nanos(check.interval).mul_f64(spread)).await;
     }
 }
 
@@ -51,7 +51,7 @@
     }
 }
 
-async fn passes(address: SocketAddr, check: &Check) -> bool {
+async fn passes(address: SocketAddr, check: &HealthCheck) -> bool {
     let Ok(stream) = TcpStream::connect(address).await else { return false };
     let Ok((mut sender, connection)) = http1::handshake(TokioIo::new(stream)).await else { return false };
     let driver = tokio::task::spawn_local(connection);
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -14,7 +14,7 @@
 use corkhollow_plan::config::parse_server_list;
 use corkhollow_plan::limits::Budget;
 use corkhollow_plan::plan::{self, Plan, Source};
-use corkhollow_plan::pools::{Listed, Roster};
+use corkhollow_plan::roster::{Roster, RosterEntry};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -164,8 +164,11 @@
                 spawn_local(watcher.follow()).abort_handle()
             });
         }
-        let roster =
-            Rc::new(RefCell::new(Roster::new(told.settings.backup_zone, told.check.clone(), told.cold)));
+        let roster = Rc::new(RefCell::new(Roster::new(
+            told.settings.backup_zone,
+            told.check.clone(),
+            told.slow_start,
+        )));
         let pool = Rc::new(Pool {
             engine,
             upstreams,
@@ -262,13 +265,13 @@
 
     /// Who is to be checked, and where.
     pub fn to_check(&self) -> Vec<(String, SocketAddr)> {
-        self.roster.borrow().to_check()
+        self.roster.borrow().servers_to_check()
     }
 
     /// Takes a check's result into account.
     pub fn checked(&self, name: &str, passed: bool) {
         let now = self.engine.clock().now();
-        let changed = self.roster.borrow_mut().checked(now, name, passed);
+        let changed = self.roster.borrow_mut().record_check(now, name, passed);
         if let Some(listed) = changed {
             let word = if listed.phase == Phase::Ready { "back" } else { "out" };
             log(format_args!("pool {}: checks take server {name} {word}", self.told.name));
@@ -287,19 +290,19 @@
 
 impl ServerListUpdater {
     fn replace(&self, servers: &[plan::Server]) {
-        let listed = self.roster.borrow_mut().replace(self.engine.clock().now(), servers);
+        let listed = self.roster.borrow_mut().replace_list(self.engine.clock().now(), servers);
         self.tell(ListKind::Full, listed);
         self.ready.send_replace(true);
     }
 
-    fn tell(&self, kind: ListKind, listed: Vec<Listed>) {
+    fn tell(&self, kind: ListKind, listed: Vec<RosterEntry>) {
         let entries = listed.into_iter().map(entry).collect();
         let servers = self.upstreams.apply_list(kind, entries);
         self.engine.on_server_list(kind, servers);
     }
 }
 
-fn entry(listed: Listed) -> ListedServer {
+fn entry(listed: RosterEntry) -> ListedServer {
     ListedServer {
         host: listed.name,
         address: listed.address,
--- a/crates/proxy/src/upstream/upstreams.rs
+++ b/crates/proxy/src/upstream/upstreams.rs
@@ -106,7 +106,7 @@
             forwards: shared.metrics.forwards.clone(),
             connect_timeout: Cell::new(Duration::from_nanos(pool.connect_timeout)),
             stall_timeout: Duration::from_nanos(limits.stall_timeout),
-            read_buffer_bytes: limits.read_buffer(),
+            read_buffer_bytes: limits.read_buffer_bytes(),
             limiter: Rc::new(ConnectionLimiter {
                 max_connections: pool.max_connections.unwrap_or(usize::MAX),
                 max_waiting: pool.max_waiting,
