--- a/crates/corkhollow/src/commands/reload.rs
+++ b/crates/corkhollow/src/commands/reload.rs
@@ -154,7 +154,7 @@
         let bound = target.listeners.bind(&plan)?;
         let site = old.reload(plan, &change, target.shared, target.seed, target.group)?;
         let (now, then) = (&site.plan.limits, &old.plan.limits);
-        if (now.descriptors, now.memory) != (then.descriptors, then.memory) {
+        if (now.descriptors, now.memory_bytes) != (then.descriptors, then.memory_bytes) {
             log(format_args!("`limits.descriptors` and `limits.memory` change with a restart only"));
         }
         if site.plan.operator != old.plan.operator {
--- a/crates/plan/tests/golden.rs
+++ b/crates/plan/tests/golden.rs
@@ -137,7 +137,7 @@
     assert_eq!(list.hosts[2].health, Health::Left);
     // The same list as discovery sends it.
     let file: serde_json::Value = serde_json::from_str(&golden_text("platform.json")).unwrap();
-    let lists = ListReader::default().take(file["known"].to_string().as_bytes()).unwrap();
+    let lists = ListReader::default().feed(file["known"].to_string().as_bytes()).unwrap();
     assert_eq!(&lists[0], list);
 }
 
