--- a/crates/plan/src/change.rs
+++ b/crates/plan/src/change.rs
@@ -1,5 +1,5 @@
-//! What a plan changes of the one that is in force: worked out once, away from whoever serves, so that only what differs has to be
-//! touched.
+//! The difference between a new plan and the one in force. It is computed before the new plan takes effect, so that
+//! only what differs is updated.
 
 use crate::plan::{Plan, Pool, Source};
 use crate::routes::Route;
@@ -8,48 +8,48 @@
 use std::hash::Hash;
 use std::sync::Arc;
 
-/// What becomes of a pool of the new plan.
+/// How a pool of the new plan comes into being.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PoolChange {
-    /// It starts: there was none of its name, or what differs needs a new one.
+    /// It is new: the old plan has no pool of its name, or one that differs too much to be reused.
     Created,
-    /// One of the old plan goes on.
+    /// A pool of the old plan is kept and updated.
     Reused {
-        /// Its place in the old plan.
+        /// The index of the pool in the old plan.
         old_index: usize,
-        /// What it has to be told.
+        /// What has to be updated.
         differences: PoolDifferences,
     },
 }
 
-/// In what a pool differs from the one that it goes on from.
+/// How a pool differs from the old pool that it reuses.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PoolDifferences {
-    /// What its decision module is told, or the order of the classes' names.
+    /// The settings of its decision module, or the names or order of the classes.
     pub settings: bool,
-    /// Times of its connections.
+    /// The timeouts of its connections.
     pub timeouts: bool,
-    /// Who its servers are, or who tells that.
+    /// Its servers, or where their list comes from.
     pub source: bool,
 }
 
 impl PoolDifferences {
-    /// Whether it differs in anything.
+    /// Whether anything differs.
     pub fn any(&self) -> bool {
         self.settings || self.timeouts || self.source
     }
 }
 
-/// How many of one kind of thing have come, gone, become others, or stand in another order.
+/// How many items of one kind differ between two plans. Items are matched by name.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ChangeCounts {
-    /// In the new plan alone.
+    /// Only in the new plan.
     pub added: usize,
-    /// In the old plan alone.
+    /// Only in the old plan.
     pub removed: usize,
-    /// In both, and not the same.
+    /// In both plans, with different content.
     pub changed: usize,
-    /// In both; the least number that explains the new order.
+    /// In both plans, in a different order: the fewest moves that lead to the new order.
     pub moved: usize,
 }
 
@@ -60,44 +60,47 @@
     pub from: Version,
     /// The version of the new one.
     pub to: Version,
-    /// By pool of the new plan.
+    /// For each pool of the new plan, how it comes into being.
     pub pools: Vec<PoolChange>,
-    /// By class of the new plan, the place that one of that name has in the old one.
+    /// For each class of the new plan, the index of the class of that name in the old plan.
     pub old_class_indexes: Vec<Option<usize>>,
-    /// Tenants' shares are others.
+    /// Whether the quotas of tenants differ.
     pub quotas_changed: bool,
-    /// What has changed, by kind: listeners, classes, tenants, pools, servers, routes.
+    /// The number of differences by kind: listeners, classes, tenants, pools, servers, routes.
     pub counts: [(&'static str, ChangeCounts); 6],
-    /// How many names were looked up for all that, a measure of the work.
+    /// The number of names looked up for the comparison, a measure of its cost.
     pub lookups: usize,
 }
 
 impl Change {
-    /// Pools that have to be touched at all.
+    /// The number of pools that are created or have to be updated.
     pub fn changed_pools(&self) -> usize {
-        let rests = |change: &PoolChange| matches!(change, PoolChange::Reused { differences, .. } if !differences.any());
-        self.pools.iter().filter(|change| !rests(change)).count()
+        let is_unchanged = |change: &PoolChange| matches!(change, PoolChange::Reused { differences, .. } if !differences.any());
+        self.pools.iter().filter(|change| !is_unchanged(change)).count()
     }
 
-    /// What has changed of one kind.
+    /// The number of differences of one kind.
     pub fn count(&self, kind: &str) -> ChangeCounts {
-        self.counts.iter().find(|(name, _)| *name == kind).map(|(_, counted)| *counted).unwrap_or_default()
+        self.counts.iter().find(|(name, _)| *name == kind).map(|(_, counts)| *counts).unwrap_or_default()
     }
 }
 
-/// In words, for the log.
+/// Lists the differences for the log.
 impl std::fmt::Display for Change {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let mut first = true;
-        for (kind, counted) in self.counts {
+        for (kind, counts) in self.counts {
             let parts = [
-                (counted.added, "added"),
-                (counted.removed, "removed"),
-                (counted.changed, "changed"),
-                (counted.moved, "moved"),
+                (counts.added, "added"),
+                (counts.removed, "removed"),
+                (counts.changed, "changed"),
+                (counts.moved, "moved"),
             ];
-            let parts: Vec<_> =
-                parts.iter().filter(|(n, _)| *n > 0).map(|(n, word)| format!("{n} {word}")).collect();
+            let parts: Vec<_> = parts
+                .iter()
+                .filter(|(count, _)| *count > 0)
+                .map(|(count, verb)| format!("{count} {verb}"))
+                .collect();
             if !parts.is_empty() {
                 write!(f, "{}{kind}: {}", if first { "" } else { "; " }, parts.join(", "))?;
                 first = false;
@@ -110,108 +113,120 @@
     }
 }
 
-/// Looks names up, and counts how many.
-struct Compare(usize);
+/// Matches items by name, and counts the lookups.
+struct NameMatcher(usize);
 
-impl Compare {
-    /// The place of each name.
-    fn places<'n, N: Eq + Hash + ?Sized>(
+impl NameMatcher {
+    /// Maps each name to its index.
+    fn indexes<'n, N: Eq + Hash + ?Sized>(
         &mut self,
         names: impl IntoIterator<Item = &'n N>,
     ) -> HashMap<&'n N, usize> {
-        let places: HashMap<_, _> = names.into_iter().enumerate().map(|(at, name)| (name, at)).collect();
-        self.0 += places.len();
-        places
+        let indexes: HashMap<_, _> =
+            names.into_iter().enumerate().map(|(index, name)| (name, index)).collect();
+        self.0 += indexes.len();
+        indexes
     }
 
-    /// What has become of named things, and for each of the new ones, the place of the old one of its name.
-    fn named<'t, T>(
+    /// Counts the differences between two lists, and returns for each new item the index of the old one of its name.
+    fn match_by_name<'t, T>(
         &mut self,
         old: &'t [T],
         new: &'t [T],
         name: impl Fn(&'t T) -> &'t str,
         same: impl Fn(&T, &T) -> bool,
     ) -> (ChangeCounts, Vec<Option<usize>>) {
-        let places = self.places(old.iter().map(&name));
+        let indexes = self.indexes(old.iter().map(&name));
         self.0 += new.len();
-        let former: Vec<_> = new.iter().map(|thing| places.get(name(thing)).copied()).collect();
-        let kept: Vec<_> = former.iter().flatten().copied().collect();
-        let changed =
-            new.iter().zip(&former).filter(|(thing, at)| at.is_some_and(|at| !same(&old[at], thing))).count();
-        let counted = ChangeCounts {
+        let old_indexes: Vec<_> = new.iter().map(|item| indexes.get(name(item)).copied()).collect();
+        let kept: Vec<_> = old_indexes.iter().flatten().copied().collect();
+        let changed = new
+            .iter()
+            .zip(&old_indexes)
+            .filter(|(item, index)| index.is_some_and(|index| !same(&old[index], item)))
+            .count();
+        let counts = ChangeCounts {
             added: new.len() - kept.len(),
-            // Two of one name are no plan.
+            // Names are unique within a plan, so `kept` is not longer than `old`.
             removed: old.len().saturating_sub(kept.len()),
             changed,
-            moved: kept.len() - longest_rise(&kept),
+            moved: kept.len() - longest_increasing_subsequence(&kept),
         };
-        (counted, former)
+        (counts, old_indexes)
     }
 }
 
-/// The length of the longest rising part of a sequence, whose other members have moved.
-fn longest_rise(places: &[usize]) -> usize {
-    // The least end of a rise of each length.
+/// The length of the longest increasing subsequence. Items outside of it have moved.
+fn longest_increasing_subsequence(indexes: &[usize]) -> usize {
+    // `ends[n]` is the smallest last element of an increasing subsequence of length `n + 1`.
     let mut ends: Vec<usize> = Vec::new();
-    for place in places {
-        let at = ends.partition_point(|end| end < place);
-        match ends.get_mut(at) {
-            Some(end) => *end = *place,
-            None => ends.push(*place),
+    for index in indexes {
+        let length = ends.partition_point(|end| end < index);
+        match ends.get_mut(length) {
+            Some(end) => *end = *index,
+            None => ends.push(*index),
         }
     }
     ends.len()
 }
 
 impl Plan {
-    /// Lets the plan follow one that is in force: tenants that stay keep their numbers, pools that are the same are held in common.
-    /// Tells what differs.
+    /// Prepares the plan to replace `old`, and returns it with the difference between the two. Tenants that stay keep
+    /// their numbers, and equal pools are shared with the old plan.
     pub fn rebase_on(mut self, old: &Plan) -> (Plan, Change) {
-        let mut compare = Compare(0);
-        let (listeners, _) = compare.named(&old.listeners, &self.listeners, |l| &l.name, |a, b| a == b);
-        let (classes, class_places) = compare.named(&old.classes, &self.classes, |c| &c.name, |a, b| a == b);
+        let mut matcher = NameMatcher(0);
+        let (listeners, _) =
+            matcher.match_by_name(&old.listeners, &self.listeners, |l| &l.name, |a, b| a == b);
+        let (classes, old_class_indexes) =
+            matcher.match_by_name(&old.classes, &self.classes, |c| &c.name, |a, b| a == b);
         self.tenants.keep_numbers_of(&old.tenants);
-        let tenants = self.tenants_changed(old, &mut compare);
+        let tenants = self.compare_tenants(old, &mut matcher);
         let same_classes = old.classes.len() == self.classes.len()
-            && class_places.iter().enumerate().all(|(k, place)| *place == Some(k));
-        let (mut pools, pool_places) = compare.named(&old.pools, &self.pools, |p| &p.name, |a, b| a == b);
-        // A pool whose zones are numbered otherwise is told so with its servers.
+            && old_class_indexes.iter().enumerate().all(|(index, old_index)| *old_index == Some(index));
+        let (mut pools, old_pool_indexes) =
+            matcher.match_by_name(&old.pools, &self.pools, |p| &p.name, |a, b| a == b);
+        // Watched files name zones, so their servers have to be rebuilt when the numbers of zones change.
         let same_zones = old.zones == self.zones;
         let (mut servers, mut pool_changes) = (ChangeCounts::default(), Vec::with_capacity(self.pools.len()));
-        for (pool, place) in self.pools.iter_mut().zip(&pool_places) {
-            let Some(old_index) = *place else {
+        for (pool, old_index) in self.pools.iter_mut().zip(&old_pool_indexes) {
+            let Some(old_index) = *old_index else {
                 servers.added += pool.source.servers().len();
                 pool_changes.push(PoolChange::Created);
                 continue;
             };
-            let was = &old.pools[old_index];
+            let old_pool = &old.pools[old_index];
             let differences = PoolDifferences {
-                settings: !same_classes || was.settings != pool.settings,
-                timeouts: (was.connect_timeout, was.idle_timeout)
+                settings: !same_classes || old_pool.settings != pool.settings,
+                timeouts: (old_pool.connect_timeout, old_pool.idle_timeout)
                     != (pool.connect_timeout, pool.idle_timeout),
-                source: was.source != pool.source || (!same_zones && matches!(pool.source, Source::Watch(_))),
+                source: old_pool.source != pool.source
+                    || (!same_zones && matches!(pool.source, Source::Watch(_))),
             };
             if differences.source {
-                let (of_it, _) =
-                    compare.named(was.source.servers(), pool.source.servers(), |s| &s.name, |a, b| a == b);
-                servers.added += of_it.added;
-                servers.removed += of_it.removed;
-                servers.changed += of_it.changed;
+                let (counts, _) = matcher.match_by_name(
+                    old_pool.source.servers(),
+                    pool.source.servers(),
+                    |s| &s.name,
+                    |a, b| a == b,
+                );
+                servers.added += counts.added;
+                servers.removed += counts.removed;
+                servers.changed += counts.changed;
             }
-            pool_changes.push(match old.limits == self.limits && was.can_be_reused_as(pool) {
+            pool_changes.push(match old.limits == self.limits && old_pool.can_be_reused_as(pool) {
                 true => PoolChange::Reused { old_index, differences },
                 false => PoolChange::Created,
             });
-            if was == pool {
-                *pool = Arc::clone(was);
+            if old_pool == pool {
+                *pool = Arc::clone(old_pool);
             }
         }
-        let kept: HashSet<_> = pool_places.iter().flatten().copied().collect();
-        let gone = old.pools.iter().enumerate().filter(|(at, _)| !kept.contains(at));
-        servers.removed += gone.map(|(_, pool)| pool.source.servers().len()).sum::<usize>();
-        // Where a pool stands in the file says nothing.
+        let kept: HashSet<_> = old_pool_indexes.iter().flatten().copied().collect();
+        let removed = old.pools.iter().enumerate().filter(|(index, _)| !kept.contains(index));
+        servers.removed += removed.map(|(_, pool)| pool.source.servers().len()).sum::<usize>();
+        // The order of pools has no meaning.
         pools.moved = 0;
-        let (routes, _) = compare.named(
+        let (routes, _) = matcher.match_by_name(
             old.routes.routes(),
             self.routes.routes(),
             |r| &r.name,
@@ -221,7 +236,7 @@
             from: old.version,
             to: self.version,
             pools: pool_changes,
-            old_class_indexes: class_places,
+            old_class_indexes: old_class_indexes,
             quotas_changed: old.tenants.quotas() != self.tenants.quotas(),
             counts: [
                 ("listeners", ChangeCounts { moved: 0, ..listeners }),
@@ -231,33 +246,44 @@
                 ("servers", servers),
                 ("routes", routes),
             ],
-            lookups: compare.0,
+            lookups: matcher.0,
         };
         (self, change)
     }
 
-    fn tenants_changed(&self, old: &Plan, compare: &mut Compare) -> ChangeCounts {
-        let (was, is) = (old.tenants.quotas(), self.tenants.quotas());
-        compare.0 += was.len() + is.len();
-        let kept = is.iter().filter_map(|(number, share)| Some((was.get(number)?, share)));
-        let (mut stay, mut changed) = (0, 0);
-        kept.for_each(|(before, now)| {
-            stay += 1;
-            changed += usize::from(before != now);
+    fn compare_tenants(&self, old: &Plan, matcher: &mut NameMatcher) -> ChangeCounts {
+        let (before, after) = (old.tenants.quotas(), self.tenants.quotas());
+        matcher.0 += before.len() + after.len();
+        let in_both = after.iter().filter_map(|(number, quota)| Some((before.get(number)?, quota)));
+        let (mut kept, mut changed) = (0, 0);
+        in_both.for_each(|(old_quota, quota)| {
+            kept += 1;
+            changed += usize::from(old_quota != quota);
         });
-        ChangeCounts { added: is.len() - stay, removed: was.len() - stay, changed, moved: 0 }
+        ChangeCounts { added: after.len() - kept, removed: before.len() - kept, changed, moved: 0 }
     }
 }
 
-/// Whether two routes of different plans do the same: what they name by its place has to have one name.
-fn same_route(a: &Route, b: &Route, old: &[Arc<Pool>], new: &[Arc<Pool>], was: &Plan, is: &Plan) -> bool {
-    let pools = match (a.pool(), b.pool()) {
-        (Some(a), Some(b)) => old[a].name == new[b].name,
+/// Whether two routes of different plans are the same. Pools, classes and listeners, which a route refers to by their
+/// index, are compared by name.
+fn same_route(
+    a: &Route,
+    b: &Route,
+    old_pools: &[Arc<Pool>],
+    new_pools: &[Arc<Pool>],
+    old: &Plan,
+    new: &Plan,
+) -> bool {
+    let same_pool = match (a.pool(), b.pool()) {
+        (Some(a), Some(b)) => old_pools[a].name == new_pools[b].name,
         (a, b) => a.is_none() && b.is_none(),
     };
-    let class = |plan: &'_ Plan, route: &Route| route.class.map(|at| plan.classes[at].name.clone());
+    let class = |plan: &'_ Plan, route: &Route| route.class.map(|index| plan.classes[index].name.clone());
     let listeners = |plan: &Plan, route: &Route| {
-        route.listeners.iter().map(|at| plan.listeners[*at].name.clone()).collect::<Vec<_>>()
+        route.listeners.iter().map(|index| plan.listeners[*index].name.clone()).collect::<Vec<_>>()
     };
-    pools && class(was, a) == class(is, b) && listeners(was, a) == listeners(is, b) && a.has_same_effect(b)
+    same_pool
+        && class(old, a) == class(new, b)
+        && listeners(old, a) == listeners(new, b)
+        && a.has_same_effect(b)
 }
--- a/crates/plan/src/limits.rs
+++ b/crates/plan/src/limits.rs
@@ -1,127 +1,133 @@
-//! What the node may hold: file descriptors and bytes of bodies.
+//! Limits on client connections, server connections and the bytes of buffered bodies.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// The most that the body of a request or of an answer may hold.
+/// The longest body of a request or of an answer.
 pub const MAX_BODY_BYTES: u64 = 32 << 20;
-/// Descriptors that are neither a client's nor a server's: standard streams, listeners, pollers, locks, discovery (20 in
-/// all), and 8 operators. On a small node each one more is a connection less.
-const OWN_SOCKETS: usize = 28;
-/// Part of the rest that clients may hold. A server connection carries a request, a client's may stand idle.
-const CLIENT_PART: f64 = 0.55;
-/// Part of the memory limit that bodies may fill; connection buffers and the heap's slack need the rest.
-const BODY_PART: f64 = 0.35;
-/// Bookkeeping for one piece of a body: without it a body of one-byte chunks would cost far more than counted.
-const PIECE: usize = 64;
-
-/// Part of the bytes that bodies beyond `SMALL` may fill: short requests keep the rest.
-const LARGE_PART: f64 = 0.75;
-/// A body that says that it has no more than this is small; with its bookkeeping it may come to twice that.
-const SMALL: u64 = 64 << 10;
-
-/// How much of each may be held.
+/// Descriptors that no client or server connection may use: 20 for standard streams, listeners, pollers, locks and
+/// discovery, and 8 for operators.
+const RESERVED_DESCRIPTORS: usize = 28;
+/// The fraction of the other descriptors that client connections may use. Clients get more than half, because their
+/// connections may be idle, while most server connections carry a request.
+const CLIENT_FRACTION: f64 = 0.55;
+/// The fraction of the memory limit that bodies may use; connection buffers and heap fragmentation need the rest.
+const BODY_MEMORY_FRACTION: f64 = 0.35;
+/// The overhead counted for each chunk of a body, so that a body of one-byte chunks is not undercounted.
+const CHUNK_OVERHEAD_BYTES: usize = 64;
+
+/// The fraction of the body memory that large bodies may use; the rest is reserved for small ones.
+const LARGE_BODY_FRACTION: f64 = 0.75;
+/// A body whose declared length is at most this is small. With overhead it may use up to twice as much.
+const MAX_SMALL_BODY_BYTES: u64 = 64 << 10;
+
 #[derive(Clone, Copy, Debug)]
-struct Most {
+struct BudgetLimits {
     clients: usize,
     servers: usize,
     bytes: usize,
 }
 
-/// Counts what is held against the limits of the configuration.
+/// Counts connections and body bytes in use, and limits them.
 #[derive(Debug)]
 pub struct Budget {
-    full: Most,
-    most: Cell<Most>,
+    /// The limits that the configuration allows.
+    configured: BudgetLimits,
+    /// The limits in force, after [`Budget::set_limit_share`].
+    limits: Cell<BudgetLimits>,
     clients: Cell<usize>,
     servers: Cell<usize>,
     bytes: Cell<usize>,
 }
 
 impl Budget {
-    /// What these limits leave for clients, servers and bodies.
-    pub fn new(sockets: usize, memory: u64) -> Rc<Self> {
-        let rest = sockets.saturating_sub(OWN_SOCKETS).max(8);
-        // One in eight of the clients' is kept for those that are only told to come back.
-        let clients = (rest as f64 * CLIENT_PART) as usize;
-        let full = Most {
+    /// Divides descriptors and memory between clients, servers and bodies.
+    pub fn new(descriptors: usize, memory_bytes: u64) -> Rc<Self> {
+        let available = descriptors.saturating_sub(RESERVED_DESCRIPTORS).max(8);
+        // An eighth of the client connections is reserved for clients that are refused with an answer.
+        let clients = (available as f64 * CLIENT_FRACTION) as usize;
+        let configured = BudgetLimits {
             clients: (clients - clients / 8).max(1),
-            servers: rest - clients,
-            bytes: (memory as f64 * BODY_PART) as usize,
+            servers: available - clients,
+            bytes: (memory_bytes as f64 * BODY_MEMORY_FRACTION) as usize,
         };
         Rc::new(Budget {
-            full,
-            most: Cell::new(full),
+            configured,
+            limits: Cell::new(configured),
             clients: Cell::new(0),
             servers: Cell::new(0),
             bytes: Cell::new(0),
         })
     }
 
-    /// Keeps to a part of the limits from here on; what is held beyond it goes when its holders let go.
+    /// Lowers the limits to a fraction of the configured ones. What is in use beyond them stays until it is released.
     pub fn set_limit_share(&self, share: f64) {
-        let part = |of: usize| ((of as f64 * share) as usize).max(1);
-        let Most { clients, servers, bytes } = self.full;
-        self.most.set(Most { clients: part(clients), servers: part(servers), bytes: part(bytes) });
+        let scale = |limit: usize| ((limit as f64 * share) as usize).max(1);
+        let BudgetLimits { clients, servers, bytes } = self.configured;
+        self.limits.set(BudgetLimits {
+            clients: scale(clients),
+            servers: scale(servers),
+            bytes: scale(bytes),
+        });
     }
 
-    /// Connections that may be open to servers.
+    /// The number of connections that may be open to servers.
     pub fn max_server_connections(&self) -> usize {
-        self.most.get().servers
+        self.limits.get().servers
     }
 
-    /// More connections to servers are open than may be.
+    /// Whether more connections to servers are open than allowed.
     pub fn is_over_server_limit(&self) -> bool {
-        self.servers.get() > self.most.get().servers
+        self.servers.get() > self.limits.get().servers
     }
 
-    /// New clients can only be told to come back.
+    /// Whether new client connections have to be refused with an answer.
     pub fn must_refuse_clients(&self) -> bool {
-        self.clients.get() >= self.most.get().clients
+        self.clients.get() >= self.limits.get().clients
     }
 
-    /// No further client may even be turned away: the backlog has to hold it.
+    /// Whether not even a refusal is possible, so that new connections have to wait in the listen backlog.
     pub fn must_stop_accepting(&self) -> bool {
-        self.clients.get() >= self.most.get().clients + self.most.get().clients / 8
+        self.clients.get() >= self.limits.get().clients + self.limits.get().clients / 8
     }
 
-    /// A place for one more client; the caller sees to it that there is one.
+    /// Counts one more client connection. The caller checks the limit.
     pub fn client_slot(self: &Rc<Self>) -> Slot {
-        Slot::take(self, |b| &b.clients)
+        Slot::acquire(self, |b| &b.clients)
     }
 
-    /// A place for one more connection to a server, if there is any.
+    /// Counts one more server connection, unless the limit is reached.
     pub fn server_slot(self: &Rc<Self>) -> Option<Slot> {
-        (self.servers.get() < self.most.get().servers).then(|| Slot::take(self, |b| &b.servers))
+        (self.servers.get() < self.limits.get().servers).then(|| Slot::acquire(self, |b| &b.servers))
     }
 
-    /// Connections of clients: how many there are, and how many there may be.
+    /// The number of client connections, and its limit.
     pub fn client_usage(&self) -> (usize, usize) {
-        (self.clients.get(), self.most.get().clients)
+        (self.clients.get(), self.limits.get().clients)
     }
 
-    /// Connections to servers, likewise.
+    /// The number of server connections, and its limit.
     pub fn server_usage(&self) -> (usize, usize) {
-        (self.servers.get(), self.most.get().servers)
+        (self.servers.get(), self.limits.get().servers)
     }
 
-    /// Bytes of bodies, likewise.
+    /// The number of body bytes, and its limit.
     pub fn body_bytes_usage(&self) -> (usize, usize) {
-        (self.bytes.get(), self.most.get().bytes)
+        (self.bytes.get(), self.limits.get().bytes)
     }
 
-    /// Nothing held yet, for a body of at most 64 KiB; it grows with `Lease::grow`.
+    /// An empty lease for a small body; see [`Lease::grow`].
     pub fn small_lease(self: &Rc<Self>) -> Lease {
         self.lease_for(Some(0))
     }
 
-    /// Nothing held yet, for a body of this length; one that tells none has to share with the long ones.
+    /// An empty lease for a body of the declared length. A body of unknown length counts as large.
     pub fn lease_for(self: &Rc<Self>, length: Option<u64>) -> Lease {
-        Lease { budget: self.clone(), held: 0, small: length.is_some_and(|l| l <= SMALL) }
+        Lease { budget: self.clone(), held: 0, is_small: length.is_some_and(|l| l <= MAX_SMALL_BODY_BYTES) }
     }
 }
 
-/// One descriptor in use, given back when dropped.
+/// A counted connection, released when dropped.
 #[derive(Debug)]
 pub struct Slot {
     budget: Rc<Budget>,
@@ -129,7 +135,7 @@
 }
 
 impl Slot {
-    fn take(budget: &Rc<Budget>, counter: fn(&Budget) -> &Cell<usize>) -> Self {
+    fn acquire(budget: &Rc<Budget>, counter: fn(&Budget) -> &Cell<usize>) -> Self {
         counter(budget).set(counter(budget).get() + 1);
         Slot { budget: budget.clone(), counter }
     }
@@ -142,28 +148,29 @@
     }
 }
 
-/// Bytes of one body, given back when dropped.
+/// The bytes of one body, released when dropped.
 #[derive(Debug)]
 pub struct Lease {
     budget: Rc<Budget>,
+    /// The bytes counted for this body, with overhead.
     held: usize,
-    /// Of a small body.
-    small: bool,
+    is_small: bool,
 }
 
 impl Lease {
-    /// Takes one more piece into account; false where there is no room for it. A small body may take all that is free.
-    /// A larger one may hold as much as it leaves of what is there for its kind: the more come, the less each may keep.
+    /// Counts one more chunk, unless the limit forbids it; true if it was counted. A small body may use all free
+    /// bytes. A large one may hold at most as much as remains free for large bodies, so that each gets less the more
+    /// there are.
     pub fn grow(&mut self, bytes: usize) -> bool {
-        let cost = bytes + PIECE;
-        let (sum, held) = (self.budget.bytes.get() + cost, self.held + cost);
-        let most = self.budget.most.get().bytes;
-        let large = (most as f64 * LARGE_PART) as usize;
-        let small = self.small && held as u64 <= 2 * SMALL;
-        if sum > most || (!small && held > large.saturating_sub(sum)) {
+        let cost = bytes + CHUNK_OVERHEAD_BYTES;
+        let (total, held) = (self.budget.bytes.get() + cost, self.held + cost);
+        let limit = self.budget.limits.get().bytes;
+        let large_limit = (limit as f64 * LARGE_BODY_FRACTION) as usize;
+        let is_small = self.is_small && held as u64 <= 2 * MAX_SMALL_BODY_BYTES;
+        if total > limit || (!is_small && held > large_limit.saturating_sub(total)) {
             return false;
         }
-        self.budget.bytes.set(sum);
+        self.budget.bytes.set(total);
         self.held = held;
         true
     }
@@ -181,8 +188,8 @@
     use proptest::prelude::*;
     use proptest::test_runner::RngSeed;
 
-    /// A body that grows by pieces until there is no room for it or it is whole; how much of it is held.
-    fn keep(lease: &mut Lease, bytes: usize) -> usize {
+    /// Grows a lease by chunks up to the given length, and returns how many bytes fit.
+    fn grow_to(lease: &mut Lease, bytes: usize) -> usize {
         (0..bytes / 16_384).take_while(|_| lease.grow(16_384)).count() * 16_384
     }
 
@@ -190,48 +197,48 @@
     fn two_hundred_uploads_leave_room_for_short_requests() {
         let budget = Budget::new(1024, 48 << 20);
         let mut uploads: Vec<_> = (0..200).map(|_| budget.lease_for(Some(3 << 20))).collect();
-        // One alone may hold all that the platform keeps of a body, a sixteenth of the memory.
-        assert_eq!(keep(&mut uploads[0], 3 << 20), 3 << 20);
+        // A single upload may use all of the platform's replay buffer, a sixteenth of the memory.
+        assert_eq!(grow_to(&mut uploads[0], 3 << 20), 3 << 20);
         for upload in &mut uploads[1..] {
-            keep(upload, 3 << 20);
+            grow_to(upload, 3 << 20);
         }
         let mut short: Vec<_> = (0..500).map(|_| budget.small_lease()).collect();
-        assert!(short.iter_mut().all(|lease| lease.grow(2048)), "short requests find no room");
+        assert!(short.iter_mut().all(|lease| lease.grow(2048)), "a short request does not fit");
     }
 
     #[test]
-    fn what_is_given_back_is_there_again() {
+    fn released_bytes_can_be_used_again() {
         let budget = Budget::new(1024, 48 << 20);
         for _ in 0..100 {
             let mut uploads: Vec<_> = (0..3).map(|_| budget.lease_for(Some(2 << 20))).collect();
-            assert!(uploads.iter_mut().all(|upload| keep(upload, 2 << 20) == 2 << 20));
+            assert!(uploads.iter_mut().all(|upload| grow_to(upload, 2 << 20) == 2 << 20));
         }
     }
 
     proptest! {
-        // The same cases every time.
+        // A fixed seed makes the cases reproducible.
         #![proptest_config(ProptestConfig { rng_seed: RngSeed::Fixed(5), failure_persistence: None, ..ProptestConfig::default() })]
 
-        /// Whatever comes and goes: never over the room, and none is lost.
+        /// After any sequence of growth and release, the total is exact and within the limits.
         #[test]
-        fn the_room_is_kept(steps in proptest::collection::vec((0..30usize, 0..400_000usize, any::<bool>()), 1..300)) {
+        fn body_bytes_stay_within_the_limits(steps in proptest::collection::vec((0..30usize, 0..400_000usize, any::<bool>()), 1..300)) {
             let budget = Budget::new(1024, 32 << 20);
-            let most = budget.most.get().bytes;
+            let limit = budget.limits.get().bytes;
             let mut leases: Vec<Lease> = Vec::new();
-            for (at, bytes, end) in steps {
-                match leases.get_mut(at) {
-                    Some(_) if end => drop(leases.swap_remove(at)),
+            for (index, bytes, release) in steps {
+                match leases.get_mut(index) {
+                    Some(_) if release => drop(leases.swap_remove(index)),
                     Some(lease) => {
-                        let (held, taken) = (lease.held, lease.grow(bytes));
-                        prop_assert_eq!(lease.held, held + if taken { bytes + PIECE } else { 0 });
+                        let (held, grown) = (lease.held, lease.grow(bytes));
+                        prop_assert_eq!(lease.held, held + if grown { bytes + CHUNK_OVERHEAD_BYTES } else { 0 });
                     }
-                    None => leases.push(budget.lease_for([None, Some(0), Some(bytes as u64)][at % 3])),
+                    None => leases.push(budget.lease_for([None, Some(0), Some(bytes as u64)][index % 3])),
                 }
-                let sum: usize = leases.iter().map(|lease| lease.held).sum();
-                prop_assert_eq!(budget.bytes.get(), sum);
-                prop_assert!(sum <= most);
-                let large: usize = leases.iter().filter(|l| !l.small).map(|l| l.held).sum();
-                prop_assert!(large as f64 <= most as f64 * LARGE_PART);
+                let total: usize = leases.iter().map(|lease| lease.held).sum();
+                prop_assert_eq!(budget.bytes.get(), total);
+                prop_assert!(total <= limit);
+                let large: usize = leases.iter().filter(|l| !l.is_small).map(|l| l.held).sum();
+                prop_assert!(large as f64 <= limit as f64 * LARGE_BODY_FRACTION);
             }
             leases.clear();
             prop_assert_eq!(budget.bytes.get(), 0);
--- a/crates/plan/src/platform.rs
+++ b/crates/plan/src/platform.rs
@@ -271,7 +271,7 @@
             action: RouteAction::Forward { pool: 0, rewrite: Box::default() },
         };
         let max_deadline = settings.classes.iter().map(|c| c.give_up).max().unwrap_or(MAX_DRAIN_DEADLINE);
-        let shares = self.tenants.iter().cloned().zip(settings.tenant_quota.iter().map(|(_, share)| share));
+        let quotas = self.tenants.iter().cloned().zip(settings.tenant_quota.iter().map(|(_, quota)| quota));
         Plan {
             version: self.version,
             zone: settings.zone,
@@ -301,7 +301,7 @@
                 paths: unchanged_paths,
             }],
             classes: self.classes.iter().enumerate().map(class).collect(),
-            tenants: Tenants::new(TENANT_HEADER, shares, settings.over_share_worth),
+            tenants: Tenants::new(TENANT_HEADER, quotas, settings.over_share_worth),
             pools: vec![Arc::new(Pool {
                 name: "platform".to_owned(),
                 source: Source::Discovery(Box::new(Discovery {
--- a/crates/plan/src/roster.rs
+++ b/crates/plan/src/roster.rs
@@ -1,119 +1,131 @@
-//! The servers of one pool as the decision module is to see them: what a list names, less what checks have found.
+//! The servers of one pool as reported to the decision module: the list of servers combined with the results of
+//! health checks.
 
 use crate::plan::{HealthCheck, Server};
 use corkhollow_balance::interface::{Nanos, Phase};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// A server as it is told to the decision module.
+/// A server as reported to the decision module.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RosterEntry {
-    /// Its identity.
+    /// Its name, unique in the pool.
     pub name: String,
-    /// Where it listens.
+    /// Its address.
     pub address: SocketAddr,
-    /// Its zone; backups stand in zones of their own behind all others.
+    /// Its zone. Backups have separate zones, numbered after all others.
     pub zone: u8,
-    /// Its kind of machine, numbered from 1 in the order in which kinds were met; 0 where not told.
+    /// Its kind of machine, numbered from 1 in the order of first appearance; 0 if unknown.
     pub kind: u16,
-    /// Its size beside the others'.
+    /// Its capacity relative to the other servers.
     pub weight: f64,
-    /// Ready, draining while checks fail, or gone.
+    /// Ready, or draining while health checks fail or the list drains it.
     pub phase: Phase,
-    /// When it came or came back; 0 for long ago.
+    /// When it was added or recovered, the start of its slow start; 0 for none.
     pub started_at: Nanos,
 }
 
 struct Member {
-    listed: RosterEntry,
-    /// Checks have taken it out.
-    out: bool,
-    /// The list has it drain.
-    drains: bool,
-    /// Checks in a row that speak against its present phase.
-    against: u32,
+    entry: RosterEntry,
+    /// Whether health checks have taken it out.
+    is_unhealthy: bool,
+    /// Whether the list drains it.
+    is_drained: bool,
+    /// The number of consecutive checks whose result contradicts `is_unhealthy`.
+    contradicting_checks: u32,
 }
 
-/// Who is in a pool.
+/// The servers of a pool, with the state of their health checks.
 pub struct Roster {
     members: BTreeMap<String, Member>,
-    /// Kinds of machines that were met.
+    /// The kinds of machines seen so far.
     kinds: Vec<String>,
     backup_zone: u8,
     check: Option<HealthCheck>,
-    /// Whoever comes is cold.
+    /// Whether servers that are added or recover begin with a slow start.
     slow_start: bool,
-    /// The first list is the fleet as it was found; whoever comes later has just been started.
-    met: bool,
+    /// Whether the first list has been received. Its servers are assumed to be warm, later ones to be just started.
+    has_list: bool,
 }
 
 impl Roster {
-    /// Nobody yet. Backups get zones from `backup_zone` on; with `cold`, whoever comes later is cold.
+    /// An empty roster. Backups get zones from `backup_zone` on.
     pub fn new(backup_zone: u8, check: Option<HealthCheck>, slow_start: bool) -> Self {
-        Roster { members: BTreeMap::new(), kinds: Vec::new(), backup_zone, check, slow_start, met: false }
+        Roster {
+            members: BTreeMap::new(),
+            kinds: Vec::new(),
+            backup_zone,
+            check,
+            slow_start,
+            has_list: false,
+        }
     }
 
-    /// Takes over a list: everybody who is to be told of, those who have left among them.
+    /// Replaces the list, and returns the entries to report. Servers that keep their name and address keep their state.
     pub fn replace_list(&mut self, now: Nanos, servers: &[Server]) -> Vec<RosterEntry> {
-        let mut before = std::mem::take(&mut self.members);
-        let mut told = Vec::with_capacity(servers.len());
+        let mut previous = std::mem::take(&mut self.members);
+        let mut entries = Vec::with_capacity(servers.len());
         for server in servers {
-            let old = before.remove(&server.name).filter(|m| m.listed.address == server.address);
+            let old = previous.remove(&server.name).filter(|m| m.entry.address == server.address);
             let zone = if server.backup { self.backup_zone.saturating_add(server.zone) } else { server.zone };
-            let out = old.as_ref().is_some_and(|m| m.out);
-            let listed = RosterEntry {
+            let is_unhealthy = old.as_ref().is_some_and(|m| m.is_unhealthy);
+            let entry = RosterEntry {
                 name: server.name.clone(),
                 address: server.address,
                 zone,
-                kind: server.kind.as_ref().map_or(0, |kind| self.kind(kind)),
+                kind: server.kind.as_ref().map_or(0, |kind| self.kind_number(kind)),
                 weight: server.weight,
-                phase: if out || server.drain { Phase::Draining } else { Phase::Ready },
+                phase: if is_unhealthy || server.drain { Phase::Draining } else { Phase::Ready },
                 started_at: old
                     .as_ref()
-                    .map_or(if self.met && self.slow_start { now } else { 0 }, |m| m.listed.started_at),
+                    .map_or(if self.has_list && self.slow_start { now } else { 0 }, |m| m.entry.started_at),
             };
-            told.push(listed.clone());
-            let against = old.map_or(0, |m| m.against);
-            self.members.insert(server.name.clone(), Member { listed, out, drains: server.drain, against });
+            entries.push(entry.clone());
+            let contradicting_checks = old.map_or(0, |m| m.contradicting_checks);
+            self.members.insert(
+                server.name.clone(),
+                Member { entry, is_unhealthy, is_drained: server.drain, contradicting_checks },
+            );
         }
-        self.met = true;
-        told
+        self.has_list = true;
+        entries
     }
 
-    fn kind(&mut self, name: &str) -> u16 {
+    fn kind_number(&mut self, name: &str) -> u16 {
         let known = self.kinds.iter().position(|k| k == name);
-        let at = known.unwrap_or_else(|| {
+        let index = known.unwrap_or_else(|| {
             self.kinds.push(name.to_owned());
             self.kinds.len() - 1
         });
-        u16::try_from(at + 1).unwrap_or(u16::MAX)
+        u16::try_from(index + 1).unwrap_or(u16::MAX)
     }
 
-    /// Who is to be checked, and where.
+    /// The names and addresses of the servers to check.
     pub fn servers_to_check(&self) -> Vec<(String, SocketAddr)> {
-        self.members.iter().map(|(name, m)| (name.clone(), m.listed.address)).collect()
+        self.members.iter().map(|(name, m)| (name.clone(), m.entry.address)).collect()
     }
 
-    /// Takes a check's result into account; what is to be told where it changes something.
+    /// Records the result of a check, and returns the entry to report if the server's health changes.
     pub fn record_check(&mut self, now: Nanos, name: &str, passed: bool) -> Option<RosterEntry> {
         let check = self.check.as_ref()?;
         let member = self.members.get_mut(name)?;
-        if passed != member.out {
-            member.against = 0;
+        if passed != member.is_unhealthy {
+            member.contradicting_checks = 0;
             return None;
         }
-        member.against += 1;
-        if member.against < if member.out { check.rise } else { check.fall } {
+        member.contradicting_checks += 1;
+        if member.contradicting_checks < if member.is_unhealthy { check.rise } else { check.fall } {
             return None;
         }
-        member.against = 0;
-        member.out = !member.out;
-        member.listed.phase = if member.out || member.drains { Phase::Draining } else { Phase::Ready };
-        if !member.out {
-            // Whatever took it down, it may have started anew: it gets no more than a cold server's share.
-            member.listed.started_at = if self.slow_start { now } else { 0 };
+        member.contradicting_checks = 0;
+        member.is_unhealthy = !member.is_unhealthy;
+        member.entry.phase =
+            if member.is_unhealthy || member.is_drained { Phase::Draining } else { Phase::Ready };
+        if !member.is_unhealthy {
+            // The server may have restarted while it was out, so it begins with a slow start.
+            member.entry.started_at = if self.slow_start { now } else { 0 };
         }
-        Some(member.listed.clone())
+        Some(member.entry.clone())
     }
 }
 
@@ -131,50 +143,50 @@
     }
 
     #[test]
-    fn who_comes_later_is_cold_and_backups_stand_apart() {
+    fn servers_added_later_start_slowly_and_backups_get_their_own_zones() {
         let mut roster = Roster::new(4, None, true);
         let first = roster.replace_list(10, &[server("a", 1, false), server("b", 2, true)]);
         assert_eq!(first.iter().map(|l| (l.zone, l.started_at)).collect::<Vec<_>>(), [(1, 0), (5, 0)]);
         let next =
             roster.replace_list(20, &[server("a", 1, false), server("b", 3, true), server("c", 4, false)]);
         let started: Vec<_> = next.iter().map(|l| l.started_at).collect();
-        assert_eq!(started, [0, 20, 20], "one at a new address is another machine");
+        assert_eq!(started, [0, 20, 20], "a server at a new address is a new one");
         let kind = |name: &str, kind: &str| Server { kind: Some(kind.into()), ..server(name, 9, false) };
-        let told = roster
+        let entries = roster
             .replace_list(30, &[kind("x", "m2"), kind("y", "m1"), kind("z", "m2"), server("a", 1, false)]);
-        assert_eq!(told.iter().map(|l| l.kind).collect::<Vec<_>>(), [1, 2, 1, 0]);
+        assert_eq!(entries.iter().map(|l| l.kind).collect::<Vec<_>>(), [1, 2, 1, 0]);
     }
 
     #[test]
-    fn checks_take_out_and_bring_back() {
+    fn consecutive_check_results_take_a_server_out_and_bring_it_back() {
         let mut roster = Roster::new(1, check(2, 3), true);
         roster.replace_list(0, &[server("a", 1, false)]);
-        let told: Vec<_> = [false, false, true, false, false, false, true, false, true, true]
+        let reported: Vec<_> = [false, false, true, false, false, false, true, false, true, true]
             .into_iter()
             .enumerate()
-            .map(|(k, passed)| {
-                roster.record_check(100 + k as u64, "a", passed).map(|l| (l.phase, l.started_at))
+            .map(|(index, passed)| {
+                roster.record_check(100 + index as u64, "a", passed).map(|l| (l.phase, l.started_at))
             })
             .collect();
         let mut expected = vec![None; 10];
         expected[5] = Some((Phase::Draining, 0));
         expected[9] = Some((Phase::Ready, 109));
-        assert_eq!(told, expected);
-        assert!(roster.record_check(0, "nobody", false).is_none());
+        assert_eq!(reported, expected);
+        assert!(roster.record_check(0, "unknown", false).is_none());
     }
 
     #[test]
-    fn a_list_does_not_undo_what_checks_found() {
+    fn a_new_list_does_not_reset_health_checks() {
         let mut roster = Roster::new(1, check(1, 1), true);
         roster.replace_list(0, &[server("a", 1, false)]);
         assert!(roster.record_check(5, "a", false).is_some());
         assert_eq!(roster.replace_list(9, &[server("a", 1, false)])[0].phase, Phase::Draining);
-        let drains = Server { drain: true, ..server("a", 1, false) };
-        assert_eq!(roster.replace_list(10, &[drains])[0].phase, Phase::Draining);
+        let drained = Server { drain: true, ..server("a", 1, false) };
+        assert_eq!(roster.replace_list(10, &[drained])[0].phase, Phase::Draining);
         assert_eq!(
             roster.record_check(11, "a", true).map(|l| l.phase),
             Some(Phase::Draining),
-            "its list has it drain"
+            "the list drains it"
         );
         assert_eq!(roster.replace_list(12, &[server("a", 1, false)])[0].phase, Phase::Ready);
     }
--- a/crates/plan/src/stable_read.rs
+++ b/crates/plan/src/stable_read.rs
@@ -1,36 +1,36 @@
-//! Files that somebody may be writing while they are read.
+//! Reading files that another process may be writing.
 
 use std::fs::Metadata;
 use std::io;
 use std::os::unix::fs::MetadataExt;
 use std::path::Path;
 
-/// A file that never stands still is given up after so many tries.
-const TRIES: usize = 20;
+const MAX_READ_ATTEMPTS: usize = 20;
 
-/// What changes with every write, as far as the system's clock is fine enough for that.
-type State = (u64, u64, i64, i64);
+/// Inode, length and modification time of a file, which change with every write unless two writes fall into one tick
+/// of the file system's clock.
+type FileState = (u64, u64, i64, i64);
 
-fn state(meta: &Metadata) -> State {
+fn file_state(meta: &Metadata) -> FileState {
     (meta.ino(), meta.len(), meta.mtime(), meta.mtime_nsec())
 }
 
-/// Reads a file that is the same before and after. What is no file, a pipe for one, is read as it comes.
+/// Reads a file, and reads it again if it has changed meanwhile. Pipes and other special files are read once.
 ///
 /// # Errors
-/// Where it cannot be read, or changes with each try.
+/// If the file cannot be read, or changes during every attempt.
 pub fn read(path: &Path) -> io::Result<Vec<u8>> {
     if !std::fs::metadata(path)?.is_file() {
         return std::fs::read(path);
     }
-    read_by(|| std::fs::metadata(path).map(|meta| state(&meta)), || std::fs::read(path))
+    read_until_unchanged(|| std::fs::metadata(path).map(|meta| file_state(&meta)), || std::fs::read(path))
 }
 
-fn read_by(
-    mut state: impl FnMut() -> io::Result<State>,
+fn read_until_unchanged(
+    mut state: impl FnMut() -> io::Result<FileState>,
     mut read: impl FnMut() -> io::Result<Vec<u8>>,
 ) -> io::Result<Vec<u8>> {
-    for _ in 0..TRIES {
+    for _ in 0..MAX_READ_ATTEMPTS {
         let before = state()?;
         let bytes = read()?;
         if state()? == before && before.1 == bytes.len() as u64 {
@@ -45,9 +45,8 @@
 mod tests {
     use super::*;
 
-    /// A pipe has no length and can be read once.
     #[test]
-    fn what_is_no_file_is_read_as_it_comes() {
+    fn a_pipe_is_read_once() {
         use std::io::Write;
         use std::os::fd::AsRawFd;
         let (reader, mut writer) = std::io::pipe().unwrap();
@@ -58,8 +57,8 @@
     }
 
     #[test]
-    fn what_changes_is_read_again() {
-        // Each read finds a byte more, until the fifth.
+    fn a_file_that_changes_is_read_again() {
+        // The file grows by a byte with each read, up to five bytes.
         let size = std::cell::Cell::new(0u64);
         let state = || Ok((1, size.get(), 0, 0));
         let grow = || {
@@ -67,20 +66,23 @@
             size.set((size.get() + 1).min(5));
             Ok(read)
         };
-        assert_eq!(read_by(state, grow).unwrap(), b"xxxxx");
-        // Another file in its place, of the same length.
-        let file = std::cell::Cell::new(0u64);
+        assert_eq!(read_until_unchanged(state, grow).unwrap(), b"xxxxx");
+        // The file is replaced by another one of the same length.
+        let inode = std::cell::Cell::new(0u64);
         let replaced = || {
-            file.set((file.get() + 1).min(7));
+            inode.set((inode.get() + 1).min(7));
             Ok(vec![b'x'])
         };
-        assert!(read_by(|| Ok((file.get(), 1, 0, 0)), replaced).is_ok());
-        assert_eq!(file.get(), 7);
-        let never = std::cell::Cell::new(0);
-        let always = || {
-            never.set(never.get() + 1);
-            Ok((1, 0, never.get(), 0))
+        assert!(read_until_unchanged(|| Ok((inode.get(), 1, 0, 0)), replaced).is_ok());
+        assert_eq!(inode.get(), 7);
+        let modified_at = std::cell::Cell::new(0);
+        let keeps_changing = || {
+            modified_at.set(modified_at.get() + 1);
+            Ok((1, 0, modified_at.get(), 0))
         };
-        assert!(read_by(always, || Ok(Vec::new())).unwrap_err().to_string().contains("changes"));
+        assert!(read_until_unchanged(keeps_changing, || Ok(Vec::new()))
+            .unwrap_err()
+            .to_string()
+            .contains("changes"));
     }
 }
--- a/crates/plan/src/version.rs
+++ b/crates/plan/src/version.rs
@@ -1,11 +1,11 @@
-//! Which file a plan was made of.
+//! The version of the configuration file that a plan was compiled from.
 
-/// The digest of a file's bytes: two nodes with the same version go by the same file.
+/// The digest of a configuration file: two nodes with the same version run the same configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Version([u8; 6]);
 
 impl Version {
-    /// The version of these bytes: the first 48 bits of their BLAKE3 digest.
+    /// The version of a file's content: the first 48 bits of its BLAKE3 digest.
     pub fn of(bytes: &[u8]) -> Self {
         let digest = blake3::hash(bytes);
         let mut first = [0; 6];
--- a/crates/plan/tests/change.rs
+++ b/crates/plan/tests/change.rs
@@ -227,7 +227,7 @@
     let (back, change) = file(&[(1, 1.0), (2, 3.0)]).rebase_on(&one);
     assert_eq!((of(&back, 1), of(&back, 2)), (Some(2), Some(1)));
     assert_eq!(change.to_string(), "tenants: 1 added, 1 changed");
-    assert_eq!(back.tenants.share("t2"), Some(3.0));
+    assert_eq!(back.tenants.quota("t2"), Some(3.0));
 
     let mut all: Vec<_> = (0..15_000).map(|k| (k, k as f64)).collect();
     let first = file(&all);
