--- a/crates/plan/src/change.rs
+++ b/crates/plan/src/change.rs
@@ -236,7 +236,7 @@
             from: old.version,
             to: self.version,
             pools: pool_changes,
-            old_class_indexes: old_class_indexes,
+            old_class_indexes,
             quotas_changed: old.tenants.quotas() != self.tenants.quotas(),
             counts: [
                 ("listeners", ChangeCounts { moved: 0, ..listeners }),
--- a/crates/plan/src/discovery_list.rs
+++ b/crates/plan/src/discovery_list.rs
@@ -60,10 +60,10 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ListError {
     /// It is longer than [`MAX_LIST_BYTES`].
-    #[error("a list of over {MAX_LIST_BYTES} bytes")]
+    #[error("the list is longer than {MAX_LIST_BYTES} bytes")]
     TooLong,
     /// It cannot be parsed.
-    #[error("a list that cannot be read: {0}")]
+    #[error("malformed list: {0}")]
     Malformed(#[from] serde_json::Error),
 }
 
--- a/crates/plan/src/routes/expression.rs
+++ b/crates/plan/src/routes/expression.rs
@@ -1,9 +1,9 @@
-//! Regular expressions that can be compared.
+//! Regular expressions that can be compared for equality.
 
 use regex::Regex;
 use std::ops::Deref;
 
-/// A regular expression; equal to another one that is written alike.
+/// A regular expression, equal to another one with the same text.
 #[derive(Clone, Debug)]
 pub struct Expression(Regex);
 
--- a/crates/plan/src/routes/fields.rs
+++ b/crates/plan/src/routes/fields.rs
@@ -1,28 +1,28 @@
-//! Conditions on headers and on the query.
+//! Conditions on headers and query parameters.
 
 use super::expression::Expression;
 
-/// A condition on the values that stand under one name.
+/// A condition on the values of one header or query parameter.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FieldMatch {
-    /// The name: of a header in small letters, of a query parameter as it is.
+    /// The name; of a header in lower case.
     pub name: String,
-    /// What has to hold.
+    /// The condition.
     pub test: FieldTest,
 }
 
-/// What has to hold for the values under a name. Of several, one has to fit.
+/// The condition on the values of a name. If there are several values, one of them must match.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FieldTest {
-    /// There is one.
+    /// There is a value.
     Present,
-    /// There is none.
+    /// There is no value.
     Absent,
-    /// It is this.
+    /// The value is equal to this text.
     Equals(String),
-    /// It begins with this.
+    /// The value begins with this text.
     StartsWith(String),
-    /// The whole of it matches.
+    /// The whole value matches this expression.
     Matches(Expression),
 }
 
@@ -32,15 +32,15 @@
         match &self.test {
             FieldTest::Present => values.next().is_some(),
             FieldTest::Absent => values.next().is_none(),
-            FieldTest::Equals(own) => values.any(|v| v == own.as_bytes()),
-            FieldTest::StartsWith(own) => values.any(|v| v.starts_with(own.as_bytes())),
+            FieldTest::Equals(text) => values.any(|v| v == text.as_bytes()),
+            FieldTest::StartsWith(prefix) => values.any(|v| v.starts_with(prefix.as_bytes())),
             FieldTest::Matches(regex) => {
                 values.any(|v| std::str::from_utf8(v).is_ok_and(|text| regex.is_match(text)))
             }
         }
     }
 
-    /// Whether the condition holds for a query, as it stands behind the `?`.
+    /// Whether the condition holds for a query, given as the text after the `?`.
     pub fn matches_query(&self, query: &str) -> bool {
         let values: Vec<Vec<u8>> = query
             .split('&')
@@ -53,36 +53,36 @@
     }
 }
 
-/// Undoes escapes and `+` (application/x-www-form-urlencoded); what is no escape stays as it is.
+/// Decodes a name or value in application/x-www-form-urlencoded. Invalid escapes are kept unchanged.
 fn decode(text: &str) -> Vec<u8> {
     let bytes = text.as_bytes();
-    let mut out = Vec::with_capacity(bytes.len());
-    let mut at = 0;
-    while at < bytes.len() {
-        let pair = (bytes[at] == b'%').then(|| text.get(at + 1..at + 3)).flatten();
-        let byte = pair.filter(|p| p.bytes().all(|b| b.is_ascii_hexdigit()));
-        match byte.and_then(|p| u8::from_str_radix(p, 16).ok()) {
+    let mut decoded = Vec::with_capacity(bytes.len());
+    let mut index = 0;
+    while index < bytes.len() {
+        let pair = (bytes[index] == b'%').then(|| text.get(index + 1..index + 3)).flatten();
+        let digits = pair.filter(|p| p.bytes().all(|b| b.is_ascii_hexdigit()));
+        match digits.and_then(|p| u8::from_str_radix(p, 16).ok()) {
             Some(byte) => {
-                out.push(byte);
-                at += 3;
+                decoded.push(byte);
+                index += 3;
             }
             None => {
-                out.push(if bytes[at] == b'+' { b' ' } else { bytes[at] });
-                at += 1;
+                decoded.push(if bytes[index] == b'+' { b' ' } else { bytes[index] });
+                index += 1;
             }
         }
     }
-    out
+    decoded
 }
 
 impl std::fmt::Display for FieldMatch {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let name = &self.name;
         match &self.test {
-            FieldTest::Present => write!(f, "{name} is there"),
-            FieldTest::Absent => write!(f, "{name} is not there"),
-            FieldTest::Equals(own) => write!(f, "{name} is {own:?}"),
-            FieldTest::StartsWith(own) => write!(f, "{name} begins with {own:?}"),
+            FieldTest::Present => write!(f, "{name} is present"),
+            FieldTest::Absent => write!(f, "{name} is absent"),
+            FieldTest::Equals(text) => write!(f, "{name} is {text:?}"),
+            FieldTest::StartsWith(prefix) => write!(f, "{name} begins with {prefix:?}"),
             FieldTest::Matches(regex) => write!(f, "{name} matches {regex}"),
         }
     }
@@ -93,13 +93,13 @@
     use super::*;
     use proptest::prelude::*;
 
-    fn is(name: &str, value: &str) -> FieldMatch {
+    fn equals(name: &str, value: &str) -> FieldMatch {
         FieldMatch { name: name.into(), test: FieldTest::Equals(value.into()) }
     }
 
     #[test]
-    fn queries_are_read_decoded() {
-        for (query, hit) in [
+    fn query_parameters_are_decoded_before_matching() {
+        for (query, expected) in [
             ("a=b+c", true),
             ("x=1&a=b%20c", true),
             ("%61=b%20c", true),
@@ -108,7 +108,7 @@
             ("", false),
             ("a", false),
         ] {
-            assert_eq!(is("a", "b c").matches_query(query), hit, "{query}");
+            assert_eq!(equals("a", "b c").matches_query(query), expected, "{query}");
         }
         let absent = FieldMatch { name: "a".into(), test: FieldTest::Absent };
         assert!(absent.matches_query("b=1") && !absent.matches_query("a"));
@@ -116,8 +116,8 @@
 
     proptest! {
         #[test]
-        fn no_query_panics(query in ".{0,60}") {
-            let _ = is("a", "b").matches_query(&query);
+        fn arbitrary_queries_do_not_panic(query in ".{0,60}") {
+            let _ = equals("a", "b").matches_query(&query);
         }
     }
 }
--- a/crates/plan/src/routes/host.rs
+++ b/crates/plan/src/routes/host.rs
@@ -1,35 +1,35 @@
-//! Host names, in requests and in routes.
+//! Host names of requests, and host patterns of routes.
 
 use std::borrow::Cow;
 
-/// A host name in the one form in which hosts are compared: small letters, no port, no dot at the end. An IPv6
-/// address keeps its brackets. Empty where a request names no host.
+/// A normalised host name: lower case, without port and trailing dot. An IPv6 address keeps its brackets. Empty if the
+/// request names no host.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Host<'a>(Cow<'a, str>);
 
-/// A host that cannot be one (RFC 3986, 3.2.2).
+/// An invalid host (RFC 3986, 3.2.2).
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("`{0}` is no host name")]
 pub struct InvalidHost(pub String);
 
-fn name_byte(b: u8) -> bool {
+fn is_name_byte(b: u8) -> bool {
     b.is_ascii_alphanumeric() || matches!(b, b'-' | b'.' | b'_' | b'~' | b'!' | b'$' | b'&' | b'\'')
 }
 
 impl<'a> Host<'a> {
-    /// Takes the host from an authority, as a `Host` header or an absolute target brings it.
+    /// Parses the host of an authority, as it is in a `Host` header or an absolute request target.
     ///
     /// # Errors
-    /// Where it holds user information, characters that no host has, an empty label or a port that is none.
+    /// If the authority has user information, an invalid character, an empty label or an invalid port.
     pub fn parse(authority: &'a str) -> Result<Self, InvalidHost> {
-        let bad = || InvalidHost(authority.chars().take(80).collect());
+        let invalid = || InvalidHost(authority.chars().take(80).collect());
         if authority.is_empty() {
             return Ok(Host(Cow::Borrowed("")));
         }
         let (name, port) = match authority.strip_prefix('[') {
             Some(rest) => {
-                let end = rest.find(']').ok_or_else(bad)?;
-                rest[..end].parse::<std::net::Ipv6Addr>().map_err(|_| bad())?;
+                let end = rest.find(']').ok_or_else(invalid)?;
+                rest[..end].parse::<std::net::Ipv6Addr>().map_err(|_| invalid())?;
                 (&authority[..end + 2], &rest[end + 1..])
             }
             None => {
@@ -39,15 +39,15 @@
         };
         let digits = port.strip_prefix(':').unwrap_or(port);
         if !(port.is_empty() || port.starts_with(':')) || !digits.bytes().all(|b| b.is_ascii_digit()) {
-            return Err(bad());
+            return Err(invalid());
         }
         if !digits.is_empty() && digits.parse::<u16>().is_err() {
-            return Err(bad());
+            return Err(invalid());
         }
         let name = name.strip_suffix('.').unwrap_or(name);
-        let literal = name.starts_with('[');
-        if !literal && (!name.bytes().all(name_byte) || name.split('.').any(str::is_empty)) {
-            return Err(bad());
+        let is_ipv6 = name.starts_with('[');
+        if !is_ipv6 && (!name.bytes().all(is_name_byte) || name.split('.').any(str::is_empty)) {
+            return Err(invalid());
         }
         Ok(Host(if name.bytes().any(|b| b.is_ascii_uppercase()) {
             Cow::Owned(name.to_ascii_lowercase())
@@ -56,44 +56,44 @@
         }))
     }
 
-    /// The name.
+    /// The normalised name.
     pub fn as_str(&self) -> &str {
         &self.0
     }
 }
 
-/// Hosts that a route is for.
+/// A pattern for the hosts of a route.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum HostPattern {
-    /// This one.
+    /// Exactly this host.
     Exact(String),
-    /// All below this one, at any depth, but not itself: `*.example.org`.
+    /// All subdomains of this host at any depth, without the host itself: `*.example.org`.
     Subdomains(String),
 }
 
 impl HostPattern {
-    /// Reads `name` or `*.name`.
+    /// Parses `name` or `*.name`.
     ///
     /// # Errors
-    /// Where the name is none, has a port, or holds `*` elsewhere.
+    /// If the name is invalid, has a port, or has `*` in another place.
     pub fn parse(text: &str) -> Result<Self, InvalidHost> {
-        let (name, below) = text.strip_prefix("*.").map_or((text, false), |rest| (rest, true));
+        let (name, is_wildcard) = text.strip_prefix("*.").map_or((text, false), |rest| (rest, true));
         let host = Host::parse(name)?;
-        let port = if name.starts_with('[') { name.contains("]:") } else { name.contains(':') };
-        if name.is_empty() || port {
+        let has_port = if name.starts_with('[') { name.contains("]:") } else { name.contains(':') };
+        if name.is_empty() || has_port {
             return Err(InvalidHost(text.to_owned()));
         }
         let name = host.0.into_owned();
-        Ok(if below { HostPattern::Subdomains(name) } else { HostPattern::Exact(name) })
+        Ok(if is_wildcard { HostPattern::Subdomains(name) } else { HostPattern::Exact(name) })
     }
 
-    /// Whether a host is one of these.
+    /// Whether the pattern matches a normalised host.
     pub fn matches(&self, host: &str) -> bool {
         match self {
             HostPattern::Exact(name) => name == host,
-            HostPattern::Subdomains(name) => {
-                host.strip_suffix(name.as_str()).is_some_and(|front| front.len() > 1 && front.ends_with('.'))
-            }
+            HostPattern::Subdomains(name) => host
+                .strip_suffix(name.as_str())
+                .is_some_and(|subdomain| subdomain.len() > 1 && subdomain.ends_with('.')),
         }
     }
 }
@@ -112,7 +112,7 @@
     use super::*;
 
     #[test]
-    fn hosts_come_in_one_form() {
+    fn hosts_are_normalised_and_invalid_ones_rejected() {
         for (text, name) in [
             ("example.org", "example.org"),
             ("EXAMPLE.Org:8080", "example.org"),
@@ -146,16 +146,16 @@
     }
 
     #[test]
-    fn wildcards_stand_for_whole_labels() {
-        let below = HostPattern::parse("*.Example.org").unwrap();
-        for (host, hit) in [
+    fn wildcards_match_whole_labels_only() {
+        let subdomains = HostPattern::parse("*.Example.org").unwrap();
+        for (host, expected) in [
             ("a.example.org", true),
             ("a.b.example.org", true),
             ("example.org", false),
             ("badexample.org", false),
             (".example.org", false),
         ] {
-            assert_eq!(below.matches(host), hit, "{host}");
+            assert_eq!(subdomains.matches(host), expected, "{host}");
         }
         for text in ["*", "a.*", "*.", "a*.b", "a:80", "", "[::1]:80"] {
             assert!(HostPattern::parse(text).is_err(), "{text}");
--- a/crates/plan/src/routes/mod.rs
+++ b/crates/plan/src/routes/mod.rs
@@ -1,8 +1,8 @@
-//! Which route a request takes: pure, and decided by the request's head alone.
+//! Routing: chooses the route of a request by the request's head alone, without I/O.
 //!
-//! Routes are tried in the order of the file, and the first whose conditions all hold is taken. The path and the
-//! host are put into one form before (see [`path`] and [`host`]), and the request goes on in that form, so that
-//! this program and the servers cannot read one request as two different ones.
+//! The first route in the order of the file whose conditions all hold is taken. Path and host are normalised first
+//! (see [`path`] and [`host`]) and forwarded in that form, so that the gateway and the servers interpret a request in
+//! the same way.
 
 mod cover;
 pub mod expression;
--- a/crates/plan/src/routes/path.rs
+++ b/crates/plan/src/routes/path.rs
@@ -1,18 +1,18 @@
-//! Paths, in requests and in routes.
+//! Paths of requests, and path patterns of routes.
 //!
-//! A request's path is put into one form before any route sees it (RFC 3986, 6.2.2): escapes of unreserved
-//! characters are undone, other escapes written in capitals, `.` and `..` segments taken out, runs of slashes made
-//! one. What could still be read in two ways is turned away: an escaped slash or backslash, or NUL.
+//! The path of a request is normalised before it is matched (RFC 3986, 6.2.2): escapes of unreserved characters are
+//! decoded, other escapes written in upper case, `.` and `..` segments removed, and runs of slashes merged. Ambiguous
+//! paths, with an escaped slash, a backslash or a control character, are rejected.
 
 use super::expression::Expression;
 use std::borrow::Cow;
 
-/// What is made of paths that some servers read in one way and some in another.
+/// The treatment of paths that servers interpret in different ways.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PathRules {
-    /// Runs of slashes become one.
+    /// Whether to merge runs of slashes.
     pub merge_slashes: bool,
-    /// `%2F`, `%5C` and a plain backslash pass as they are, instead of being turned away.
+    /// Whether to keep `%2F`, `%5C` and backslashes unchanged instead of rejecting the path.
     pub keep_escaped_slashes: bool,
 }
 
@@ -22,32 +22,32 @@
     }
 }
 
-/// Why a path is turned away.
+/// Why a path is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidPath {
     /// It does not begin with a slash.
     #[error("the path does not begin with `/`")]
     Relative,
-    /// `%` without two hexadecimal digits.
+    /// A `%` is not followed by two hexadecimal digits.
     #[error("the path holds a `%` without two hexadecimal digits behind it")]
     Escape,
-    /// NUL, plain or escaped, or another control character.
+    /// It has a control character, plain or escaped.
     #[error("the path holds a control character")]
     Control,
-    /// An escaped slash or a backslash.
+    /// It has an escaped slash, or a backslash, plain or escaped.
     #[error("the path holds an escaped slash or a backslash")]
     Slash,
 }
 
-fn hex(b: u8) -> Option<u8> {
+fn hex_digit(b: u8) -> Option<u8> {
     (b as char).to_digit(16).map(|d| d as u8)
 }
 
-fn unreserved(b: u8) -> bool {
+fn is_unreserved(b: u8) -> bool {
     b.is_ascii_alphanumeric() || matches!(b, b'-' | b'.' | b'_' | b'~')
 }
 
-/// Puts a path into the form in which paths are compared and passed on.
+/// Normalises a path for matching and forwarding.
 ///
 /// # Errors
 /// See [`InvalidPath`].
@@ -58,59 +58,59 @@
     if raw.bytes().any(|b| b.is_ascii_control()) {
         return Err(InvalidPath::Control);
     }
-    let doubled = rules.merge_slashes && raw.contains("//");
-    if !doubled && !raw.contains("/.") && !raw.bytes().any(|b| b == b'%' || b == b'\\') {
+    let has_slash_run = rules.merge_slashes && raw.contains("//");
+    if !has_slash_run && !raw.contains("/.") && !raw.bytes().any(|b| b == b'%' || b == b'\\') {
         return Ok(Cow::Borrowed(raw));
     }
-    Ok(Cow::Owned(without_dots(&unescape(raw, rules)?, rules)))
+    Ok(Cow::Owned(remove_dot_segments(&normalise_escapes(raw, rules)?, rules)))
 }
 
-fn unescape(raw: &str, rules: PathRules) -> Result<String, InvalidPath> {
+fn normalise_escapes(raw: &str, rules: PathRules) -> Result<String, InvalidPath> {
     let mut out = String::with_capacity(raw.len());
     let mut rest = raw;
-    while let Some(at) = rest.find(['%', '\\']) {
-        out.push_str(&rest[..at]);
-        if rest.as_bytes()[at] == b'\\' {
+    while let Some(index) = rest.find(['%', '\\']) {
+        out.push_str(&rest[..index]);
+        if rest.as_bytes()[index] == b'\\' {
             if !rules.keep_escaped_slashes {
                 return Err(InvalidPath::Slash);
             }
             out.push('\\');
-            rest = &rest[at + 1..];
+            rest = &rest[index + 1..];
             continue;
         }
-        let digits = rest.as_bytes().get(at + 1..at + 3).ok_or(InvalidPath::Escape)?;
-        let (Some(high), Some(low)) = (hex(digits[0]), hex(digits[1])) else {
+        let digits = rest.as_bytes().get(index + 1..index + 3).ok_or(InvalidPath::Escape)?;
+        let (Some(high), Some(low)) = (hex_digit(digits[0]), hex_digit(digits[1])) else {
             return Err(InvalidPath::Escape);
         };
         let byte = high * 16 + low;
         match byte {
             b if b.is_ascii_control() => return Err(InvalidPath::Control),
             b'/' | b'\\' if !rules.keep_escaped_slashes => return Err(InvalidPath::Slash),
-            b if unreserved(b) => out.push(b as char),
+            b if is_unreserved(b) => out.push(b as char),
             b => out.push_str(&format!("%{b:02X}")),
         }
-        rest = &rest[at + 3..];
+        rest = &rest[index + 3..];
     }
     out.push_str(rest);
     Ok(out)
 }
 
-/// RFC 3986, 5.2.4; what climbs above the root stays there.
-fn without_dots(path: &str, rules: PathRules) -> String {
+/// Removes dot segments (RFC 3986, 5.2.4); `..` at the root has no effect.
+fn remove_dot_segments(path: &str, rules: PathRules) -> String {
     let mut kept: Vec<&str> = Vec::new();
     let mut segments = path[1..].split('/').peekable();
     while let Some(segment) = segments.next() {
-        let last = segments.peek().is_none();
+        let is_last = segments.peek().is_none();
         match segment {
             "." | ".." => {
                 if segment == ".." {
                     kept.pop();
                 }
-                if last {
+                if is_last {
                     kept.push("");
                 }
             }
-            "" if rules.merge_slashes && !last => {}
+            "" if rules.merge_slashes && !is_last => {}
             other => kept.push(other),
         }
     }
@@ -125,27 +125,27 @@
     out
 }
 
-/// Paths that a route is for. Letters count as they are, small or capital.
+/// A case-sensitive pattern for the paths of a route.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PathPattern {
-    /// This path and no other.
+    /// Exactly this path.
     Exact(String),
-    /// This path and all below it: `/a` stands for `/a`, `/a/` and `/a/b`, not for `/ab`.
+    /// This path and all below it: `/a` matches `/a`, `/a/` and `/a/b`, but not `/ab`.
     Prefix(String),
-    /// The whole path matches.
+    /// Paths that match this expression as a whole.
     Regex(Expression),
 }
 
 impl PathPattern {
-    /// This path, put into the form of requests' paths.
+    /// A pattern for exactly this path, which is normalised first.
     ///
     /// # Errors
-    /// Where no request's path can ever be this one.
+    /// If the path is invalid, so that no request can have it.
     pub fn exact(path: &str, rules: PathRules) -> Result<Self, InvalidPath> {
         Ok(PathPattern::Exact(normalise(path, rules)?.into_owned()))
     }
 
-    /// This path and all below; a slash at its end does not count.
+    /// A pattern for this path and all below it. Trailing slashes are ignored.
     ///
     /// # Errors
     /// As for [`PathPattern::exact`].
@@ -154,35 +154,35 @@
         Ok(PathPattern::Prefix(path.trim_end_matches('/').to_owned()))
     }
 
-    /// A regular expression for the whole path; it takes time in proportion to the path's length.
+    /// A pattern for paths that match a regular expression as a whole. Matching takes linear time.
     ///
     /// # Errors
-    /// Where it is no regular expression, or compiles to more than 1 MiB.
+    /// If the expression is invalid, or compiles to more than 1 MiB.
     pub fn regex(text: &str) -> Result<Self, regex::Error> {
-        let whole = format!("^(?:{text})$");
-        regex::RegexBuilder::new(&whole)
+        let anchored = format!("^(?:{text})$");
+        regex::RegexBuilder::new(&anchored)
             .size_limit(1 << 20)
             .build()
             .map(|regex| PathPattern::Regex(regex.into()))
     }
 
-    /// Whether a path in its one form is one of these.
+    /// Whether the pattern matches a normalised path.
     pub fn matches(&self, path: &str) -> bool {
         match self {
-            PathPattern::Exact(own) => own == path,
-            PathPattern::Prefix(own) => {
-                path.strip_prefix(own.as_str()).is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
-            }
+            PathPattern::Exact(exact) => exact == path,
+            PathPattern::Prefix(prefix) => path
+                .strip_prefix(prefix.as_str())
+                .is_some_and(|rest| rest.is_empty() || rest.starts_with('/')),
             PathPattern::Regex(regex) => regex.is_match(path),
         }
     }
 
-    /// The first segment that every matching path has, where there is one.
+    /// The first segment that all matching paths have in common, if any.
     pub fn first_segment(&self) -> Option<&str> {
         match self {
-            PathPattern::Exact(own) => Some(first_segment(own)),
-            PathPattern::Prefix(own) if own.is_empty() => None,
-            PathPattern::Prefix(own) => Some(first_segment(own)),
+            PathPattern::Exact(exact) => Some(first_segment(exact)),
+            PathPattern::Prefix(prefix) if prefix.is_empty() => None,
+            PathPattern::Prefix(prefix) => Some(first_segment(prefix)),
             PathPattern::Regex(_) => None,
         }
     }
@@ -197,9 +197,9 @@
 impl std::fmt::Display for PathPattern {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            PathPattern::Exact(own) => write!(f, "path {own}"),
-            PathPattern::Prefix(own) if own.is_empty() => f.write_str("any path"),
-            PathPattern::Prefix(own) => write!(f, "path {own} and below"),
+            PathPattern::Exact(exact) => write!(f, "path {exact}"),
+            PathPattern::Prefix(prefix) if prefix.is_empty() => f.write_str("any path"),
+            PathPattern::Prefix(prefix) => write!(f, "path {prefix} and below"),
             PathPattern::Regex(regex) => write!(f, "path matching {regex}"),
         }
     }
@@ -210,12 +210,12 @@
     use super::*;
     use proptest::prelude::*;
 
-    fn norm(raw: &str) -> Result<String, InvalidPath> {
+    fn normalise_by_default(raw: &str) -> Result<String, InvalidPath> {
         normalise(raw, PathRules::default()).map(Cow::into_owned)
     }
 
     #[test]
-    fn paths_come_in_one_form() {
+    fn paths_are_normalised() {
         for (raw, path) in [
             ("/", "/"),
             ("/a/b", "/a/b"),
@@ -238,13 +238,13 @@
             ("/a//", "/a/"),
             ("/a//..", "/"),
         ] {
-            assert_eq!(norm(raw).as_deref(), Ok(path), "{raw}");
+            assert_eq!(normalise_by_default(raw).as_deref(), Ok(path), "{raw}");
         }
     }
 
     #[test]
-    fn what_can_be_read_in_two_ways_is_turned_away() {
-        for (raw, fault) in [
+    fn invalid_and_ambiguous_paths_are_rejected() {
+        for (raw, error) in [
             ("a", InvalidPath::Relative),
             ("*", InvalidPath::Relative),
             ("/%", InvalidPath::Escape),
@@ -258,32 +258,32 @@
             ("/a%5c..", InvalidPath::Slash),
             ("/a\\..\\b", InvalidPath::Slash),
         ] {
-            assert_eq!(norm(raw), Err(fault), "{raw}");
+            assert_eq!(normalise_by_default(raw), Err(error), "{raw}");
         }
         let keep = PathRules { merge_slashes: false, keep_escaped_slashes: true };
         assert_eq!(normalise("/a%2fb//c", keep).unwrap(), "/a%2Fb//c");
     }
 
     #[test]
-    fn prefixes_end_at_segments() {
+    fn prefixes_match_whole_segments_only() {
         let rules = PathRules::default();
         let prefix = PathPattern::prefix("/a/b/", rules).unwrap();
-        for (path, hit) in
+        for (path, expected) in
             [("/a/b", true), ("/a/b/", true), ("/a/b/c", true), ("/a/bc", false), ("/a", false)]
         {
-            assert_eq!(prefix.matches(path), hit, "{path}");
+            assert_eq!(prefix.matches(path), expected, "{path}");
         }
         assert!(PathPattern::prefix("/", rules).unwrap().matches("/anything"));
         let regex = PathPattern::regex("/a|/b[0-9]+").unwrap();
-        for (path, hit) in [("/a", true), ("/b12", true), ("/ab", false), ("/x/a", false)] {
-            assert_eq!(regex.matches(path), hit, "{path}");
+        for (path, expected) in [("/a", true), ("/b12", true), ("/ab", false), ("/x/a", false)] {
+            assert_eq!(regex.matches(path), expected, "{path}");
         }
     }
 
     proptest! {
-        /// No way of writing a path leads round the one form: it is its own form, and has nothing left to undo.
+        /// A normalised path is unchanged when it is normalised again, and has no dot segments or slash runs.
         #[test]
-        fn the_one_form_is_final(raw in "/([a-c./%\\\\]|%2[eEfF]|%6[1-3]|%5c|%[0-9a-f]{2}){0,24}") {
+        fn normalisation_is_idempotent(raw in "/([a-c./%\\\\]|%2[eEfF]|%6[1-3]|%5c|%[0-9a-f]{2}){0,24}") {
             for rules in [
                 PathRules::default(),
                 PathRules { merge_slashes: false, keep_escaped_slashes: true },
@@ -298,8 +298,8 @@
         }
 
         #[test]
-        fn no_path_panics(raw in ".{0,40}") {
-            let _ = norm(&raw);
+        fn arbitrary_paths_do_not_panic(raw in ".{0,40}") {
+            let _ = normalise_by_default(&raw);
         }
     }
 }
--- a/crates/plan/src/routes/rewrite.rs
+++ b/crates/plan/src/routes/rewrite.rs
@@ -1,22 +1,22 @@
-//! What a route changes in a request and in its answer, and where it sends a client instead.
+//! Rewrites of requests and answers, and redirects.
 
 use super::expression::Expression;
 use http::header::{HeaderMap, HeaderName, HeaderValue};
 use http::uri::PathAndQuery;
 
-/// Changes to headers, made in this order: removed, set, added.
+/// Changes to headers, applied in this order: remove, set, add.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct HeaderEdits {
-    /// Taken out, all values.
+    /// Headers to remove, with all their values.
     pub remove: Vec<HeaderName>,
-    /// Put in the place of all values that there are.
+    /// Headers to set, replacing all their values.
     pub set: Vec<(HeaderName, HeaderValue)>,
-    /// Put beside the values that there are.
+    /// Values to add to those that a header has.
     pub add: Vec<(HeaderName, HeaderValue)>,
 }
 
 impl HeaderEdits {
-    /// Makes the changes.
+    /// Applies the changes.
     pub fn apply(&self, headers: &mut HeaderMap) {
         for name in &self.remove {
             headers.remove(name);
@@ -30,81 +30,81 @@
     }
 }
 
-/// How a path is written anew.
+/// How a path is rewritten.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PathRewrite {
-    /// This path, whatever it was.
+    /// The whole path is replaced by this one.
     Replace(String),
-    /// The route's prefix gives way to another one.
+    /// A prefix is replaced by another one.
     Prefix {
-        /// Without a slash at its end.
+        /// The prefix of the route, without a trailing slash.
         from: String,
-        /// Without a slash at its end.
+        /// The new prefix, without a trailing slash.
         to: String,
     },
-    /// The first match gives way to a text in which `$1` or `${name}` stands for a group.
+    /// The first match of an expression is replaced.
     Regex {
-        /// What is looked for.
+        /// The expression to search for.
         find: Expression,
-        /// What stands there instead.
+        /// The replacement, in which `$1` or `${name}` stands for a capture group.
         with: String,
     },
 }
 
-/// What a route changes in a request on its way to a server, and in the answer on its way back.
+/// How a route changes requests before they are forwarded, and the answers to them.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Rewrite {
-    /// The path.
+    /// The rewrite of the path.
     pub path: Option<PathRewrite>,
-    /// What the server is told as `Host`, in place of what the client said.
+    /// The value of `Host` that replaces the client's.
     pub host: Option<HeaderValue>,
-    /// The request's headers.
+    /// The changes to the headers of the request.
     pub request: HeaderEdits,
-    /// The answer's headers.
+    /// The changes to the headers of the answer.
     pub response: HeaderEdits,
 }
 
-/// The rewritten path cannot stand in a request.
+/// The rewritten path is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the rewritten path cannot stand in a request")]
 pub struct InvalidRewrite;
 
 impl Rewrite {
-    /// The target that a server gets for a path in its one form and its query.
+    /// The request target to send to a server, for a normalised path and the query.
     ///
     /// # Errors
-    /// Where a substitution makes something that is no path.
+    /// If the rewritten path is invalid.
     pub fn target(&self, path: &str, query: Option<&str>) -> Result<PathAndQuery, InvalidRewrite> {
-        let mut out = match &self.path {
+        let mut target = match &self.path {
             None => path.to_owned(),
-            Some(PathRewrite::Replace(own)) => own.clone(),
+            Some(PathRewrite::Replace(replacement)) => replacement.clone(),
             Some(PathRewrite::Prefix { from, to }) => {
                 let rest = path.strip_prefix(from.as_str()).unwrap_or(path);
                 format!("{to}{rest}")
             }
             Some(PathRewrite::Regex { find, with }) => find.replace(path, with.as_str()).into_owned(),
         };
-        if !out.starts_with('/') && out != "*" {
-            out.insert(0, '/');
+        if !target.starts_with('/') && target != "*" {
+            target.insert(0, '/');
         }
         if let Some(query) = query {
-            out.push('?');
-            out.push_str(query);
+            target.push('?');
+            target.push_str(query);
         }
-        PathAndQuery::try_from(out).map_err(|_| InvalidRewrite)
+        PathAndQuery::try_from(target).map_err(|_| InvalidRewrite)
     }
 }
 
-/// Sends the client elsewhere.
+/// A redirect to a location built from a template.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Redirect {
     /// 301, 302, 303, 307 or 308.
     pub status: u16,
-    to: Vec<Piece>,
+    location: Vec<TemplatePart>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-enum Piece {
+enum TemplatePart {
     Text(String),
     Scheme,
     Host,
@@ -112,61 +112,62 @@
     Query,
 }
 
-/// A template that cannot be used.
+/// An invalid template, with the unknown or unclosed placeholder.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("`{{{0}}}` is not known in a redirect; {{scheme}}, {{host}}, {{path}} and {{query}} are")]
 pub struct InvalidTemplate(String);
 
 impl Redirect {
-    /// Reads a template: `{scheme}`, `{host}` (without port), `{path}` (in its one form) and `{query}` (with its
-    /// `?`, or nothing) stand for what the request said.
+    /// Parses a template with the placeholders `{scheme}`, `{host}` (without port), `{path}` (normalised) and `{query}`
+    /// (with the leading `?`; empty if there is no query) of the request.
     ///
     /// # Errors
-    /// Where something else stands in braces, or a brace is not closed.
+    /// If a placeholder is unknown or not closed.
     pub fn parse(template: &str, status: u16) -> Result<Self, InvalidTemplate> {
-        let mut to = Vec::new();
+        let mut location = Vec::new();
         let mut rest = template;
         while let Some(open) = rest.find('{') {
             if open > 0 {
-                to.push(Piece::Text(rest[..open].to_owned()));
+                location.push(TemplatePart::Text(rest[..open].to_owned()));
             }
             let close = rest[open..].find('}').ok_or_else(|| InvalidTemplate(rest[open + 1..].to_owned()))?;
             let name = &rest[open + 1..open + close];
-            to.push(match name {
-                "scheme" => Piece::Scheme,
-                "host" => Piece::Host,
-                "path" => Piece::Path,
-                "query" => Piece::Query,
+            location.push(match name {
+                "scheme" => TemplatePart::Scheme,
+                "host" => TemplatePart::Host,
+                "path" => TemplatePart::Path,
+                "query" => TemplatePart::Query,
                 other => return Err(InvalidTemplate(other.to_owned())),
             });
             rest = &rest[open + close + 1..];
         }
         if !rest.is_empty() {
-            to.push(Piece::Text(rest.to_owned()));
+            location.push(TemplatePart::Text(rest.to_owned()));
         }
-        Ok(Redirect { status, to })
+        Ok(Redirect { status, location })
     }
 
-    /// Where a request is sent; none where that cannot stand in a header.
+    /// The value of `Location` for a request; `None` if it is not a valid header value.
     pub fn location(&self, scheme: &str, host: &str, path: &str, query: Option<&str>) -> Option<HeaderValue> {
-        let mut out = String::new();
-        for piece in &self.to {
-            match piece {
-                Piece::Text(text) => out.push_str(text),
-                Piece::Scheme => out.push_str(scheme),
-                Piece::Host => out.push_str(host),
-                Piece::Path => out.push_str(path),
-                Piece::Query => {
+        let mut location = String::new();
+        for part in &self.location {
+            match part {
+                TemplatePart::Text(text) => location.push_str(text),
+                TemplatePart::Scheme => location.push_str(scheme),
+                TemplatePart::Host => location.push_str(host),
+                TemplatePart::Path => location.push_str(path),
+                TemplatePart::Query => {
                     if let Some(query) = query {
-                        out.push('?');
-                        out.push_str(query);
+                        location.push('?');
+                        location.push_str(query);
                     }
                 }
             }
         }
-        // Two slashes at the start would name another host.
-        let out = if out.starts_with("//") { out.trim_start_matches('/').to_owned() } else { out };
-        HeaderValue::try_from(out).ok()
+        // Two leading slashes would make the client take the first segment for a host.
+        let location =
+            if location.starts_with("//") { location.trim_start_matches('/').to_owned() } else { location };
+        HeaderValue::try_from(location).ok()
     }
 }
 
@@ -179,32 +180,32 @@
     }
 
     #[test]
-    fn paths_are_written_anew() {
+    fn paths_are_rewritten() {
         let prefix = |to: &str| PathRewrite::Prefix { from: "/api".into(), to: to.into() };
         assert_eq!(rewritten(prefix("/v2"), "/api/x", Some("q=1")).unwrap(), "/v2/x?q=1");
         assert_eq!(rewritten(prefix(""), "/api", None).unwrap(), "/");
         assert_eq!(rewritten(prefix(""), "/api/x", None).unwrap(), "/x");
-        let swap = |with: &str| PathRewrite::Regex {
+        let regex = |with: &str| PathRewrite::Regex {
             find: regex::Regex::new("^/u/([^/]+)").unwrap().into(),
             with: with.into(),
         };
-        assert_eq!(rewritten(swap("/user/$1/home"), "/u/ann/x", None).unwrap(), "/user/ann/home/x");
-        assert_eq!(rewritten(swap("/a b"), "/u/ann", None), Err(InvalidRewrite));
+        assert_eq!(rewritten(regex("/user/$1/home"), "/u/ann/x", None).unwrap(), "/user/ann/home/x");
+        assert_eq!(rewritten(regex("/a b"), "/u/ann", None), Err(InvalidRewrite));
         assert_eq!(rewritten(PathRewrite::Replace("/one".into()), "/two", Some("a")).unwrap(), "/one?a");
         assert_eq!(Rewrite::default().target("*", None).unwrap().to_string(), "*");
     }
 
     #[test]
-    fn a_redirect_keeps_what_it_is_told_to() {
-        let to =
+    fn a_redirect_fills_in_its_template_and_stays_on_the_host() {
+        let location =
             |t: &str| Redirect::parse(t, 308).unwrap().location("http", "a.org", "/x", Some("q=1")).unwrap();
-        assert_eq!(to("https://{host}{path}{query}"), "https://a.org/x?q=1");
-        assert_eq!(to("{path}"), "/x");
-        let outside =
+        assert_eq!(location("https://{host}{path}{query}"), "https://a.org/x?q=1");
+        assert_eq!(location("{path}"), "/x");
+        let relative =
             Redirect::parse("{path}", 302).unwrap().location("http", "a", "//evil.org/", None).unwrap();
-        assert!(!outside.as_bytes().starts_with(b"//"), "{outside:?}");
-        for bad in ["{port}", "a{", "{host"] {
-            assert!(Redirect::parse(bad, 302).is_err(), "{bad}");
+        assert!(!relative.as_bytes().starts_with(b"//"), "{relative:?}");
+        for invalid in ["{port}", "a{", "{host"] {
+            assert!(Redirect::parse(invalid, 302).is_err(), "{invalid}");
         }
     }
 
@@ -222,9 +223,9 @@
             headers.append(name(n), value("old"));
         }
         edits.apply(&mut headers);
-        let all = |n: &str| headers.get_all(n).iter().cloned().collect::<Vec<_>>();
+        let values = |n: &str| headers.get_all(n).iter().cloned().collect::<Vec<_>>();
         assert_eq!(
-            (all("a"), all("b"), all("c")),
+            (values("a"), values("b"), values("c")),
             (vec![], vec![value("new")], vec![value("old"), value("more")])
         );
     }
--- a/crates/plan/src/routes/table.rs
+++ b/crates/plan/src/routes/table.rs
@@ -1,7 +1,7 @@
-//! The table of routes: the first whose conditions all hold is taken.
+//! The table of routes: the first route whose conditions all hold is taken.
 //!
-//! An index by listener, host and first path segment leaves few routes to look at; it only leaves out those that
-//! cannot match, so that the order of the file decides as if there were none.
+//! An index by listener, host and first path segment leaves few routes to try. It only excludes routes that cannot
+//! match, so the order of the file still decides.
 
 use super::fields::FieldMatch;
 use super::host::HostPattern;
@@ -12,83 +12,83 @@
 use http::Method;
 use std::collections::HashMap;
 
-/// What a request's head says to the routes.
+/// The parts of a request that routes are matched against.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestHead<'a> {
-    /// The listener that it came to, as an index into the plan's.
+    /// The listener that received it, as an index into the plan's listeners.
     pub listener: usize,
-    /// Its host in its one form ([`super::Host`]).
+    /// The normalised host ([`super::Host`]).
     pub host: &'a str,
-    /// Its path in its one form ([`super::path::normalise`]), or `*`.
+    /// The normalised path ([`super::path::normalise`]), or `*`.
     pub path: &'a str,
-    /// Its query, as it came.
+    /// The query, unchanged.
     pub query: Option<&'a str>,
-    /// Its method.
+    /// The method.
     pub method: &'a Method,
-    /// Its headers.
+    /// The headers.
     pub headers: &'a HeaderMap,
 }
 
-/// What becomes of a request on a route.
+/// What a route does with its requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RouteAction {
-    /// It goes to a server.
+    /// Forwards them to a server.
     Forward {
-        /// The pool, as an index into the plan's.
+        /// The pool, as an index into the plan's pools.
         pool: usize,
-        /// What is changed on the way.
+        /// The changes to the request and its answer.
         rewrite: Box<Rewrite>,
     },
-    /// The client is sent elsewhere.
+    /// Redirects the client.
     Redirect(Redirect),
-    /// The program answers by itself.
+    /// Returns a fixed answer.
     Answer {
         /// The status.
         status: u16,
-        /// The type of the body.
+        /// The media type of the body.
         content_type: HeaderValue,
         /// The body.
         body: Bytes,
     },
 }
 
-/// One route: conditions, of which all have to hold, and what becomes of the request.
+/// A route: conditions that must all hold, and an action.
 #[derive(Clone, Debug)]
 pub struct Route {
     /// Its name.
     pub name: String,
-    /// Listeners, as indices into the plan's; none for all.
+    /// Listeners, as indices into the plan's listeners; empty for all.
     pub listeners: Vec<usize>,
-    /// Hosts; none for all.
+    /// Hosts; empty for all.
     pub hosts: Vec<HostPattern>,
-    /// Paths; none for all.
+    /// Paths; `None` for all.
     pub path: Option<PathPattern>,
-    /// Methods; none for all.
+    /// Methods; empty for all.
     pub methods: Vec<Method>,
     /// Conditions on headers.
     pub headers: Vec<FieldMatch>,
     /// Conditions on the query.
     pub query: Vec<FieldMatch>,
-    /// The class of its requests, as an index into the plan's; none goes by the method.
+    /// The class of its requests, as an index into the plan's classes; `None` for the class of the method.
     pub class: Option<usize>,
-    /// What becomes of the request.
+    /// What to do with a request.
     pub action: RouteAction,
 }
 
-/// The first condition of a route that did not hold.
+/// The first condition of a route that does not hold.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Mismatch {
-    /// It is for other listeners.
+    /// The route is for other listeners.
     Listener,
-    /// It is for other hosts.
+    /// The route is for other hosts.
     Host,
-    /// It is for other paths.
+    /// The route is for other paths.
     Path,
-    /// It is for other methods.
+    /// The route is for other methods.
     Method,
-    /// A condition on a header, in words.
+    /// A condition on a header, as text.
     Header(String),
-    /// A condition on the query, in words.
+    /// A condition on the query, as text.
     Query(String),
 }
 
@@ -99,37 +99,37 @@
             Mismatch::Host => f.write_str("it is for other hosts"),
             Mismatch::Path => f.write_str("it is for other paths"),
             Mismatch::Method => f.write_str("it is for other methods"),
-            Mismatch::Header(what) => write!(f, "it wants that header {what}"),
-            Mismatch::Query(what) => write!(f, "it wants that query parameter {what}"),
+            Mismatch::Header(condition) => write!(f, "it requires that header {condition}"),
+            Mismatch::Query(condition) => write!(f, "it requires that query parameter {condition}"),
         }
     }
 }
 
 impl Route {
-    /// Why it does not take a request; none where it does.
-    pub fn mismatch(&self, target: &RequestHead<'_>) -> Option<Mismatch> {
-        if !self.listeners.is_empty() && !self.listeners.contains(&target.listener) {
+    /// Why the route does not match a request; `None` if it does.
+    pub fn mismatch(&self, head: &RequestHead<'_>) -> Option<Mismatch> {
+        if !self.listeners.is_empty() && !self.listeners.contains(&head.listener) {
             return Some(Mismatch::Listener);
         }
-        if !self.hosts.is_empty() && !self.hosts.iter().any(|h| h.matches(target.host)) {
+        if !self.hosts.is_empty() && !self.hosts.iter().any(|h| h.matches(head.host)) {
             return Some(Mismatch::Host);
         }
-        if self.path.as_ref().is_some_and(|p| !p.matches(target.path)) {
+        if self.path.as_ref().is_some_and(|p| !p.matches(head.path)) {
             return Some(Mismatch::Path);
         }
-        if !self.methods.is_empty() && !self.methods.contains(target.method) {
+        if !self.methods.is_empty() && !self.methods.contains(head.method) {
             return Some(Mismatch::Method);
         }
-        let values = |name: &str| target.headers.get_all(name).into_iter().map(HeaderValue::as_bytes);
-        if let Some(missed) = self.headers.iter().find(|h| !h.matches(values(&h.name))) {
-            return Some(Mismatch::Header(missed.to_string()));
+        let values = |name: &str| head.headers.get_all(name).into_iter().map(HeaderValue::as_bytes);
+        if let Some(condition) = self.headers.iter().find(|h| !h.matches(values(&h.name))) {
+            return Some(Mismatch::Header(condition.to_string()));
         }
-        let query = target.query.unwrap_or_default();
-        let missed = self.query.iter().find(|q| !q.matches_query(query))?;
-        Some(Mismatch::Query(missed.to_string()))
+        let query = head.query.unwrap_or_default();
+        let condition = self.query.iter().find(|q| !q.matches_query(query))?;
+        Some(Mismatch::Query(condition.to_string()))
     }
 
-    /// The pool that its requests go to, as an index into the plan's.
+    /// The pool that requests are forwarded to, as an index into the plan's pools.
     pub fn pool(&self) -> Option<usize> {
         match self.action {
             RouteAction::Forward { pool, .. } => Some(pool),
@@ -137,34 +137,33 @@
         }
     }
 
-    /// Whether it does what another one does, but for its pool, its class and its listeners, which it names by their places.
+    /// Whether two routes are equal apart from their pool, class and listeners, whose indices may differ between plans.
     pub(crate) fn has_same_effect(&self, other: &Route) -> bool {
-        let outcome = match (&self.action, &other.action) {
-            (RouteAction::Forward { rewrite, .. }, RouteAction::Forward { rewrite: others, .. }) => {
-                rewrite == others
+        let same_action = match (&self.action, &other.action) {
+            (RouteAction::Forward { rewrite, .. }, RouteAction::Forward { rewrite: other_rewrite, .. }) => {
+                rewrite == other_rewrite
             }
-            (own, others) => own == others,
+            (action, other_action) => action == other_action,
         };
-        outcome
+        same_action
             && (&self.hosts, &self.path, &self.methods) == (&other.hosts, &other.path, &other.methods)
             && (&self.headers, &self.query) == (&other.headers, &other.query)
     }
 
-    /// Whether every request that `later` takes is taken by this one too. False where that cannot be told from the
-    /// conditions as they are written.
+    /// Whether this route matches every request that `later` matches. False if the conditions as written do not show it.
     pub fn covers(&self, later: &Route) -> bool {
         let listeners = self.listeners.is_empty()
             || (!later.listeners.is_empty() && later.listeners.iter().all(|l| self.listeners.contains(l)));
-        let host = |theirs: &HostPattern| {
-            self.hosts.iter().any(|own| match theirs {
+        let covers_host = |later_host: &HostPattern| {
+            self.hosts.iter().any(|own| match later_host {
                 HostPattern::Exact(name) => own.matches(name),
                 HostPattern::Subdomains(name) => match own {
-                    HostPattern::Subdomains(wide) => wide == name || own.matches(name),
+                    HostPattern::Subdomains(parent) => parent == name || own.matches(name),
                     HostPattern::Exact(_) => false,
                 },
             })
         };
-        let hosts = self.hosts.is_empty() || (!later.hosts.is_empty() && later.hosts.iter().all(host));
+        let hosts = self.hosts.is_empty() || (!later.hosts.is_empty() && later.hosts.iter().all(covers_host));
         let path = match (&self.path, &later.path) {
             (None, _) => true,
             (Some(own), Some(PathPattern::Exact(path))) => own.matches(path),
@@ -178,29 +177,30 @@
     }
 }
 
-/// Routes that can be told apart by their first path segment.
+/// The routes for one host, by first path segment.
 #[derive(Clone, Debug, Default)]
 struct Bucket {
-    /// Routes for any first segment.
+    /// Routes that match any first segment.
     any: Vec<u32>,
     by_segment: HashMap<String, Vec<u32>>,
 }
 
 impl Bucket {
-    fn add(&mut self, at: u32, path: Option<&PathPattern>) {
+    fn add(&mut self, route_index: u32, path: Option<&PathPattern>) {
         match path.and_then(PathPattern::first_segment) {
-            Some(segment) => self.by_segment.entry(segment.to_owned()).or_default().push(at),
-            None => self.any.push(at),
+            Some(segment) => self.by_segment.entry(segment.to_owned()).or_default().push(route_index),
+            None => self.any.push(route_index),
         }
     }
 }
 
-/// Routes of one listener, by host.
+/// The routes of one listener, by host.
 #[derive(Clone, Debug, Default)]
 struct ByHost {
     any: Bucket,
     exact: HashMap<String, Bucket>,
-    below: HashMap<String, Bucket>,
+    /// By the host whose subdomains match.
+    subdomains: HashMap<String, Bucket>,
 }
 
 /// All routes, in the order of the file.
@@ -211,36 +211,36 @@
 }
 
 impl RouteTable {
-    /// Builds the table for so many listeners.
+    /// Builds the table for the given number of listeners.
     pub fn new(routes: Vec<Route>, listeners: usize) -> Self {
         let mut by_listener = vec![ByHost::default(); listeners];
         for (listener, by_host) in by_listener.iter_mut().enumerate() {
-            for (at, route) in routes.iter().enumerate() {
+            for (index, route) in routes.iter().enumerate() {
                 if !route.listeners.is_empty() && !route.listeners.contains(&listener) {
                     continue;
                 }
-                let (at, path) = (at as u32, route.path.as_ref());
+                let (index, path) = (index as u32, route.path.as_ref());
                 if route.hosts.is_empty() {
-                    by_host.any.add(at, path);
+                    by_host.any.add(index, path);
                 }
                 for host in &route.hosts {
                     let bucket = match host {
                         HostPattern::Exact(name) => by_host.exact.entry(name.clone()).or_default(),
-                        HostPattern::Subdomains(name) => by_host.below.entry(name.clone()).or_default(),
+                        HostPattern::Subdomains(name) => by_host.subdomains.entry(name.clone()).or_default(),
                     };
-                    bucket.add(at, path);
+                    bucket.add(index, path);
                 }
             }
         }
         RouteTable { routes, by_listener }
     }
 
-    /// For each route, the first before it that takes all its requests, as far as [`Route::covers`] can tell.
+    /// For each route, the first earlier route that covers it ([`Route::covers`]).
     pub fn covered(&self) -> Vec<Option<usize>> {
         self.covered_with_comparisons().0
     }
 
-    /// The same, and how many routes were held against each other for it: a measure of the work.
+    /// The same, with the number of pairs of routes that were compared, a measure of the cost.
     pub fn covered_with_comparisons(&self) -> (Vec<Option<usize>>, usize) {
         super::cover::covered(&self.routes)
     }
@@ -250,29 +250,29 @@
         &self.routes
     }
 
-    /// The first route that takes the request, with its place in the file.
-    pub fn find(&self, target: &RequestHead<'_>) -> Option<(usize, &Route)> {
-        let by_host = self.by_listener.get(target.listener)?;
-        let segment = first_segment(target.path);
+    /// The first route that matches a request, with its index.
+    pub fn find(&self, head: &RequestHead<'_>) -> Option<(usize, &Route)> {
+        let by_host = self.by_listener.get(head.listener)?;
+        let segment = first_segment(head.path);
         let mut lists: Vec<&[u32]> = Vec::with_capacity(6);
         collect(&mut lists, &by_host.any, segment);
-        if let Some(bucket) = by_host.exact.get(target.host) {
+        if let Some(bucket) = by_host.exact.get(head.host) {
             collect(&mut lists, bucket, segment);
         }
-        if !by_host.below.is_empty() {
-            let mut rest = target.host;
+        if !by_host.subdomains.is_empty() {
+            let mut rest = head.host;
             while let Some((_, parent)) = rest.split_once('.') {
-                if let Some(bucket) = by_host.below.get(parent) {
+                if let Some(bucket) = by_host.subdomains.get(parent) {
                     collect(&mut lists, bucket, segment);
                 }
                 rest = parent;
             }
         }
-        // The lists are each in the order of the file: the least head is the next route to look at.
+        // Each list is in the order of the file, so the smallest first element is the next route to try.
         loop {
             let next = lists.iter().filter_map(|l| l.first()).min().copied()?;
             let route = &self.routes[next as usize];
-            if route.mismatch(target).is_none() {
+            if route.mismatch(head).is_none() {
                 return Some((next as usize, route));
             }
             for list in &mut lists {
@@ -283,21 +283,21 @@
         }
     }
 
-    /// Every route that was tried before the one that took the request, and why it did not take it.
-    pub fn mismatches(&self, target: &RequestHead<'_>) -> Vec<(usize, Mismatch)> {
+    /// All routes before the one that matches a request, with the reason why each does not match.
+    pub fn mismatches(&self, head: &RequestHead<'_>) -> Vec<(usize, Mismatch)> {
         self.routes
             .iter()
             .enumerate()
-            .map_while(|(at, r)| r.mismatch(target).map(|mismatch| (at, mismatch)))
+            .map_while(|(index, r)| r.mismatch(head).map(|mismatch| (index, mismatch)))
             .collect()
     }
 
-    /// The methods with which the request would find a route, where its own finds none.
-    pub fn allowed_methods(&self, target: &RequestHead<'_>) -> Vec<Method> {
+    /// The methods with which the request would match a route.
+    pub fn allowed_methods(&self, head: &RequestHead<'_>) -> Vec<Method> {
         let mut methods = Vec::new();
         for route in &self.routes {
             for method in route.methods.iter().filter(|m| !methods.contains(*m)).collect::<Vec<_>>() {
-                if route.mismatch(&RequestHead { method, ..*target }).is_none() {
+                if route.mismatch(&RequestHead { method, ..*head }).is_none() {
                     methods.push(method.clone());
                 }
             }
@@ -306,6 +306,7 @@
     }
 }
 
+/// Adds the routes of a bucket that may match a path with this first segment.
 fn collect<'t>(lists: &mut Vec<&'t [u32]>, bucket: &'t Bucket, segment: &str) {
     if let Some(list) = bucket.by_segment.get(segment) {
         lists.push(list);
--- a/crates/plan/tests/routes.rs
+++ b/crates/plan/tests/routes.rs
@@ -1,4 +1,4 @@
-//! The route table against a matcher that looks at every route in turn, on tables and requests made at random.
+//! The route table compared with a linear search, on random tables and requests.
 
 use corkhollow_plan::routes::path::normalise;
 use corkhollow_plan::routes::*;
@@ -59,16 +59,18 @@
     }
 }
 
-type Asked = (usize, &'static str, String, Method, Vec<(&'static str, &'static str)>, Option<&'static str>);
+/// Listener, host, path, method, headers and query.
+type RequestSpec =
+    (usize, &'static str, String, Method, Vec<(&'static str, &'static str)>, Option<&'static str>);
 
-fn asked() -> impl Strategy<Value = Asked> {
+fn request() -> impl Strategy<Value = RequestSpec> {
     let header = (select(&["x-a", "x-b"][..]), select(&["1", "2", "12"][..]));
     let query = option::of(select(&["x-a=1", "x-b=12&x-a=2", "x-a"][..]));
     (0usize..3, select(&HOSTS[..]), path(), method(), vec(header, 0..3), query)
 }
 
-fn with<T>(asked: &Asked, f: impl FnOnce(&RequestHead<'_>) -> T) -> T {
-    let (listener, host, path, method, fields, query) = asked;
+fn with_head<T>(request: &RequestSpec, f: impl FnOnce(&RequestHead<'_>) -> T) -> T {
+    let (listener, host, path, method, fields, query) = request;
     let mut headers = HeaderMap::new();
     for (name, value) in fields {
         headers.append(HeaderName::from_static(name), HeaderValue::from_static(value));
@@ -80,72 +82,69 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(2000))]
 
-    /// The index leaves out no route that would have been the first.
+    /// The index never excludes the route that a linear search finds.
     #[test]
-    fn the_first_route_that_matches_is_taken(routes in vec(route(), 0..12), asked in vec(asked(), 1..8)) {
+    fn the_first_route_that_matches_is_taken(routes in vec(route(), 0..12), requests in vec(request(), 1..8)) {
         let table = RouteTable::new(routes, 3);
-        for asked in &asked {
-            with(asked, |target| {
-                let naive = table.routes().iter().position(|r| r.mismatch(target).is_none());
-                assert_eq!(table.find(target).map(|(at, _)| at), naive, "{asked:?}");
-                assert_eq!(table.mismatches(target).len(), naive.unwrap_or(table.routes().len()));
+        for request in &requests {
+            with_head(request, |head| {
+                let expected = table.routes().iter().position(|r| r.mismatch(head).is_none());
+                assert_eq!(table.find(head).map(|(index, _)| index), expected, "{request:?}");
+                assert_eq!(table.mismatches(head).len(), expected.unwrap_or(table.routes().len()));
             });
         }
     }
 
-    /// A route that is said to be covered is never needed.
     #[test]
-    fn a_covered_route_takes_nothing(earlier in route(), later in route(), asked in vec(asked(), 1..20)) {
+    fn a_route_matches_whatever_a_route_that_it_covers_matches(earlier in route(), later in route(), requests in vec(request(), 1..20)) {
         if earlier.covers(&later) {
-            for asked in &asked {
-                with(asked, |target| {
-                    assert!(later.mismatch(target).is_some() || earlier.mismatch(target).is_none(), "{asked:?}");
+            for request in &requests {
+                with_head(request, |head| {
+                    assert!(later.mismatch(head).is_some() || earlier.mismatch(head).is_none(), "{request:?}");
                 });
             }
         }
     }
 }
 
-/// A route with the conditions that tell which route covers which, drawn so that many do.
-fn plain_route() -> impl Strategy<Value = Route> {
-    (route(), any::<bool>()).prop_map(|(route, plain)| match plain {
+/// A route that often has no conditions on headers and the query, so that it can cover others.
+fn often_covering_route() -> impl Strategy<Value = Route> {
+    (route(), any::<bool>()).prop_map(|(route, can_cover)| match can_cover {
         true => Route { headers: Vec::new(), query: Vec::new(), ..route },
         false => route,
     })
 }
 
 proptest! {
-    // The same cases every time.
+    // A fixed seed makes the cases reproducible.
     #![proptest_config(ProptestConfig { cases: 500, rng_seed: RngSeed::Fixed(3), failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// The covered routes, found by hosts and paths, are those that are found by trying each against all before it.
     #[test]
-    fn covered_routes_are_those_of_a_search_through_all(
-        routes in vec(plain_route(), 1..40),
+    fn covered_routes_are_the_same_as_by_comparing_all_pairs(
+        routes in vec(often_covering_route(), 1..40),
         hosts in vec(select(&["[::1]", "*.a.org", "a.org", "[::ffff:1.2.3.4]", "*.org"][..]), 0..3),
     ) {
         let mut routes = routes;
-        // One that names hosts of all kinds, in the middle and at the end.
-        let named: Vec<_> = hosts.iter().map(|name| HostPattern::parse(name).unwrap()).collect();
+        // Adds the same route with hosts of all kinds in the middle and at the end.
+        let patterns: Vec<_> = hosts.iter().map(|name| HostPattern::parse(name).unwrap()).collect();
         let middle = routes.len() / 2;
-        let first = Route { hosts: named.clone(), headers: Vec::new(), query: Vec::new(), ..routes[0].clone() };
-        routes.insert(middle, first.clone());
-        routes.push(first);
+        let added = Route { hosts: patterns.clone(), headers: Vec::new(), query: Vec::new(), ..routes[0].clone() };
+        routes.insert(middle, added.clone());
+        routes.push(added);
         let expected: Vec<_> = (0..routes.len())
-            .map(|k| routes[..k].iter().position(|earlier| earlier.covers(&routes[k])))
+            .map(|index| routes[..index].iter().position(|earlier| earlier.covers(&routes[index])))
             .collect();
         prop_assert_eq!(RouteTable::new(routes, 3).covered(), expected);
     }
 }
 
-/// Seeking who covers whom grows like the table: eight times the routes take less than twenty times the work, where each against
-/// all before it takes sixty-four times. The work is told by the routes themselves: how many others each is held against.
+/// Guards against comparing all pairs: eight times the routes would then take sixty-four times the comparisons.
 #[test]
-fn the_search_for_covered_routes_grows_like_the_table() {
+fn the_search_for_covered_routes_takes_far_less_than_quadratic_work() {
     let table = |count: usize| {
-        let route = |k: usize| {
-            let host = format!("s{}.a.org", k % (count / 16).max(1));
-            let path = PathPattern::prefix(&format!("/part-{k}/x"), PathRules::default()).unwrap();
+        let route = |index: usize| {
+            let host = format!("s{}.a.org", index % (count / 16).max(1));
+            let path = PathPattern::prefix(&format!("/part-{index}/x"), PathRules::default()).unwrap();
             Route {
                 name: String::new(),
                 listeners: Vec::new(),
@@ -160,7 +159,7 @@
         };
         RouteTable::new((0..count).map(route).collect(), 1)
     };
-    let work = |count: usize| table(count).covered_with_comparisons().1;
-    let (small, large) = (work(1_250), work(10_000));
+    let comparisons = |count: usize| table(count).covered_with_comparisons().1;
+    let (small, large) = (comparisons(1_250), comparisons(10_000));
     assert!(large <= 20 * (small + 1_250), "{small}, {large}");
 }
