--- a/crates/bench/benches/fleet.rs
+++ b/crates/bench/benches/fleet.rs
@@ -3,7 +3,7 @@
 //! With the file's own defaults. Then eight processes over ten servers, with a fleet and without: what a server that comes into the
 //! list cold gets from all of them, what a tenant over its rate gets where there is not enough for all, and what a ninth counts as.
 
-use corkhollow_faults::Act;
+use corkhollow_faults::Action;
 use corkhollow_standin::*;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering::SeqCst};
@@ -204,11 +204,11 @@
         let mut rig = Rig::new(count, 1, &[0], "", move |_| site.clone());
         rig.start_all(0..count);
         let joined = both(&rig, "joined");
-        rig.act(&Act::Kill(count - 1));
+        rig.act(&Action::Kill(count - 1));
         let crashed = both(&rig, "crashed");
-        rig.act(&Act::Part(vec![(0..count / 2).collect(), (count / 2..count - 1).collect()]));
+        rig.act(&Action::Partition(vec![(0..count / 2).collect(), (count / 2..count - 1).collect()]));
         std::thread::sleep(Duration::from_secs(15));
-        rig.act(&Act::Heal);
+        rig.act(&Action::Heal);
         let healed = both(&rig, "healed");
         let (before, start) = (sums(&rig), Instant::now());
         std::thread::sleep(Duration::from_secs(10));
--- a/crates/bench/benches/scale/members.rs
+++ b/crates/bench/benches/scale/members.rs
@@ -3,7 +3,7 @@
 use crate::load::{Client, Watch};
 use crate::node::Figures;
 use crate::process;
-use corkhollow_fleet::{Additions, Config, Timing};
+use corkhollow_fleet::{Config, Extensions, Timing};
 use corkhollow_proxy::fleet::Fleet;
 use corkhollow_standin::{Fleet as Told, Node};
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
@@ -37,10 +37,10 @@
         address,
         seeds: seeds.to_vec(),
         key: None,
-        timing: Timing { probe_every: 500 * MS, probe_timeout: 200 * MS, suspect_for: 2_500 * MS },
-        datagram: 1_200,
-        additions: Additions::default(),
-        incarnation: 1,
+        timing: Timing { probe_interval: 500 * MS, probe_timeout: 200 * MS, suspicion_timeout: 2_500 * MS },
+        max_datagram_bytes: 1_200,
+        extensions: Extensions::default(),
+        initial_incarnation: 1,
     };
     Ok((Member { fleet: Fleet::start(config, socket, u64::from(number), None)? }, address))
 }
--- a/crates/corkhollow/src/commands/membership.rs
+++ b/crates/corkhollow/src/commands/membership.rs
@@ -2,7 +2,7 @@
 
 use super::run::StartError;
 use corkhollow_engine::{log, LogLimiter};
-use corkhollow_fleet::{Additions, Config, Group, Timing};
+use corkhollow_fleet::{Config, Extensions, GroupPosition, Timing};
 use corkhollow_operate::{FleetHandover, Metrics};
 use corkhollow_plan::plan::{self, Plan};
 use corkhollow_proxy::active_plan::CurrentPlan;
@@ -24,7 +24,7 @@
     /// The node, once it runs.
     pub place: FleetCell,
     /// What the pools go by; none where there is no fleet.
-    pub group: Rc<Cell<Option<Group>>>,
+    pub group: Rc<Cell<Option<GroupPosition>>>,
 }
 
 /// What the fleet's node is told by a plan.
@@ -42,13 +42,13 @@
         seeds: told.seeds.clone(),
         key: key.transpose()?,
         timing: Timing {
-            probe_every: told.probe_every,
+            probe_interval: told.probe_every,
             probe_timeout: told.probe_timeout,
-            suspect_for: told.suspect_for,
+            suspicion_timeout: told.suspect_for,
         },
-        datagram: told.datagram,
-        additions: Additions::default(),
-        incarnation: 1,
+        max_datagram_bytes: told.datagram,
+        extensions: Extensions::default(),
+        initial_incarnation: 1,
     })
 }
 
@@ -67,7 +67,7 @@
         let mut fleet = start(config, socket, seed, metrics)?;
         let name = told.node.clone();
         fleet.wait_until_joined().await.map_err(|by| StartError::Name { name, by })?;
-        let group = fleet.view().snapshot.group;
+        let group = fleet.view().snapshot.group_position;
         self.group.set(Some(group));
         self.place.set(fleet);
         Ok(())
@@ -86,7 +86,7 @@
             let address = reached(told, &socket)?;
             let mut config = config(&plan, told, address)?;
             if let Some(from) = from {
-                config.incarnation = from.incarnation + 1;
+                config.initial_incarnation = from.incarnation + 1;
                 config.seeds.extend(from.members);
             }
             let mut fleet = start(config, socket, seed, &metrics)?;
@@ -110,7 +110,7 @@
             }
         };
         loop {
-            let group = fleet.view().snapshot.group;
+            let group = fleet.view().snapshot.group_position;
             if self.group.get() != Some(group) {
                 self.regroup(&current, group, &mut pace).await;
             }
@@ -121,7 +121,7 @@
     }
 
     /// Lets the pools count so.
-    pub async fn regroup(&self, current: &CurrentPlan, group: Group, pace: &mut LogLimiter) {
+    pub async fn regroup(&self, current: &CurrentPlan, group: GroupPosition, pace: &mut LogLimiter) {
         self.group.set(Some(group));
         match current.get().set_group(group).await {
             Ok(()) => pace.log(format_args!("fleet: counts as number {} of {}", group.ordinal, group.size)),
@@ -132,7 +132,7 @@
     /// What a process that takes this one's place goes on with.
     pub fn handover(&self) -> Option<FleetHandover> {
         let view = self.place.get()?.view();
-        let Group { ordinal, size } = view.snapshot.group;
+        let GroupPosition { ordinal, size } = view.snapshot.group_position;
         let (incarnation, members) = view.handover;
         Some(FleetHandover { ordinal, size, incarnation, members })
     }
--- a/crates/corkhollow/src/commands/reload.rs
+++ b/crates/corkhollow/src/commands/reload.rs
@@ -6,7 +6,7 @@
 use super::{load, Failure};
 use corkhollow_engine::log;
 use corkhollow_fleet::Config as FleetConfig;
-use corkhollow_fleet::Group;
+use corkhollow_fleet::GroupPosition;
 use corkhollow_operate::Metrics;
 use corkhollow_plan::change::Change;
 use corkhollow_plan::plan::{Plan, Source};
@@ -92,7 +92,7 @@
     pub seed: u64,
     pub place: &'t FleetCell,
     /// What the node counts as in its fleet.
-    pub group: Option<Group>,
+    pub group: Option<GroupPosition>,
 }
 
 impl Reloads {
--- a/crates/corkhollow/src/commands/run.rs
+++ b/crates/corkhollow/src/commands/run.rs
@@ -6,7 +6,7 @@
 use crate::cli::RunArgs;
 use crate::succession::{self, Neighbours};
 use corkhollow_engine::{log, Clock, LogLimiter};
-use corkhollow_fleet::Group;
+use corkhollow_fleet::GroupPosition;
 use corkhollow_operate::{FleetHandover, Handover, Metrics, MetricsError, SharedLifecycle};
 use corkhollow_plan::limits::Budget;
 use corkhollow_plan::plan::Plan;
@@ -308,7 +308,7 @@
             _ = terminate.recv() => return Ok(()),
             from = learn(neighbours, &site, clock, &control) => {
                 if let Some(from) = &from {
-                    let group = Group { ordinal: from.ordinal, size: from.size };
+                    let group = GroupPosition { ordinal: from.ordinal, size: from.size };
                     member.regroup(&current, group, &mut LogLimiter::new(1, 0.0)).await;
                 }
                 if succeeds {
--- a/crates/corkhollow/tests/fleet.rs
+++ b/crates/corkhollow/tests/fleet.rs
@@ -1,6 +1,6 @@
 //! Several processes of the program that keep a view of each other, with faults between them.
 
-use corkhollow_faults::{Act, Script, Way};
+use corkhollow_faults::{Action, LinkFaults, Script};
 use corkhollow_standin::*;
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, UdpSocket};
@@ -128,17 +128,17 @@
     rig.settles("joined", SOON);
     let clients = Clients::start(6);
     clients.open(&rig, Some(5));
-    rig.act(&Act::Kill(5));
+    rig.act(&Action::Kill(5));
     away(&rig, "n5", "dead");
     rig.settles("crashed", SOON);
     // Under its name, with nothing.
-    rig.act(&Act::Start(5));
+    rig.act(&Action::Start(5));
     rig.settles("came back", SOON);
     assert!(Fleet::of(rig.node(0)).unwrap().member("n5").unwrap().incarnation > 1);
-    rig.act(&Act::Start(6));
+    rig.act(&Action::Start(6));
     rig.settles("joined later", SOON);
     clients.open(&rig, Some(4));
-    rig.play(&Script::new().at(0, Act::Stall(4, 5_000)));
+    rig.play(&Script::new().at(0, Action::Stall(4, 5_000)));
     rig.settles("went on", SOON);
     let others = rig.said("n4: corkhollow: fleet: n");
     let given_up = |name: &str| rig.said(&format!("n4: corkhollow: fleet: {name} is dead"));
@@ -148,18 +148,18 @@
         rig.timeline().join("\n")
     );
     clients.open(&rig, None);
-    rig.act(&Act::Part(vec![vec![0, 2, 4, 6], vec![1, 3, 5]]));
+    rig.act(&Action::Partition(vec![vec![0, 2, 4, 6], vec![1, 3, 5]]));
     until("each side counts its own", || {
         let sizes: Vec<_> = rig.views().iter().flatten().map(|fleet| fleet.size).collect();
         sizes == [4, 3, 4, 3, 4, 3, 4]
     });
-    rig.act(&Act::Heal);
+    rig.act(&Action::Heal);
     rig.settles("healed", SOON);
     for number in 0..7 {
         clients.open(&rig, Some(number));
-        rig.act(&Act::Leave(number));
+        rig.act(&Action::Leave(number));
         away(&rig, &format!("n{number}"), "left");
-        rig.act(&Act::Start(number));
+        rig.act(&Action::Start(number));
     }
     clients.open(&rig, None);
     rig.settles("rolled", SOON);
@@ -180,10 +180,13 @@
     let (mut rig, _servers) = rig(5, &[0], "datagram_bytes = 256");
     rig.start_all(0..5);
     rig.settles("joined", SOON);
-    let bad = Way { loss: 0.1, delay: 1, jitter: 60, doubled: 0.2, cut: false };
-    let script = Script::new().at(0, Act::All(bad)).at(0, Act::Cut(3, 1)).at(0, Act::Cut(0, 4));
-    rig.play(&script.at(8_000, Act::Heal));
-    rig.act(&Act::All(Way::default()));
+    let bad = LinkFaults { loss: 0.1, delay: 1, jitter: 60, duplication: 0.2, blocked: false };
+    let script = Script::new()
+        .at(0, Action::SetAllLinks(bad))
+        .at(0, Action::BlockLink(3, 1))
+        .at(0, Action::BlockLink(0, 4));
+    rig.play(&script.at(8_000, Action::Heal));
+    rig.act(&Action::SetAllLinks(LinkFaults::default()));
     rig.settles("healed", SOON);
     assert_eq!(rig.said(" is dead"), 0, "{}", rig.timeline().join("\n"));
 }
@@ -201,7 +204,7 @@
     until("all know that it drains", || drains(true));
     assert_eq!(rig.node(2).call("POST", "/-/resume").unwrap().status(), 200);
     until("all know that it resumes", || drains(false));
-    rig.act(&Act::Leave(2));
+    rig.act(&Action::Leave(2));
     away(&rig, "n2", "left");
     assert_eq!(rig.said("n2 is suspect"), 0);
     rig.settles("left", SOON);
--- a/crates/faults/src/lib.rs
+++ b/crates/faults/src/lib.rs
@@ -4,8 +4,8 @@
 mod network;
 mod script;
 
-pub use network::{Network, Way};
-pub use script::{Act, Script};
+pub use network::{LinkFaults, Network};
+pub use script::{Action, Script};
 
 /// Time in milliseconds since a play began.
 pub type Millis = u64;
--- a/crates/faults/src/network.rs
+++ b/crates/faults/src/network.rs
@@ -7,7 +7,7 @@
 
 /// One direction between two nodes.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Way {
+pub struct LinkFaults {
     /// The part of the datagrams that is lost, 0 to 1.
     pub loss: f64,
     /// The least that a datagram takes, in milliseconds.
@@ -15,23 +15,23 @@
     /// The most that it takes beyond that; nine in ten take less than a third of it (a heavy tail).
     pub jitter: Millis,
     /// The part that comes twice, the second time later.
-    pub doubled: f64,
+    pub duplication: f64,
     /// Nothing gets through.
-    pub cut: bool,
+    pub blocked: bool,
 }
 
 /// All directions between any two nodes, by their numbers.
 #[derive(Clone, Debug)]
 pub struct Network {
     rng: Pcg64Mcg,
-    all: Way,
-    own: BTreeMap<(usize, usize), Way>,
+    all: LinkFaults,
+    own: BTreeMap<(usize, usize), LinkFaults>,
 }
 
 impl Network {
     /// One that loses nothing; what it does is settled by the seed.
     pub fn new(seed: u64) -> Self {
-        Network { rng: Pcg64Mcg::seed_from_u64(seed), all: Way::default(), own: BTreeMap::new() }
+        Network { rng: Pcg64Mcg::seed_from_u64(seed), all: LinkFaults::default(), own: BTreeMap::new() }
     }
 
     /// From 0 up to 1.
@@ -40,31 +40,31 @@
     }
 
     /// All directions are like this now, but for those that are cut.
-    pub fn set_all(&mut self, way: Way) {
+    pub fn set_all_links(&mut self, way: LinkFaults) {
         self.all = way;
     }
 
     /// One direction is like this.
-    pub fn set(&mut self, from: usize, to: usize, way: Way) {
+    pub fn set_link(&mut self, from: usize, to: usize, way: LinkFaults) {
         self.own.insert((from, to), way);
     }
 
     /// Only members of one group hear each other. Who is in none hears nobody.
-    pub fn part(&mut self, groups: &[Vec<usize>], nodes: usize) {
+    pub fn partition(&mut self, groups: &[Vec<usize>], nodes: usize) {
         self.heal();
         let group = |node: usize| groups.iter().position(|group| group.contains(&node));
         for from in 0..nodes {
             for to in 0..nodes {
                 if from != to && (group(from).is_none() || group(from) != group(to)) {
-                    self.cut(from, to);
+                    self.block(from, to);
                 }
             }
         }
     }
 
     /// One direction is cut.
-    pub fn cut(&mut self, from: usize, to: usize) {
-        self.own.insert((from, to), Way { cut: true, ..self.all });
+    pub fn block(&mut self, from: usize, to: usize) {
+        self.own.insert((from, to), LinkFaults { blocked: true, ..self.all });
     }
 
     /// No direction is different from the others any longer.
@@ -73,20 +73,20 @@
     }
 
     /// When each copy of a datagram arrives, in milliseconds from now; none where it is lost.
-    pub fn send(&mut self, from: usize, to: usize) -> Vec<Millis> {
+    pub fn delivery_times(&mut self, from: usize, to: usize) -> Vec<Millis> {
         let way = self.own.get(&(from, to)).copied().unwrap_or(self.all);
-        if way.cut || (way.loss > 0.0 && self.draw() < way.loss) {
+        if way.blocked || (way.loss > 0.0 && self.draw() < way.loss) {
             return Vec::new();
         }
         let mut copies = vec![self.time(way)];
-        if way.doubled > 0.0 && self.draw() < way.doubled {
+        if way.duplication > 0.0 && self.draw() < way.duplication {
             let again = self.time(way) + way.jitter;
             copies.push(again);
         }
         copies
     }
 
-    fn time(&mut self, way: Way) -> Millis {
+    fn time(&mut self, way: LinkFaults) -> Millis {
         // The square of the square keeps most of them short.
         let tail = if way.jitter > 0 { self.draw().powi(4) * way.jitter as f64 } else { 0.0 };
         way.delay + tail as Millis
@@ -100,16 +100,26 @@
     #[test]
     fn each_direction_is_its_own_and_a_seed_settles_all() {
         let mut network = Network::new(1);
-        assert_eq!(network.send(0, 1), [0]);
-        network.cut(0, 1);
-        assert!(network.send(0, 1).is_empty() && network.send(1, 0) == [0]);
-        network.part(&[vec![0, 1], vec![2]], 4);
-        assert!(network.send(0, 2).is_empty() && network.send(3, 0).is_empty() && network.send(1, 0) == [0]);
+        assert_eq!(network.delivery_times(0, 1), [0]);
+        network.block(0, 1);
+        assert!(network.delivery_times(0, 1).is_empty() && network.delivery_times(1, 0) == [0]);
+        network.partition(&[vec![0, 1], vec![2]], 4);
+        assert!(
+            network.delivery_times(0, 2).is_empty()
+                && network.delivery_times(3, 0).is_empty()
+                && network.delivery_times(1, 0) == [0]
+        );
         network.heal();
-        network.set_all(Way { loss: 0.3, delay: 10, jitter: 400, doubled: 0.1, cut: false });
+        network.set_all_links(LinkFaults {
+            loss: 0.3,
+            delay: 10,
+            jitter: 400,
+            duplication: 0.1,
+            blocked: false,
+        });
         let mut play = |seed| {
             network.rng = Pcg64Mcg::seed_from_u64(seed);
-            (0..2000).map(|_| network.send(0, 1)).collect::<Vec<_>>()
+            (0..2000).map(|_| network.delivery_times(0, 1)).collect::<Vec<_>>()
         };
         let first = play(5);
         assert_eq!(first, play(5));
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -15,11 +15,11 @@
 mod wire;
 
 pub use health::Health;
-pub use member::{Claim, Record, State, LONGEST_NAME, MOST_INCARNATION};
-pub use node::{Additions, Cause, Config, Event, Node, Outbox, Standing, Timing};
-pub use snapshot::{Group, MemberView, Snapshot, Stats};
-pub use table::MOST_MEMBERS;
-pub use wire::{Kind, Refusal, LARGEST_DATAGRAM, SMALLEST_DATAGRAM};
+pub use member::{Claim, MemberRecord, MemberState, MAX_INCARNATION, MAX_NAME_BYTES};
+pub use node::{Cause, Config, Event, Extensions, Node, NodeStatus, Outbox, Timing};
+pub use snapshot::{GroupPosition, MemberView, Snapshot, Stats};
+pub use table::MAX_MEMBERS;
+pub use wire::{DatagramError, DatagramKind, MAX_DATAGRAM_BYTES, MIN_DATAGRAM_BYTES};
 
 /// Time in nanoseconds on the node's own monotonic clock. No node ever compares it with another's.
 pub type Nanos = u64;
--- a/crates/fleet/src/node/mod.rs
+++ b/crates/fleet/src/node/mod.rs
@@ -5,12 +5,12 @@
 mod timers;
 
 use crate::health::Health;
-use crate::member::{Claim, Record, State};
+use crate::member::{Claim, MemberRecord, MemberState};
 use crate::probe::{Probe, Relay, Turns};
 use crate::rumours::{times, Rumours};
-use crate::snapshot::{Group, MemberView, Snapshot, Stats};
+use crate::snapshot::{GroupPosition, MemberView, Snapshot, Stats};
 use crate::table::Table;
-use crate::wire::{Body, Head, Kind, Seal};
+use crate::wire::{Body, DatagramKind, Head, Seal};
 use crate::Nanos;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -21,29 +21,34 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
     /// From one probe to the next.
-    pub probe_every: Nanos,
+    pub probe_interval: Nanos,
     /// A probe that is not answered after this goes by others too; less than `probe_every`.
     pub probe_timeout: Nanos,
     /// How long a suspect has to object, where several accuse it.
-    pub suspect_for: Nanos,
+    pub suspicion_timeout: Nanos,
 }
 
 /// Lifeguard's additions to SWIM, and the notice that a node takes of its own stalls. All on but for measurements.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Additions {
+pub struct Extensions {
     /// A node that may itself be at fault gives others more time.
     pub local_health: bool,
     /// A suspect that one node alone accuses has longer.
-    pub dogpile: bool,
+    pub dynamic_suspicion: bool,
     /// A suspect is told so by whoever sends it anything.
-    pub buddy: bool,
+    pub buddy_system: bool,
     /// A node that stood still puts off all that it waited for by as much.
-    pub stalls: bool,
+    pub stall_compensation: bool,
 }
 
-impl Default for Additions {
+impl Default for Extensions {
     fn default() -> Self {
-        Additions { local_health: true, dogpile: true, buddy: true, stalls: true }
+        Extensions {
+            local_health: true,
+            dynamic_suspicion: true,
+            buddy_system: true,
+            stall_compensation: true,
+        }
     }
 }
 
@@ -65,16 +70,16 @@
     /// Its times.
     pub timing: Timing,
     /// The largest datagram that it sends, in bytes.
-    pub datagram: usize,
+    pub max_datagram_bytes: usize,
     /// What it does beside plain SWIM.
-    pub additions: Additions,
+    pub extensions: Extensions,
     /// Above the incarnation that another process under this name is known to have had; 1 where none is known.
-    pub incarnation: u64,
+    pub initial_incarnation: u64,
 }
 
 /// Where the node stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum NodeStatus {
     /// It asks who is there, and whether its name is free.
     Joining,
     /// It is a member.
@@ -92,29 +97,29 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Cause {
     /// It was heard itself.
-    Heard,
+    HeardDirectly,
     /// That node told so.
-    Told(String),
+    ReportedBy(String),
     /// It did not answer a probe of this node, nor of so many others that were asked.
-    Unanswered {
+    ProbeFailed {
         /// Others that were asked to probe it.
-        helpers: u32,
+        indirect_probes: u32,
     },
     /// It did not object in time to what these said.
-    NoObjection(Vec<String>),
+    NotRefuted(Vec<String>),
     /// It said so itself.
-    Own,
+    SelfReported,
 }
 
 /// Something that operators should hear of.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// A member is held for something else.
-    Changed {
+    StateChanged {
         /// Who.
         name: String,
         /// For what.
-        state: State,
+        state: MemberState,
         /// At which incarnation.
         incarnation: u64,
         /// Why.
@@ -125,7 +130,7 @@
         /// By whom.
         by: String,
         /// Of what.
-        state: State,
+        state: MemberState,
         /// Its incarnation from now on.
         incarnation: u64,
     },
@@ -151,8 +156,8 @@
     config: Config,
     seal: Seal,
     rng: Pcg64Mcg,
-    standing: Standing,
-    me: Record,
+    status: NodeStatus,
+    me: MemberRecord,
     started: Nanos,
     /// When its standing or its view last changed.
     changed: Nanos,
@@ -187,26 +192,27 @@
     /// One that begins to join, with nothing known.
     pub fn new(config: Config, now: Nanos, seed: u64) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let me = Record {
+        let me = MemberRecord {
             name: config.name.clone(),
-            incarnation: config.incarnation.max(1),
-            life: rng.next_u32(),
+            incarnation: config.initial_incarnation.max(1),
+            instance_id: rng.next_u32(),
             address: config.address,
             zone: config.zone.clone(),
-            drains: false,
+            is_draining: false,
         };
         let seal = Seal::new(&config.fleet, config.key);
-        let health = if config.additions.local_health { Health::default() } else { Health::never_in_doubt() };
+        let health =
+            if config.extensions.local_health { Health::default() } else { Health::never_in_doubt() };
         let mut table = Table::default();
         table.count(&me, true);
-        let every = config.timing.probe_every;
+        let every = config.timing.probe_interval;
         // Nodes that start together should not probe in step.
         let phase = rng.next_u64() % every;
         let seq = rng.next_u32();
         Node {
             seal,
             rng,
-            standing: Standing::Joining,
+            status: NodeStatus::Joining,
             me,
             started: now,
             changed: now,
@@ -234,13 +240,13 @@
     }
 
     /// What is to be done since this was last asked.
-    pub fn take(&mut self) -> Outbox {
+    pub fn take_outbox(&mut self) -> Outbox {
         std::mem::take(&mut self.out)
     }
 
     /// Where it stands.
-    pub fn standing(&self) -> Standing {
-        self.standing
+    pub fn status(&self) -> NodeStatus {
+        self.status
     }
 
     /// What it has done and seen.
@@ -249,36 +255,36 @@
     }
 
     /// Its incarnation, and where the members that are there are reached: for a process that takes its place.
-    pub fn heritage(&self) -> (u64, Vec<SocketAddr>) {
+    pub fn handover_state(&self) -> (u64, Vec<SocketAddr>) {
         (self.me.incarnation, self.table.present().map(|held| held.claim.record.address).collect())
     }
 
     /// Says that it leaves, to as many as would say it on. Nothing is sent or believed from here on.
     pub fn leave(&mut self, now: Nanos) {
-        if self.standing == Standing::Member {
-            let claim = Claim { state: State::Left, ..Claim::alive(self.me.clone()) };
+        if self.status == NodeStatus::Member {
+            let claim = Claim { state: MemberState::Left, ..Claim::alive(self.me.clone()) };
             self.rumours.spread(&claim);
             // Each of these passes it on; that all of them miss it is as unlikely as that a rumour dies out.
             for address in self.some_present(2 * times(self.table.count_present()) as usize) {
                 self.send(address, Body::Gossip, None);
             }
         }
-        self.standing = Standing::Left;
+        self.status = NodeStatus::Left;
         self.changed = now;
     }
 
     /// Its operator empties it, or no longer.
-    pub fn drain(&mut self, now: Nanos, drains: bool) {
-        if self.me.drains != drains {
-            self.renew(now, self.me.incarnation, |me| me.drains = drains);
+    pub fn set_draining(&mut self, now: Nanos, drains: bool) {
+        if self.me.is_draining != drains {
+            self.renew(now, self.me.incarnation, |me| me.is_draining = drains);
         }
     }
 
     /// Goes by other seeds, times, key and zone from here on. Its name, fleet and address are for good.
-    pub fn retune(&mut self, now: Nanos, config: &Config) {
+    pub fn reconfigure(&mut self, now: Nanos, config: &Config) {
         self.config.seeds = config.seeds.clone();
         self.config.timing = config.timing;
-        self.config.datagram = config.datagram;
+        self.config.max_datagram_bytes = config.max_datagram_bytes;
         self.config.key = config.key;
         self.seal = Seal::new(&self.config.fleet, config.key);
         if self.me.zone != config.zone {
@@ -293,10 +299,10 @@
             name: self.me.name.clone(),
             address: self.me.address,
             zone: self.me.zone.clone(),
-            state: if self.standing == Standing::Left { State::Left } else { State::Alive },
+            state: if self.status == NodeStatus::Left { MemberState::Left } else { MemberState::Alive },
             incarnation: self.me.incarnation,
-            since: now.saturating_sub(self.started),
-            drains: self.me.drains,
+            state_age: now.saturating_sub(self.started),
+            is_draining: self.me.is_draining,
         };
         let other = |held: &crate::table::Held| MemberView {
             name: held.claim.record.name.clone(),
@@ -304,8 +310,8 @@
             zone: held.claim.record.zone.clone(),
             state: held.claim.state,
             incarnation: held.claim.record.incarnation,
-            since: now.saturating_sub(held.since),
-            drains: held.claim.record.drains,
+            state_age: now.saturating_sub(held.since),
+            is_draining: held.claim.record.is_draining,
         };
         let mut members: Vec<_> = self.table.all().map(other).chain([own]).collect();
         members.sort_by(|a, b| a.name.cmp(&b.name));
@@ -313,43 +319,43 @@
             fleet: self.config.fleet.clone(),
             node: self.me.name.clone(),
             incarnation: self.me.incarnation,
-            view: self.table.view(),
-            settled: self.settled(now),
+            view_digest: self.table.view(),
+            is_settled: self.is_settled(now),
             members,
-            group: self.group(),
+            group_position: self.group_position(),
         }
     }
 
     /// Its place among those that are there. One that has not been told who is there yet counts its seeds as there: it must
     /// not take the whole of what is meant for all.
-    pub fn group(&self) -> Group {
+    pub fn group_position(&self) -> GroupPosition {
         let names = self.table.present().map(|held| held.claim.record.name.as_str());
         let ordinal = names.filter(|name| *name < self.me.name.as_str()).count();
         let mut size = self.table.count_present() + 1;
         if !self.met {
             size = size.max(self.other_seeds().count() + 1);
         }
-        Group { ordinal: ordinal as u32, size: size as u32 }
+        GroupPosition { ordinal: ordinal as u32, size: size as u32 }
     }
 
     /// How many others are there, as it holds.
-    pub fn others(&self) -> usize {
+    pub fn other_member_count(&self) -> usize {
         self.table.count_present()
     }
 
     /// The digest of its view.
-    pub fn view(&self) -> u64 {
+    pub fn view_digest(&self) -> u64 {
         self.table.view()
     }
 
     /// Whether nobody is suspected, nothing has changed for two probes, and all that were heard of late and since then have
     /// the same view: two of them at least, where there are as many.
-    pub fn settled(&self, now: Nanos) -> bool {
-        let every = self.config.timing.probe_every;
+    pub fn is_settled(&self, now: Nanos) -> bool {
+        let every = self.config.timing.probe_interval;
         let since = now.saturating_sub(8 * every).max(self.changed + every / 2);
         let heard = || self.table.present().filter(|held| held.heard > since);
         let alone = !self.met && self.other_seeds().next().is_some();
-        self.standing == Standing::Member
+        self.status == NodeStatus::Member
             && !alone
             && now >= self.changed + 2 * every
             && self.table.suspects().is_empty()
@@ -362,14 +368,14 @@
     }
 
     /// Another incarnation above this one, told to all.
-    fn renew(&mut self, now: Nanos, above: u64, change: impl FnOnce(&mut Record)) {
+    fn renew(&mut self, now: Nanos, above: u64, change: impl FnOnce(&mut MemberRecord)) {
         self.table.count(&self.me, false);
         // What comes in is bounded, so that this cannot overflow.
         self.me.incarnation = self.me.incarnation.max(above) + 1;
         change(&mut self.me);
         self.table.count(&self.me, true);
         self.changed = now;
-        if self.standing == Standing::Member {
+        if self.status == NodeStatus::Member {
             self.rumours.spread(&Claim::alive(self.me.clone()));
         }
     }
@@ -382,12 +388,12 @@
 
     /// Sends a datagram with as many rumours as fit. Whoever is named and is not held for alive is told so first.
     fn send(&mut self, address: SocketAddr, body: Body, to: Option<&str>) {
-        let held = to.filter(|_| self.config.additions.buddy).and_then(|name| self.table.get(name));
-        let told = held.map(|held| &held.claim).filter(|claim| claim.state != State::Alive).cloned();
-        let gossips = matches!(self.standing, Standing::Member) && !matches!(body, Body::Records);
+        let held = to.filter(|_| self.config.extensions.buddy_system).and_then(|name| self.table.get(name));
+        let told = held.map(|held| &held.claim).filter(|claim| claim.state != MemberState::Alive).cloned();
+        let gossips = matches!(self.status, NodeStatus::Member) && !matches!(body, Body::Records);
         let kind = body.kind();
         let mut bytes = self.begin(body);
-        let room = self.seal.room(self.config.datagram);
+        let room = self.seal.room(self.config.max_datagram_bytes);
         if let Some(claim) = told.and_then(|claim| postcard::to_stdvec(&claim).ok()) {
             if bytes.len() + claim.len() <= room {
                 bytes.extend(claim);
@@ -403,7 +409,7 @@
         self.seal.open(&Head { from: self.me.clone(), view: self.table.view(), body })
     }
 
-    fn finish(&mut self, address: SocketAddr, kind: Kind, mut bytes: Vec<u8>) {
+    fn finish(&mut self, address: SocketAddr, kind: DatagramKind, mut bytes: Vec<u8>) {
         self.seal.close(&mut bytes);
         let (count, sum) = &mut self.stats.sent[kind as usize];
         *count += 1;
--- a/crates/fleet/src/node/timers.rs
+++ b/crates/fleet/src/node/timers.rs
@@ -1,7 +1,7 @@
 //! What a node does by itself: joining, probes, suspicions that end, rumours, looking for those that are gone.
 
-use super::{Cause, Event, Node, Standing};
-use crate::member::{Claim, State};
+use super::{Cause, Event, Node, NodeStatus};
+use crate::member::{Claim, MemberState};
 use crate::probe::{pick, Probe};
 use crate::wire::Body;
 use crate::Nanos;
@@ -20,10 +20,10 @@
     /// that stood still must hear first what it missed.
     pub fn tick(&mut self, now: Nanos) {
         self.notice(now);
-        if self.standing == Standing::Joining {
+        if self.status == NodeStatus::Joining {
             self.join(now);
         }
-        if self.standing == Standing::Member {
+        if self.status == NodeStatus::Member {
             self.relay(now);
             self.go_on_with_probe(now);
             self.end_suspicions(now);
@@ -31,24 +31,24 @@
                 self.begin_probe(now);
             }
             if now >= self.next_gossip {
-                self.next_gossip = now + self.config.timing.probe_every / ROUNDS;
+                self.next_gossip = now + self.config.timing.probe_interval / ROUNDS;
                 self.checks = CHECKS;
                 self.gossip();
             }
             if now >= self.next_reach {
-                self.next_reach = now + 2 * self.config.timing.probe_every;
+                self.next_reach = now + 2 * self.config.timing.probe_interval;
                 self.reach();
                 self.table.reap(now);
             }
         }
-        self.wake = self.next();
+        self.wake = self.next_tick_at();
     }
 
     /// When [`Node::tick`] is due again.
-    pub fn next(&self) -> Nanos {
-        match self.standing {
-            Standing::Joining => self.next_join.min(self.join_by),
-            Standing::Member => {
+    pub fn next_tick_at(&self) -> Nanos {
+        match self.status {
+            NodeStatus::Joining => self.next_join.min(self.join_by),
+            NodeStatus::Member => {
                 let probe = self.probe.as_ref().map(|probe| probe.ask_others.unwrap_or(probe.end));
                 let nacks = self.relays.values().map(|relay| relay.nack_at).min();
                 let ends = self.table.next_end();
@@ -56,7 +56,7 @@
                 let dues = [probe, nacks, ends, gossip, Some(self.next_reach)];
                 dues.into_iter().flatten().fold(self.next_probe, Nanos::min)
             }
-            Standing::Left | Standing::Refused { .. } => Nanos::MAX,
+            NodeStatus::Left | NodeStatus::Refused { .. } => Nanos::MAX,
         }
     }
 
@@ -64,17 +64,17 @@
     /// stood still between any two instructions.
     pub(super) fn notice(&mut self, now: Nanos) {
         let late = now.saturating_sub(self.wake);
-        self.stats.late = late;
-        self.stats.latest = self.stats.latest.max(late);
+        self.stats.timer_lag = late;
+        self.stats.max_timer_lag = self.stats.max_timer_lag.max(late);
         if late <= self.config.timing.probe_timeout / 2 {
             return;
         }
         self.wake = now;
         self.health.worse();
-        if !self.config.additions.stalls {
+        if !self.config.extensions.stall_compensation {
             return;
         }
-        if late >= self.config.timing.probe_every {
+        if late >= self.config.timing.probe_interval {
             self.out.events.push(Event::Stalled(late));
         }
         self.table.put_off(late);
@@ -108,7 +108,7 @@
     /// Nobody who was asked has anything against it.
     pub(super) fn become_member(&mut self, now: Nanos) {
         let former = self.namesake.take().map_or(0, |claim| claim.record.incarnation);
-        self.standing = Standing::Member;
+        self.status = NodeStatus::Member;
         if former >= self.me.incarnation {
             self.renew(now, former, |_| ());
         }
@@ -122,7 +122,7 @@
     /// Where a process that is held for there under this node's name is reached, unless it is this node's own place: what was
     /// there is gone then.
     pub(super) fn double(&self) -> Option<std::net::SocketAddr> {
-        let there = self.namesake.as_ref().filter(|claim| claim.state.present());
+        let there = self.namesake.as_ref().filter(|claim| claim.state.is_present());
         there.map(|claim| claim.record.address).filter(|address| *address != self.me.address)
     }
 
@@ -138,14 +138,14 @@
     fn begin_probe(&mut self, now: Nanos) {
         let timing = self.config.timing;
         let factor = self.health.factor();
-        self.next_probe = now + timing.probe_every * factor;
+        self.next_probe = now + timing.probe_interval * factor;
         self.checks = CHECKS;
         if self.probe.is_some() {
             return;
         }
         let table = &self.table;
         let names = || table.present().map(|held| held.claim.record.name.as_str()).collect();
-        let there = |name: &str| table.get(name).is_some_and(|held| held.claim.state.present());
+        let there = |name: &str| table.get(name).is_some_and(|held| held.claim.state.is_present());
         let Some(name) = self.turns.next(&mut self.rng, names, there) else { return };
         let Some(held) = self.table.get(&name) else { return };
         let (address, incarnation) = (held.claim.record.address, held.claim.record.incarnation);
@@ -170,7 +170,7 @@
         let Some(held) = self.table.get(&name) else { return };
         let address = held.claim.record.address;
         // Those that were heard of late are the likelier to hear this: where only some reach each other, others are no help.
-        let of_late = now.saturating_sub(8 * self.config.timing.probe_every);
+        let of_late = now.saturating_sub(8 * self.config.timing.probe_interval);
         let others = self.table.present().filter(|held| held.claim.record.name != name);
         let (near, far): (Vec<_>, Vec<_>) = others.partition(|held| held.heard > of_late);
         let address_of =
@@ -184,7 +184,7 @@
             probe.helpers = helpers.len() as u32;
         }
         for (helper, at) in helpers {
-            self.send(at, Body::PingFor { seq, to: name.clone(), address }, Some(&helper));
+            self.send(at, Body::PingRequest { seq, to: name.clone(), address }, Some(&helper));
         }
         // The first may have been lost.
         self.send(address, Body::Ping { seq, to: name.clone() }, Some(&name));
@@ -198,12 +198,15 @@
         }
         let Some(held) = self.table.get(&probe.name) else { return };
         // What it has told of itself since counts for more.
-        if held.claim.record.incarnation != probe.incarnation || !held.claim.state.present() {
+        if held.claim.record.incarnation != probe.incarnation || !held.claim.state.is_present() {
             return;
         }
-        let claim =
-            Claim { state: State::Suspect, record: held.claim.record.clone(), by: self.me.name.clone() };
-        self.suspect(now, claim, Cause::Unanswered { helpers: probe.helpers });
+        let claim = Claim {
+            state: MemberState::Suspect,
+            record: held.claim.record.clone(),
+            reported_by: self.me.name.clone(),
+        };
+        self.suspect(now, claim, Cause::ProbeFailed { indirect_probes: probe.helpers });
     }
 
     fn end_suspicions(&mut self, now: Nanos) {
@@ -219,8 +222,8 @@
             let Some(held) = self.table.get(&name) else { continue };
             let accusers = held.suspicion.as_ref().map(|s| s.accusers().to_vec()).unwrap_or_default();
             let record = held.claim.record.clone();
-            let claim = Claim { state: State::Dead, record, by: self.me.name.clone() };
-            self.settle_on(now, claim, None, Cause::NoObjection(accusers));
+            let claim = Claim { state: MemberState::Dead, record, reported_by: self.me.name.clone() };
+            self.settle_on(now, claim, None, Cause::NotRefuted(accusers));
         }
     }
 
@@ -229,7 +232,7 @@
             return;
         }
         // Mostly those that were heard of late: where only some reach each other, the others never hear it from here.
-        let of_late = self.wake.saturating_sub(8 * self.config.timing.probe_every);
+        let of_late = self.wake.saturating_sub(8 * self.config.timing.probe_interval);
         let near = self.table.present().filter(|held| held.heard > of_late);
         let near = near.map(|held| held.claim.record.address).collect();
         let mut hearers = pick(&mut self.rng, near, FAN_OUT - 1);
@@ -246,7 +249,7 @@
     /// Looks for one that is gone and for one seed that nobody answers for: after a cut both sides have given each other up,
     /// and neither would ever ask.
     fn reach(&mut self) {
-        let dead = self.table.all().filter(|held| held.claim.state == State::Dead);
+        let dead = self.table.all().filter(|held| held.claim.state == MemberState::Dead);
         let dead: Vec<_> =
             dead.map(|held| (held.claim.record.name.clone(), held.claim.record.address)).collect();
         for (name, address) in pick(&mut self.rng, dead, 1) {
@@ -264,6 +267,6 @@
     /// Tells somebody the digests of this node's view, and hears where theirs differs.
     pub(super) fn ask(&mut self, address: std::net::SocketAddr, back: bool) {
         let digests = self.table.parts();
-        self.send(address, Body::Ask { digests, back }, None);
+        self.send(address, Body::Digests { digests, back }, None);
     }
 }
--- a/crates/fleet/src/snapshot.rs
+++ b/crates/fleet/src/snapshot.rs
@@ -1,13 +1,13 @@
 //! What a node tells of its view, to operators and to the rest of the program.
 
-use crate::member::State;
-use crate::wire::{Kind, Refusal};
+use crate::member::MemberState;
+use crate::wire::{DatagramError, DatagramKind};
 use crate::Nanos;
 use std::net::SocketAddr;
 
 /// The node's place among those that are there: what it goes by where a sum over all nodes is to hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Group {
+pub struct GroupPosition {
     /// Its number, from 0, in the order of names.
     pub ordinal: u32,
     /// How many are there: suspects count, and so does the node itself.
@@ -24,13 +24,13 @@
     /// Its zone; empty where it has none.
     pub zone: String,
     /// What it is held for.
-    pub state: State,
+    pub state: MemberState,
     /// Its incarnation.
     pub incarnation: u64,
     /// For how long the state has held, in nanoseconds.
-    pub since: Nanos,
+    pub state_age: Nanos,
     /// Its operator empties it.
-    pub drains: bool,
+    pub is_draining: bool,
 }
 
 /// The view at one moment.
@@ -43,32 +43,32 @@
     /// Its incarnation.
     pub incarnation: u64,
     /// Equal exactly where names, incarnations and presence are equal.
-    pub view: u64,
+    pub view_digest: u64,
     /// Nobody is suspected, nothing has changed of late, and those who were heard of late have the same view.
-    pub settled: bool,
+    pub is_settled: bool,
     /// All members by name, itself included.
     pub members: Vec<MemberView>,
     /// What it counts as.
-    pub group: Group,
+    pub group_position: GroupPosition,
 }
 
 /// What a node has done and seen, counted from its start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Stats {
     /// Datagrams and bytes sent, by kind.
-    pub sent: [(u64, u64); Kind::ALL.len()],
+    pub sent: [(u64, u64); DatagramKind::ALL.len()],
     /// Datagrams and bytes taken in, by kind.
-    pub taken: [(u64, u64); Kind::ALL.len()],
+    pub received: [(u64, u64); DatagramKind::ALL.len()],
     /// Datagrams turned down, by reason.
-    pub refused: [u64; Refusal::ALL.len()],
+    pub rejected: [u64; DatagramError::ALL.len()],
     /// Changes of a member's state.
-    pub changes: u64,
+    pub state_changes: u64,
     /// Accusations of itself that it has refuted.
-    pub refuted: u64,
+    pub refutations: u64,
     /// How late it last was to its own timers, and how late at the worst, in nanoseconds.
-    pub late: Nanos,
+    pub timer_lag: Nanos,
     /// The worst.
-    pub latest: Nanos,
+    pub max_timer_lag: Nanos,
 }
 
 impl Stats {
--- a/crates/fleet/src/table.rs
+++ b/crates/fleet/src/table.rs
@@ -1,13 +1,13 @@
 //! Who is held for what: the other members, and the digests by which two nodes find where their views differ.
 
-use crate::member::{Claim, Record, State};
+use crate::member::{Claim, MemberRecord, MemberState};
 use crate::suspicion::Suspicion;
 use crate::wire::BUCKETS;
 use crate::Nanos;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Members that a node keeps at the most, gone ones included; of these the longest gone make room.
-pub const MOST_MEMBERS: usize = 4096;
+pub const MAX_MEMBERS: usize = 4096;
 /// Gone members are remembered for so long, so that what is late cannot bring them back, and so that those from whom a cut has
 /// parted the node are still asked after it.
 const DEAD_FOR: Nanos = 24 * 3_600_000_000_000;
@@ -38,13 +38,13 @@
 }
 
 /// The part of the table that a name belongs to, and what it adds to the part's digest while it is present.
-fn hash(record: &Record) -> (usize, u64) {
+fn hash(record: &MemberRecord) -> (usize, u64) {
     let mut hasher = blake3::Hasher::new();
     hasher.update(record.name.as_bytes());
     let bucket = usize::from(hasher.finalize().as_bytes()[0]) % BUCKETS;
     hasher.update(&[0]);
     hasher.update(&record.incarnation.to_le_bytes());
-    hasher.update(&record.life.to_le_bytes());
+    hasher.update(&record.instance_id.to_le_bytes());
     let mut bytes = [0; 8];
     bytes.copy_from_slice(&hasher.finalize().as_bytes()[..8]);
     (bucket, u64::from_le_bytes(bytes))
@@ -52,7 +52,7 @@
 
 impl Table {
     /// Counts a record in the digests, or no longer. The node's own goes in here too.
-    pub fn count(&mut self, record: &Record, there: bool) {
+    pub fn count(&mut self, record: &MemberRecord, there: bool) {
         let (bucket, value) = hash(record);
         let digest = &mut self.digests[bucket];
         *digest = if there { digest.wrapping_add(value) } else { digest.wrapping_sub(value) };
@@ -91,7 +91,7 @@
 
     /// Others that are there.
     pub fn present(&self) -> impl Iterator<Item = &Held> {
-        self.members.values().filter(|held| held.claim.state.present())
+        self.members.values().filter(|held| held.claim.state.is_present())
     }
 
     /// How many others are there.
@@ -108,27 +108,29 @@
     pub fn put(&mut self, now: Nanos, claim: Claim, suspicion: Option<Suspicion>) -> bool {
         let name = claim.record.name.clone();
         if !self.members.contains_key(&name)
-            && self.members.len() >= MOST_MEMBERS
+            && self.members.len() >= MAX_MEMBERS
             && !self.forget_longest_gone()
         {
             return false;
         }
         let state = claim.state;
         let before = self.members.get(&name).cloned();
-        if let Some(before) = before.as_ref().filter(|before| before.claim.state.present()) {
+        if let Some(before) = before.as_ref().filter(|before| before.claim.state.is_present()) {
             self.count(&before.claim.record, false);
             self.present -= 1;
         }
-        if state.present() {
+        if state.is_present() {
             self.count(&claim.record, true);
             self.present += 1;
         }
         match state {
-            State::Suspect => self.suspects.insert(name.clone()),
+            MemberState::Suspect => self.suspects.insert(name.clone()),
             _ => self.suspects.remove(&name),
         };
         let (mut since, mut heard, mut view) = (now, 0, None);
-        if let Some(before) = before.filter(|before| before.claim.record.life == claim.record.life) {
+        if let Some(before) =
+            before.filter(|before| before.claim.record.instance_id == claim.record.instance_id)
+        {
             (heard, view) = (before.heard, before.view);
             if before.claim.state == state {
                 since = before.since;
@@ -139,7 +141,7 @@
     }
 
     fn forget_longest_gone(&mut self) -> bool {
-        let gone = self.members.iter().filter(|(_, held)| !held.claim.state.present());
+        let gone = self.members.iter().filter(|(_, held)| !held.claim.state.is_present());
         let name = gone.min_by_key(|(_, held)| held.since).map(|(name, _)| name.clone());
         name.is_some_and(|name| self.members.remove(&name).is_some())
     }
@@ -148,9 +150,9 @@
     pub fn reap(&mut self, now: Nanos) {
         self.members.retain(|_, held| {
             let lasts = match held.claim.state {
-                State::Alive | State::Suspect => return true,
-                State::Dead => DEAD_FOR,
-                State::Left => LEFT_FOR,
+                MemberState::Alive | MemberState::Suspect => return true,
+                MemberState::Dead => DEAD_FOR,
+                MemberState::Left => LEFT_FOR,
             };
             now.saturating_sub(held.since) < lasts
         });
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -1,14 +1,14 @@
 //! Datagrams: a version, the fleet's tag, a head that tells of the sender, as many claims as fit, and, where the fleet has a
 //! key, a keyed hash (BLAKE3) over all of it.
 
-use crate::member::{Claim, Record};
+use crate::member::{Claim, MemberRecord};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
 /// The largest datagram that may be set, in bytes: it crosses an Ethernet in one piece.
-pub const LARGEST_DATAGRAM: usize = 1400;
+pub const MAX_DATAGRAM_BYTES: usize = 1400;
 /// The smallest, in bytes. All of it works as well.
-pub const SMALLEST_DATAGRAM: usize = 256;
+pub const MIN_DATAGRAM_BYTES: usize = 256;
 /// The first byte. Another one is another protocol.
 const VERSION: u8 = 0xc1;
 const TAG: usize = 8;
@@ -18,31 +18,37 @@
 
 /// Why a datagram was turned down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
-pub enum Refusal {
+pub enum DatagramError {
     /// It is longer than any that a node sends.
     #[error("longer than any datagram of a fleet")]
     Oversized,
     /// It is cut, garbled or out of bounds.
     #[error("not a datagram of this protocol")]
-    Garbled,
+    Malformed,
     /// It is another fleet's.
     #[error("of another fleet")]
-    Fleet,
+    OtherFleet,
     /// Its hash is not one of this fleet's key.
     #[error("not by this fleet's key")]
-    Key,
+    WrongKey,
     /// Its sender has been given up or superseded, and what it says of others does not count.
     #[error("by a node that has been given up")]
-    Stale,
+    StaleSender,
     /// It names a member more than a node keeps.
     #[error("more members than a node keeps")]
-    Full,
+    TableFull,
 }
 
-impl Refusal {
+impl DatagramError {
     /// All of them.
-    pub const ALL: [Refusal; 6] =
-        [Refusal::Oversized, Refusal::Garbled, Refusal::Fleet, Refusal::Key, Refusal::Stale, Refusal::Full];
+    pub const ALL: [DatagramError; 6] = [
+        DatagramError::Oversized,
+        DatagramError::Malformed,
+        DatagramError::OtherFleet,
+        DatagramError::WrongKey,
+        DatagramError::StaleSender,
+        DatagramError::TableFull,
+    ];
 
     /// Its word, for figures.
     pub fn name(self) -> &'static str {
@@ -58,7 +64,7 @@
     /// The answer.
     Ack { seq: u32 },
     /// Ping that member for me.
-    PingFor { seq: u32, to: String, address: SocketAddr },
+    PingRequest { seq: u32, to: String, address: SocketAddr },
     /// It has not answered me either, so far.
     Nack { seq: u32 },
     /// Claims only.
@@ -66,22 +72,22 @@
     /// Who is there? The sender is not a member yet.
     Join,
     /// These are the digests of my table; tell me of the parts that differ.
-    Ask { digests: [u32; BUCKETS], back: bool },
+    Digests { digests: [u32; BUCKETS], back: bool },
     /// What was asked for.
     Records,
     /// Another process has that name, and has been there for so long, in nanoseconds.
-    Conflict { uptime: u64 },
+    NameConflict { uptime: u64 },
 }
 
 /// Kinds of datagrams, for figures.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Kind {
+pub enum DatagramKind {
     /// Probes.
     Ping,
     /// Their answers.
     Ack,
     /// Requests for an indirect probe.
-    PingFor,
+    PingRequest,
     /// Word that one has not been answered.
     Nack,
     /// Rumours.
@@ -89,25 +95,25 @@
     /// Calls of newcomers.
     Join,
     /// Digests.
-    Ask,
+    Digests,
     /// Answers to them.
     Records,
     /// Words on a name that two processes claim.
-    Conflict,
+    NameConflict,
 }
 
-impl Kind {
+impl DatagramKind {
     /// All of them.
-    pub const ALL: [Kind; 9] = [
-        Kind::Ping,
-        Kind::Ack,
-        Kind::PingFor,
-        Kind::Nack,
-        Kind::Gossip,
-        Kind::Join,
-        Kind::Ask,
-        Kind::Records,
-        Kind::Conflict,
+    pub const ALL: [DatagramKind; 9] = [
+        DatagramKind::Ping,
+        DatagramKind::Ack,
+        DatagramKind::PingRequest,
+        DatagramKind::Nack,
+        DatagramKind::Gossip,
+        DatagramKind::Join,
+        DatagramKind::Digests,
+        DatagramKind::Records,
+        DatagramKind::NameConflict,
     ];
 
     /// Its word, for figures.
@@ -118,17 +124,17 @@
 
 impl Body {
     /// Which kind it is.
-    pub fn kind(&self) -> Kind {
+    pub fn kind(&self) -> DatagramKind {
         match self {
-            Body::Ping { .. } => Kind::Ping,
-            Body::Ack { .. } => Kind::Ack,
-            Body::PingFor { .. } => Kind::PingFor,
-            Body::Nack { .. } => Kind::Nack,
-            Body::Gossip => Kind::Gossip,
-            Body::Join => Kind::Join,
-            Body::Ask { .. } => Kind::Ask,
-            Body::Records => Kind::Records,
-            Body::Conflict { .. } => Kind::Conflict,
+            Body::Ping { .. } => DatagramKind::Ping,
+            Body::Ack { .. } => DatagramKind::Ack,
+            Body::PingRequest { .. } => DatagramKind::PingRequest,
+            Body::Nack { .. } => DatagramKind::Nack,
+            Body::Gossip => DatagramKind::Gossip,
+            Body::Join => DatagramKind::Join,
+            Body::Digests { .. } => DatagramKind::Digests,
+            Body::Records => DatagramKind::Records,
+            Body::NameConflict { .. } => DatagramKind::NameConflict,
         }
     }
 }
@@ -137,7 +143,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Head {
     /// The sender, by its own word.
-    pub from: Record,
+    pub from: MemberRecord,
     /// The digest of its view.
     pub view: u64,
     /// What it wants.
@@ -191,37 +197,42 @@
     }
 
     /// Reads a datagram, whoever has sent it.
-    pub fn read(&self, bytes: &[u8]) -> Result<Packet, Refusal> {
-        if bytes.len() > LARGEST_DATAGRAM {
-            return Err(Refusal::Oversized);
+    pub fn read(&self, bytes: &[u8]) -> Result<Packet, DatagramError> {
+        if bytes.len() > MAX_DATAGRAM_BYTES {
+            return Err(DatagramError::Oversized);
         }
-        let (version, rest) = bytes.split_first().ok_or(Refusal::Garbled)?;
-        let (tag, mut rest) = rest.split_at_checked(TAG).ok_or(Refusal::Garbled)?;
+        let (version, rest) = bytes.split_first().ok_or(DatagramError::Malformed)?;
+        let (tag, mut rest) = rest.split_at_checked(TAG).ok_or(DatagramError::Malformed)?;
         if *version != VERSION {
-            return Err(Refusal::Garbled);
+            return Err(DatagramError::Malformed);
         }
         if tag != self.tag {
-            return Err(Refusal::Fleet);
+            return Err(DatagramError::OtherFleet);
         }
         if let Some(key) = &self.key {
-            let end = bytes.len().checked_sub(HASH).filter(|end| *end > TAG).ok_or(Refusal::Key)?;
+            let end =
+                bytes.len().checked_sub(HASH).filter(|end| *end > TAG).ok_or(DatagramError::WrongKey)?;
             let told = blake3::keyed_hash(key, &bytes[..end]);
             // Every byte is looked at, wherever the first difference is.
             let apart = told.as_bytes().iter().zip(&bytes[end..]).fold(0, |sum, (a, b)| sum | (a ^ b));
             if apart != 0 {
-                return Err(Refusal::Key);
+                return Err(DatagramError::WrongKey);
             }
             rest = &rest[..rest.len() - HASH];
         }
-        let (head, mut rest) = postcard::take_from_bytes::<Head>(rest).map_err(|_| Refusal::Garbled)?;
+        let (head, mut rest) =
+            postcard::take_from_bytes::<Head>(rest).map_err(|_| DatagramError::Malformed)?;
         let mut claims = Vec::new();
         while !rest.is_empty() {
-            let (claim, after) = postcard::take_from_bytes::<Claim>(rest).map_err(|_| Refusal::Garbled)?;
+            let (claim, after) =
+                postcard::take_from_bytes::<Claim>(rest).map_err(|_| DatagramError::Malformed)?;
             claims.push(claim);
             rest = after;
         }
-        let sound = head.from.is_sound()
-            && claims.iter().all(|claim| claim.record.is_sound() && claim.by.len() <= crate::LONGEST_NAME);
-        sound.then_some(Packet { head, claims }).ok_or(Refusal::Garbled)
+        let sound = head.from.is_valid()
+            && claims
+                .iter()
+                .all(|claim| claim.record.is_valid() && claim.reported_by.len() <= crate::MAX_NAME_BYTES);
+        sound.then_some(Packet { head, claims }).ok_or(DatagramError::Malformed)
     }
 }
--- a/crates/fleet/tests/golden.rs
+++ b/crates/fleet/tests/golden.rs
@@ -25,10 +25,10 @@
         address: at(port),
         seeds: vec![at(1)],
         key,
-        timing: Timing { probe_every: 500 * MS, probe_timeout: 200 * MS, suspect_for: 2_500 * MS },
-        datagram: SMALLEST_DATAGRAM,
-        additions: Additions::default(),
-        incarnation: 5,
+        timing: Timing { probe_interval: 500 * MS, probe_timeout: 200 * MS, suspicion_timeout: 2_500 * MS },
+        max_datagram_bytes: MIN_DATAGRAM_BYTES,
+        extensions: Extensions::default(),
+        initial_incarnation: 5,
     };
     Node::new(config, now, u64::from(port))
 }
@@ -39,10 +39,10 @@
     for _ in 0..ms / 10 {
         *now += 10 * MS;
         for k in 0..nodes.len() {
-            if *now >= nodes[k].1.next() {
+            if *now >= nodes[k].1.next_tick_at() {
                 nodes[k].1.tick(*now);
             }
-            for (to, bytes) in nodes[k].1.take().datagrams {
+            for (to, bytes) in nodes[k].1.take_outbox().datagrams {
                 if let Some((_, node)) = nodes.iter_mut().find(|(port, _)| *port == to.port()) {
                     let _ = node.handle(*now, &bytes);
                 }
@@ -61,7 +61,7 @@
         .map(|(name, port)| (port, node(name, port, now, key)))
         .into();
     let mut sent = run(&mut nodes, &mut now, 2_000);
-    nodes[2].1.drain(now, true);
+    nodes[2].1.set_draining(now, true);
     sent.extend(run(&mut nodes, &mut now, 1_000));
     nodes.push((5, node("b", 5, now, key)));
     sent.extend(run(&mut nodes, &mut now, 1_000));
@@ -83,12 +83,12 @@
 fn datagrams_keep_their_bytes() {
     let (sent, nodes) = history(None);
     assert_golden("datagrams.txt", hex(&sent).as_bytes());
-    let mut kinds = [0; Kind::ALL.len()];
+    let mut kinds = [0; DatagramKind::ALL.len()];
     for (_, node) in &nodes {
         let sent = node.stats().sent;
         kinds.iter_mut().zip(sent).for_each(|(sum, (count, _))| *sum += count);
     }
-    for kind in Kind::ALL {
+    for kind in DatagramKind::ALL {
         assert!(kinds[kind as usize] > 0, "no {} was sent", kind.name());
     }
 }
--- a/crates/fleet/tests/node.rs
+++ b/crates/fleet/tests/node.rs
@@ -15,14 +15,14 @@
     Config {
         fleet: "perth".to_owned(),
         name: name.to_owned(),
-        zone: "z".repeat(LONGEST_NAME),
+        zone: "z".repeat(MAX_NAME_BYTES),
         address: at(port),
         seeds: seeds.iter().map(|port| at(*port)).collect(),
         key: Some([7; 32]),
-        timing: Timing { probe_every: 500 * MS, probe_timeout: 200 * MS, suspect_for: 2_500 * MS },
-        datagram: SMALLEST_DATAGRAM,
-        additions: Additions::default(),
-        incarnation: 1,
+        timing: Timing { probe_interval: 500 * MS, probe_timeout: 200 * MS, suspicion_timeout: 2_500 * MS },
+        max_datagram_bytes: MIN_DATAGRAM_BYTES,
+        extensions: Extensions::default(),
+        initial_incarnation: 1,
     }
 }
 
@@ -50,10 +50,10 @@
             self.now += 10 * MS;
             for k in 0..self.nodes.len() {
                 let now = self.now;
-                if now >= self.nodes[k].1.next() {
+                if now >= self.nodes[k].1.next_tick_at() {
                     self.nodes[k].1.tick(now);
                 }
-                let mut out = self.nodes[k].1.take();
+                let mut out = self.nodes[k].1.take_outbox();
                 while let Some((to, bytes)) = out.datagrams.pop() {
                     self.sent.push(bytes.clone());
                     if let Some((_, node)) = self.nodes.iter_mut().find(|(port, _)| *port == to.port()) {
@@ -76,8 +76,8 @@
     fleet.start(config("a", 1, &[1]));
     fleet.start(config("b", 2, &[1]));
     fleet.run(3_000);
-    assert!(fleet.node(1).settled(fleet.now) && fleet.node(2).settled(fleet.now));
-    assert_eq!(fleet.node(2).group(), Group { ordinal: 1, size: 2 });
+    assert!(fleet.node(1).is_settled(fleet.now) && fleet.node(2).is_settled(fleet.now));
+    assert_eq!(fleet.node(2).group_position(), GroupPosition { ordinal: 1, size: 2 });
     fleet
 }
 
@@ -88,17 +88,17 @@
     fleet.events.clear();
     fleet.start(config("b", 3, &[1]));
     fleet.run(3_000);
-    assert_eq!(fleet.node(3).standing(), Standing::Refused { by: at(2) });
-    assert_eq!(fleet.node(2).standing(), Standing::Member);
+    assert_eq!(fleet.node(3).status(), NodeStatus::Refused { by: at(2) });
+    assert_eq!(fleet.node(2).status(), NodeStatus::Member);
     fleet.events.retain(|(port, event)| *port != 3 || matches!(event, Event::Refused(_)));
     assert_eq!(fleet.events, [(3, Event::Refused(at(2)))]);
     // Once the first is gone, its name is free.
     fleet.nodes.retain(|(port, _)| *port == 1);
     fleet.start(config("b", 4, &[1]));
     fleet.run(3_000);
-    assert_eq!(fleet.node(4).standing(), Standing::Member);
-    assert_eq!(fleet.node(1).group().size, 2);
-    assert!(fleet.node(1).settled(fleet.now));
+    assert_eq!(fleet.node(4).status(), NodeStatus::Member);
+    assert_eq!(fleet.node(1).group_position().size, 2);
+    assert!(fleet.node(1).is_settled(fleet.now));
 }
 
 /// Two that begin in one instant must not both give way.
@@ -110,9 +110,9 @@
     fleet.start(config("b", 2, &[1]));
     fleet.start(config("b", 3, &[1]));
     fleet.run(5_000);
-    let stands = [2, 3].map(|port| fleet.node(port).standing());
-    assert_eq!(stands.iter().filter(|s| **s == Standing::Member).count(), 1, "{stands:?}");
-    assert_eq!(fleet.node(1).group().size, 2);
+    let stands = [2, 3].map(|port| fleet.node(port).status());
+    assert_eq!(stands.iter().filter(|s| **s == NodeStatus::Member).count(), 1, "{stands:?}");
+    assert_eq!(fleet.node(1).group_position().size, 2);
 }
 
 /// Both were members before they met: the one that has been there for longer stays.
@@ -124,14 +124,14 @@
     fleet.start(config("c", 5, &[5]));
     fleet.start(config("a", 6, &[5]));
     fleet.run(2_000);
-    assert_eq!(fleet.node(6).standing(), Standing::Member);
+    assert_eq!(fleet.node(6).status(), NodeStatus::Member);
     let mut meets = config("c", 5, &[5, 1]);
     meets.zone = String::new();
     let now = fleet.now;
-    fleet.nodes[1].1.retune(now, &meets);
+    fleet.nodes[1].1.reconfigure(now, &meets);
     fleet.run(6_000);
-    assert_eq!(fleet.node(1).standing(), Standing::Member);
-    assert_eq!(fleet.node(6).standing(), Standing::Refused { by: at(1) });
+    assert_eq!(fleet.node(1).status(), NodeStatus::Member);
+    assert_eq!(fleet.node(6).status(), NodeStatus::Refused { by: at(1) });
 }
 
 /// Before it has heard from anybody, a node counts those that it was told of as there.
@@ -140,9 +140,9 @@
     let mut fleet = Fleet::new();
     fleet.start(config("a", 1, &[1, 2, 3, 4]));
     fleet.run(5_000);
-    assert_eq!(fleet.node(1).standing(), Standing::Member);
-    assert_eq!(fleet.node(1).group().size, 4);
-    assert!(!fleet.node(1).settled(fleet.now));
+    assert_eq!(fleet.node(1).status(), NodeStatus::Member);
+    assert_eq!(fleet.node(1).group_position().size, 4);
+    assert!(!fleet.node(1).is_settled(fleet.now));
 }
 
 /// What was sent before, sent again at any time, changes nothing that is so by now.
@@ -165,7 +165,7 @@
     let after = fleet.node(1).snapshot(fleet.now);
     let told = |s: &Snapshot| s.members.iter().map(|m| (m.name.clone(), m.state)).collect::<Vec<_>>();
     assert_eq!(told(&before), told(&after));
-    assert_eq!(told(&after), [("a".to_owned(), State::Alive), ("b".to_owned(), State::Alive)]);
+    assert_eq!(told(&after), [("a".to_owned(), MemberState::Alive), ("b".to_owned(), MemberState::Alive)]);
 }
 
 /// Two that hold each other for gone must not go on about it: what cannot be true is answered a few times a probe.
@@ -178,15 +178,17 @@
     fleet.nodes.truncate(1);
     let sent = fleet.sent.clone();
     let node = &mut fleet.nodes[0].1;
-    let taken =
-        |node: &Node| node.stats().taken[Kind::Ping as usize].0 + node.stats().taken[Kind::Join as usize].0;
-    let (before, _) = (taken(node), node.take());
+    let taken = |node: &Node| {
+        node.stats().received[DatagramKind::Ping as usize].0
+            + node.stats().received[DatagramKind::Join as usize].0
+    };
+    let (before, _) = (taken(node), node.take_outbox());
     for bytes in sent.iter().cycle().take(2_000) {
         let _ = node.handle(now, bytes);
     }
     // What is asked is answered; of the rest no more than four.
     let asked = (taken(node) - before) as usize;
-    let answers = node.take().datagrams.len();
+    let answers = node.take_outbox().datagrams.len();
     assert!(asked < 1_500 && answers <= asked + 4, "{answers} answers to 2000 of which {asked} ask");
 }
 
@@ -200,16 +202,16 @@
         change(&mut config);
         Node::new(config, now, 1).handle(now, bytes).unwrap_err()
     };
-    assert_eq!(refused(|c| c.fleet = "other".to_owned(), &whole), Refusal::Fleet);
-    assert_eq!(refused(|c| c.key = Some([8; 32]), &whole), Refusal::Key);
-    assert_eq!(refused(|_| (), &whole[..whole.len() - 1]), Refusal::Key);
-    assert_eq!(refused(|c| c.key = None, &whole), Refusal::Garbled);
-    assert_eq!(refused(|_| (), &[0xc1; LARGEST_DATAGRAM + 1]), Refusal::Oversized);
-    assert_eq!(refused(|_| (), &[]), Refusal::Garbled);
+    assert_eq!(refused(|c| c.fleet = "other".to_owned(), &whole), DatagramError::OtherFleet);
+    assert_eq!(refused(|c| c.key = Some([8; 32]), &whole), DatagramError::WrongKey);
+    assert_eq!(refused(|_| (), &whole[..whole.len() - 1]), DatagramError::WrongKey);
+    assert_eq!(refused(|c| c.key = None, &whole), DatagramError::Malformed);
+    assert_eq!(refused(|_| (), &[0xc1; MAX_DATAGRAM_BYTES + 1]), DatagramError::Oversized);
+    assert_eq!(refused(|_| (), &[]), DatagramError::Malformed);
     let node = &mut fleet.nodes[0].1;
-    let before = node.stats().refused[Refusal::Garbled as usize];
+    let before = node.stats().rejected[DatagramError::Malformed as usize];
     assert!(node.handle(now, b"garbage").is_err());
-    assert_eq!(node.stats().refused[Refusal::Garbled as usize], before + 1);
+    assert_eq!(node.stats().rejected[DatagramError::Malformed as usize], before + 1);
 }
 
 proptest! {
@@ -233,9 +235,9 @@
             let _ = node.handle(fleet.now, &bytes);
             let _ = node.handle(fleet.now, &bytes[..cut.index(bytes.len())]);
             node.tick(fleet.now);
-            let out = node.take();
+            let out = node.take_outbox();
             prop_assert!(out.datagrams.len() <= 80);
-            prop_assert!(out.datagrams.iter().all(|(_, bytes)| bytes.len() <= SMALLEST_DATAGRAM));
+            prop_assert!(out.datagrams.iter().all(|(_, bytes)| bytes.len() <= MIN_DATAGRAM_BYTES));
         }
         prop_assert!(node.snapshot(fleet.now).members.len() <= 120);
     }
--- a/crates/laboratory/src/bin/fleet-figures.rs
+++ b/crates/laboratory/src/bin/fleet-figures.rs
@@ -3,7 +3,7 @@
 //!     cargo run --release -p corkhollow-laboratory --bin fleet-figures -- --sizes 5,20,60,200 --plot docs/design/fleet-view.svg
 
 use clap::Parser;
-use corkhollow_faults::{Act, Script, Way};
+use corkhollow_faults::{Action, LinkFaults, Script};
 use corkhollow_laboratory::membership::{play, Outcome, Setting};
 use plotters::prelude::*;
 use std::path::PathBuf;
@@ -26,12 +26,14 @@
 
 /// What happens, by its name.
 fn scripts(nodes: usize) -> [(&'static str, Script); 3] {
-    let begun = || Script::new().at(0, Act::All(Way { delay: 1, jitter: 5, ..Way::default() }));
+    let begun = || {
+        Script::new().at(0, Action::SetAllLinks(LinkFaults { delay: 1, jitter: 5, ..LinkFaults::default() }))
+    };
     let halves = vec![(0..nodes / 2).collect(), (nodes / 2..nodes).collect()];
     [
         ("joined", begun()),
-        ("crashed", begun().at(MET, Act::Kill(nodes / 2))),
-        ("healed", begun().at(MET, Act::Part(halves)).at(MET + 20_000, Act::Heal)),
+        ("crashed", begun().at(MET, Action::Kill(nodes / 2))),
+        ("healed", begun().at(MET, Action::Partition(halves)).at(MET + 20_000, Action::Heal)),
     ]
 }
 
--- a/crates/laboratory/src/bin/membership.rs
+++ b/crates/laboratory/src/bin/membership.rs
@@ -3,8 +3,8 @@
 //!     cargo run --release -p corkhollow-laboratory --bin membership -- crash --nodes 60 --seeds 10
 
 use clap::{Parser, ValueEnum};
-use corkhollow_faults::{Act, Script, Way};
-use corkhollow_fleet::Additions;
+use corkhollow_faults::{Action, LinkFaults, Script};
+use corkhollow_fleet::Extensions;
 use corkhollow_laboratory::membership::{play, Outcome, Setting};
 
 #[derive(Clone, Copy, Debug, ValueEnum)]
@@ -68,14 +68,17 @@
 
 fn script(a: &Arguments) -> Script {
     let n = a.nodes;
-    let way = Way { loss: a.loss, delay: 1, jitter: a.jitter, ..Way::default() };
-    let script = Script::new().at(0, Act::All(way));
+    let way = LinkFaults { loss: a.loss, delay: 1, jitter: a.jitter, ..LinkFaults::default() };
+    let script = Script::new().at(0, Action::SetAllLinks(way));
     let part = |groups: Vec<Vec<usize>>| {
-        Script::new().at(0, Act::All(way)).at(MET, Act::Part(groups)).at(MET + 30_000, Act::Heal)
+        Script::new()
+            .at(0, Action::SetAllLinks(way))
+            .at(MET, Action::Partition(groups))
+            .at(MET + 30_000, Action::Heal)
     };
     match a.play {
         Play::Join => script,
-        Play::Crash => script.at(MET, Act::Kill(n / 2)),
+        Play::Crash => script.at(MET, Action::Kill(n / 2)),
         Play::Halves => part(vec![(0..n / 2).collect(), (n / 2..n).collect()]),
         Play::Islands => part(vec![
             (0..n / 3).collect(),
@@ -85,24 +88,24 @@
         ]),
         Play::Restart => {
             let nine = || 1..n - n / 10;
-            script.each(MET, 0, nine(), Act::Kill).each(MET + 200, 1, nine(), Act::Start)
+            script.staggered(MET, 0, nine(), Action::Kill).staggered(MET + 200, 1, nine(), Action::Start)
         }
         Play::Stalls => (0..6).fold(script, |script, k| {
-            script.each(MET + k * 10_000, 97, (0..n).step_by(10), |node| Act::Stall(node, 2_000))
+            script.staggered(MET + k * 10_000, 97, (0..n).step_by(10), |node| Action::Stall(node, 2_000))
         }),
-        Play::Stall => script.at(MET, Act::Stall(n / 2, 10_000)),
-        Play::Quiet => script.at(MET, Act::All(way)),
+        Play::Stall => script.at(MET, Action::Stall(n / 2, 10_000)),
+        Play::Quiet => script.at(MET, Action::SetAllLinks(way)),
     }
 }
 
 fn main() {
     let a = Arguments::parse();
     let without = |what: &str| a.without.iter().any(|w| w == what);
-    let additions = Additions {
+    let additions = Extensions {
         local_health: !without("local-health"),
-        dogpile: !without("dogpile"),
-        buddy: !without("buddy"),
-        stalls: !without("stalls"),
+        dynamic_suspicion: !without("dogpile"),
+        buddy_system: !without("buddy"),
+        stall_compensation: !without("stalls"),
     };
     let script = script(&a);
     let started = std::time::Instant::now();
--- a/crates/laboratory/src/membership.rs
+++ b/crates/laboratory/src/membership.rs
@@ -1,8 +1,8 @@
 //! Many nodes keep one view over a network that fails them: simulated clock and network, the production state machine, the
 //! scripts that real processes are played with too.
 
-use corkhollow_faults::{Act, Millis, Network, Script};
-use corkhollow_fleet::{Additions, Config, Event, Nanos, Node, Outbox, Standing, State, Timing};
+use corkhollow_faults::{Action, Millis, Network, Script};
+use corkhollow_fleet::{Config, Event, Extensions, MemberState, Nanos, Node, NodeStatus, Outbox, Timing};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cmp::Reverse;
@@ -33,7 +33,7 @@
     /// Their datagrams, in bytes.
     pub datagram: usize,
     /// What they do beside plain SWIM.
-    pub additions: Additions,
+    pub additions: Extensions,
     /// Nodes come to their timers late by up to so much, in milliseconds: a machine short of processor time.
     pub late: Millis,
 }
@@ -46,9 +46,13 @@
             start_within: 1_000,
             seeds: vec![0],
             seed: 1,
-            timing: Timing { probe_every: 500 * MS, probe_timeout: 200 * MS, suspect_for: 2_500 * MS },
+            timing: Timing {
+                probe_interval: 500 * MS,
+                probe_timeout: 200 * MS,
+                suspicion_timeout: 2_500 * MS,
+            },
             datagram: 1_200,
-            additions: Additions::default(),
+            additions: Extensions::default(),
             late: 0,
         }
     }
@@ -163,7 +167,7 @@
         let at = rng.next_u64() % (setting.start_within.max(1) * MS);
         play.due(at, Due::Begin(node));
     }
-    for (k, (time, _)) in script.acts().iter().enumerate() {
+    for (k, (time, _)) in script.actions().iter().enumerate() {
         play.due(time * MS, Due::Act(k));
     }
     let over = script.end().max(setting.start_within) * MS;
@@ -207,7 +211,7 @@
             match self.dues.remove(&key) {
                 Some(Due::Tick(node, turn)) if self.slots[node].turn == turn => self.tick(node),
                 Some(Due::Arrival(node, bytes)) => self.arrive(node, bytes),
-                Some(Due::Act(k)) => self.act(&script.acts()[k].1),
+                Some(Due::Act(k)) => self.act(&script.actions()[k].1),
                 Some(Due::GoOn(node, life)) if self.slots[node].life == life => self.go_on(node),
                 Some(Due::Begin(node)) => self.begin(node),
                 _ => {}
@@ -226,10 +230,11 @@
     fn agreed(&self) -> bool {
         let running = || self.slots.iter().filter_map(|slot| slot.node.as_ref());
         let count = running().count();
-        let mut views = running().map(|node| (node.standing(), node.others() + 1, node.view()));
+        let mut views =
+            running().map(|node| (node.status(), node.other_member_count() + 1, node.view_digest()));
         let first = views.next();
         first.is_none_or(|(standing, size, view)| {
-            standing == Standing::Member
+            standing == NodeStatus::Member
                 && size == count
                 && views.all(|other| other == (standing, size, view))
         })
@@ -240,8 +245,8 @@
         let count = running().count();
         let runs = |address: &SocketAddr| self.slots.get(number(*address)).is_some_and(|s| s.node.is_some());
         // Counts first: they tell most that do not know, and cost nothing.
-        running().all(|node| node.standing() == Standing::Member && node.others() + 1 == count)
-            && running().all(|node| node.heritage().1.iter().all(runs))
+        running().all(|node| node.status() == NodeStatus::Member && node.other_member_count() + 1 == count)
+            && running().all(|node| node.handover_state().1.iter().all(runs))
     }
 
     fn tell(&mut self, line: impl FnOnce() -> String) {
@@ -263,9 +268,9 @@
             seeds: setting.seeds.iter().map(|seed| address(*seed)).collect(),
             key: None,
             timing: setting.timing,
-            datagram: setting.datagram,
-            additions: setting.additions,
-            incarnation: 1,
+            max_datagram_bytes: setting.datagram,
+            extensions: setting.additions,
+            initial_incarnation: 1,
         };
         let slot = &mut self.slots[node];
         *slot = Slot { life: slot.life + 1, ahead, shaken: self.now, ..Slot::default() };
@@ -273,13 +278,13 @@
         self.tick(node);
     }
 
-    fn act(&mut self, act: &Act) {
+    fn act(&mut self, act: &Action) {
         self.tell(|| act.to_string());
-        if Script::on_network(act, &mut self.network, self.setting.nodes) {
+        if Script::apply_to_network(act, &mut self.network, self.setting.nodes) {
             let was = self.parted;
             self.parted = match act {
-                Act::Part(_) | Act::Cut(..) => true,
-                Act::Heal => false,
+                Action::Partition(_) | Action::BlockLink(..) => true,
+                Action::Heal => false,
                 _ => was,
             };
             if was || self.parted {
@@ -288,18 +293,20 @@
             return;
         }
         match *act {
-            Act::Start(node) => self.begin(node),
-            Act::Kill(node) => self.slots[node] = Slot { life: self.slots[node].life + 1, ..Slot::default() },
-            Act::Leave(node) => {
+            Action::Start(node) => self.begin(node),
+            Action::Kill(node) => {
+                self.slots[node] = Slot { life: self.slots[node].life + 1, ..Slot::default() }
+            }
+            Action::Leave(node) => {
                 let now = self.now + self.slots[node].ahead;
                 if let Some(leaving) = self.slots[node].node.as_mut() {
                     leaving.leave(now);
-                    let out = leaving.take();
+                    let out = leaving.take_outbox();
                     self.carry_out(node, out);
                 }
                 self.slots[node] = Slot { life: self.slots[node].life + 1, ..Slot::default() };
             }
-            Act::Stall(node, lasts) if self.slots[node].node.is_some() => {
+            Action::Stall(node, lasts) if self.slots[node].node.is_some() => {
                 self.slots[node].stalled = true;
                 let life = self.slots[node].life;
                 self.due(self.now + lasts * MS, Due::GoOn(node, life));
@@ -323,11 +330,11 @@
         let slot = &mut self.slots[node];
         let Some(machine) = slot.node.as_mut().filter(|_| !slot.stalled) else { return };
         let now = self.now + slot.ahead;
-        if now >= machine.next() || slot.incarnation == 0 {
+        if now >= machine.next_tick_at() || slot.incarnation == 0 {
             machine.tick(now);
         }
-        let next = machine.next().saturating_sub(slot.ahead);
-        let out = machine.take();
+        let next = machine.next_tick_at().saturating_sub(slot.ahead);
+        let out = machine.take_outbox();
         self.carry_out(node, out);
         self.wake(node, next.max(self.now + MS));
     }
@@ -350,11 +357,11 @@
             }
             return;
         }
-        let before = machine.next();
+        let before = machine.next_tick_at();
         let _ = machine.handle(self.now + slot.ahead, &bytes);
-        let sooner = machine.next() < before;
-        let out = machine.take();
-        let next = machine.next().saturating_sub(slot.ahead);
+        let sooner = machine.next_tick_at() < before;
+        let out = machine.take_outbox();
+        let next = machine.next_tick_at().saturating_sub(slot.ahead);
         self.carry_out(node, out);
         if sooner {
             self.wake(node, next.max(self.now));
@@ -367,13 +374,13 @@
             self.sent.0 += 1;
             self.sent.1 += bytes.len() as u64;
             let to = number(to);
-            for time in self.network.send(node, to) {
+            for time in self.network.delivery_times(node, to) {
                 // No network is quicker than a tenth of a millisecond.
                 self.due(self.now + time * MS + MS / 10, Due::Arrival(to, bytes.clone()));
             }
         }
         let slot = &mut self.slots[node];
-        let incarnation = slot.node.as_ref().map_or(0, |node| node.heritage().0);
+        let incarnation = slot.node.as_ref().map_or(0, |node| node.handover_state().0);
         assert!(incarnation >= slot.incarnation, "an incarnation went back");
         slot.incarnation = incarnation;
         for event in out.events {
@@ -384,11 +391,11 @@
 
     /// Holds what a node says of another against what is so.
     fn hear(&mut self, observer: usize, event: &Event) {
-        let Event::Changed { name, state, .. } = event else { return };
+        let Event::StateChanged { name, state, .. } = event else { return };
         let subject = name[1..].parse::<usize>().unwrap_or(usize::MAX);
         self.outcome.changes += 1;
         let pair = (observer, subject);
-        if *state == State::Suspect {
+        if *state == MemberState::Suspect {
             let awake = |node: usize| {
                 self.slots.get(node).is_some_and(|slot| {
                     slot.node.is_some() && !slot.stalled && self.now > slot.shaken + 2_000 * MS
@@ -397,7 +404,7 @@
             let heard = !self.parted && (self.cut_until == 0 || self.now > self.cut_until + AMENDS);
             self.outcome.false_alarms += usize::from(awake(subject) && heard);
         }
-        if *state != State::Dead {
+        if *state != MemberState::Dead {
             return self.amend(pair);
         }
         let well = |node: usize| {
--- a/crates/laboratory/tests/membership.rs
+++ b/crates/laboratory/tests/membership.rs
@@ -1,14 +1,14 @@
 //! The fleet's own view over a network that fails it: the same scripts that real processes are played with.
 
-use corkhollow_faults::{Act, Script, Way};
-use corkhollow_fleet::Additions;
+use corkhollow_faults::{Action, LinkFaults, Script};
+use corkhollow_fleet::Extensions;
 use corkhollow_laboratory::membership::{play, Outcome, Setting};
 
 /// All have met by then.
 const MET: u64 = 15_000;
 
-fn lossy(loss: f64) -> Act {
-    Act::All(Way { loss, delay: 1, jitter: 5, ..Way::default() })
+fn lossy(loss: f64) -> Action {
+    Action::SetAllLinks(LinkFaults { loss, delay: 1, jitter: 5, ..LinkFaults::default() })
 }
 
 fn begun() -> Script {
@@ -35,20 +35,27 @@
 fn views_settle_after_joins_and_crashes() {
     for nodes in [2, 3, 7, 60] {
         settles("joined", nodes, &begun(), 2_000);
-        settles("crashed", nodes, &begun().at(MET, Act::Kill(nodes - 1)), 8_000);
-        settles("left", nodes, &begun().at(MET, Act::Leave(nodes - 1)), 1_500);
+        settles("crashed", nodes, &begun().at(MET, Action::Kill(nodes - 1)), 8_000);
+        settles("left", nodes, &begun().at(MET, Action::Leave(nodes - 1)), 1_500);
         // Under its name, with nothing, before and after it is given up.
         for pause in [200, 20_000] {
-            let back = begun().at(MET, Act::Kill(1)).at(MET + pause, Act::Start(1));
+            let back = begun().at(MET, Action::Kill(1)).at(MET + pause, Action::Start(1));
             settles("came back", nodes, &back, 2_000);
         }
     }
     let nine = || 1..54;
-    let anew = begun().each(MET, 0, nine(), Act::Kill).each(MET + 500, 10, nine(), Act::Start);
+    let anew =
+        begun().staggered(MET, 0, nine(), Action::Kill).staggered(MET + 500, 10, nine(), Action::Start);
     settles("nine in ten anew", 60, &anew, 3_000);
-    let again = begun().each(MET, 3_000, [5; 8], Act::Kill).each(MET + 300, 3_000, [5; 8], Act::Start);
+    let again = begun().staggered(MET, 3_000, [5; 8], Action::Kill).staggered(
+        MET + 300,
+        3_000,
+        [5; 8],
+        Action::Start,
+    );
     settles("one that crashes every 3 s", 20, &again, 2_000);
-    let rolling = begun().each(MET, 1_000, 0..9, Act::Leave).each(MET + 400, 1_000, 0..9, Act::Start);
+    let rolling =
+        begun().staggered(MET, 1_000, 0..9, Action::Leave).staggered(MET + 400, 1_000, 0..9, Action::Start);
     settles("rolled", 9, &rolling, 2_000);
 }
 
@@ -62,29 +69,33 @@
         ("each alone", 5, (0..5).map(|node| vec![node]).collect()),
     ];
     for (what, nodes, groups) in islands {
-        let part = |from| begun().at(from, Act::Part(groups.clone()));
-        settles(what, nodes, &part(MET).at(MET + 20_000, Act::Heal), 10_000);
-        settles("and but for a moment", nodes, &part(MET).at(MET + 1_000, Act::Heal), 10_000);
+        let part = |from| begun().at(from, Action::Partition(groups.clone()));
+        settles(what, nodes, &part(MET).at(MET + 20_000, Action::Heal), 10_000);
+        settles("and but for a moment", nodes, &part(MET).at(MET + 1_000, Action::Heal), 10_000);
         // While they join.
-        settles("from the start", nodes, &part(300).at(20_000, Act::Heal), 10_000);
+        settles("from the start", nodes, &part(300).at(20_000, Action::Heal), 10_000);
     }
-    let late = (30..60)
-        .fold(begun().at(MET, Act::Part(vec![(0..30).collect(), (30..60).collect()])), |script, node| {
-            script.at(MET + 200, Act::Kill(node)).at(MET + 400, Act::Start(node))
-        });
-    settles("half joins while cut off", 60, &late.at(MET + 20_000, Act::Heal), 10_000);
-    let one_way = (0..7).filter(|node| *node != 2).fold(begun(), |s, node| s.at(MET, Act::Cut(2, node)));
-    settles("one that nobody hears", 7, &one_way.at(MET + 20_000, Act::Heal), 10_000);
+    let late = (30..60).fold(
+        begun().at(MET, Action::Partition(vec![(0..30).collect(), (30..60).collect()])),
+        |script, node| script.at(MET + 200, Action::Kill(node)).at(MET + 400, Action::Start(node)),
+    );
+    settles("half joins while cut off", 60, &late.at(MET + 20_000, Action::Heal), 10_000);
+    let one_way =
+        (0..7).filter(|node| *node != 2).fold(begun(), |s, node| s.at(MET, Action::BlockLink(2, node)));
+    settles("one that nobody hears", 7, &one_way.at(MET + 20_000, Action::Heal), 10_000);
 }
 
 /// Some directions are cut and stay so: by others' probes and rumours all hold each other for there.
 #[test]
 fn a_view_holds_where_only_some_hear_each_other() {
-    let one = begun().at(MET, Act::Cut(1, 4)).at(MET, Act::Cut(3, 0)).at(MET + 30_000, lossy(0.0));
+    let one = begun()
+        .at(MET, Action::BlockLink(1, 4))
+        .at(MET, Action::BlockLink(3, 0))
+        .at(MET + 30_000, lossy(0.0));
     settles("two one-way cuts", 7, &one, 1_000);
     let far = |a: usize, b: usize| a.abs_diff(b) > 1;
     let pairs = (0..5).flat_map(|a| (0..5).map(move |b| (a, b))).filter(|(a, b)| far(*a, *b));
-    let chain = pairs.fold(begun(), |script, (a, b)| script.at(MET, Act::Cut(a, b)));
+    let chain = pairs.fold(begun(), |script, (a, b)| script.at(MET, Action::BlockLink(a, b)));
     let chain = chain.at(MET + 60_000, lossy(0.0));
     for seed in 1..=10 {
         let setting = Setting { nodes: 5, running: 5, seed, ..Setting::default() };
@@ -98,7 +109,7 @@
 #[test]
 fn a_healed_cut_takes_nobody_out() {
     let halves = vec![(0..10).collect(), (10..20).collect()];
-    let script = begun().at(MET, Act::Part(halves)).at(MET + 20_000, Act::Heal);
+    let script = begun().at(MET, Action::Partition(halves)).at(MET + 20_000, Action::Heal);
     for seed in 1..=5 {
         let setting = Setting { nodes: 20, running: 20, seed, ..Setting::default() };
         let outcome = play(&setting, &script, 10_000);
@@ -114,8 +125,8 @@
     }
 }
 
-fn storm(setting: &Setting, way: Way, seconds: u64) -> Outcome {
-    let script = begun().at(MET, Act::All(way)).at(MET + seconds * 1_000, lossy(0.0));
+fn storm(setting: &Setting, way: LinkFaults, seconds: u64) -> Outcome {
+    let script = begun().at(MET, Action::SetAllLinks(way)).at(MET + seconds * 1_000, lossy(0.0));
     play(setting, &script, 12_000)
 }
 
@@ -123,8 +134,8 @@
 #[test]
 fn nobody_is_given_up_for_a_bad_network_or_a_slow_machine() {
     let setting = Setting { nodes: 40, running: 40, ..Setting::default() };
-    let lossy = Way { loss: 0.1, delay: 1, jitter: 5, ..Way::default() };
-    let slow = Way { loss: 0.0, delay: 0, jitter: 400, doubled: 0.3, cut: false };
+    let lossy = LinkFaults { loss: 0.1, delay: 1, jitter: 5, ..LinkFaults::default() };
+    let slow = LinkFaults { loss: 0.0, delay: 0, jitter: 400, duplication: 0.3, blocked: false };
     for (what, setting, way) in [
         ("loss", setting.clone(), lossy),
         ("delay", setting.clone(), slow),
@@ -135,11 +146,11 @@
         assert_eq!(outcome.false_deaths, 0, "{what}: {:#?}", outcome.timeline);
         assert!(outcome.settled.is_some_and(|after| after < 10_000), "{what}: {:?}", outcome.settled);
     }
-    let bad = Way { loss: 0.3, delay: 1, jitter: 2_000, doubled: 0.3, cut: false };
+    let bad = LinkFaults { loss: 0.3, delay: 1, jitter: 2_000, duplication: 0.3, blocked: false };
     let reordered = begun()
-        .at(MET, Act::All(bad))
-        .each(MET + 1_000, 7_000, [3, 9, 3], Act::Kill)
-        .each(MET + 4_000, 7_000, [3, 9, 3], Act::Start)
+        .at(MET, Action::SetAllLinks(bad))
+        .staggered(MET + 1_000, 7_000, [3, 9, 3], Action::Kill)
+        .staggered(MET + 4_000, 7_000, [3, 9, 3], Action::Start)
         .at(MET + 30_000, self::lossy(0.0));
     let outcome = play(&setting, &reordered, 12_000);
     assert!(outcome.settled.is_some_and(|after| after < 10_000), "{:?}", outcome.settled);
@@ -149,7 +160,7 @@
 /// A process that stands still gives nobody up, and is back at once; where others stand still for 2 s, nothing is lost.
 #[test]
 fn those_that_stand_still_shake_nobody_elses_view() {
-    let outcome = play(&Setting::default(), &begun().at(MET, Act::Stall(7, 10_000)), 5_000);
+    let outcome = play(&Setting::default(), &begun().at(MET, Action::Stall(7, 10_000)), 5_000);
     assert!(outcome.settled.is_some_and(|after| after < 1_000), "{:?}", outcome.settled);
     let others: Vec<_> = outcome
         .timeline
@@ -161,7 +172,7 @@
     assert!(others.is_empty(), "{others:#?}");
     assert_eq!(outcome.false_alarms, 0);
     let script = (0..6).fold(begun(), |script, k| {
-        script.each(MET + 10_000 * k, 97, (0..60).step_by(10), |node| Act::Stall(node, 2_000))
+        script.staggered(MET + 10_000 * k, 97, (0..60).step_by(10), |node| Action::Stall(node, 2_000))
     });
     let outcome = play(&Setting::default(), &script, 5_000);
     let dead = outcome.timeline.iter().filter(|line| line.contains("state: Dead")).count();
@@ -171,27 +182,28 @@
 /// Each of the additions is missed where it is left out: 45% of datagrams lost, or loops that are late by up to 400 ms.
 #[test]
 fn without_its_safeguards_it_gives_up_more() {
-    let all = Additions::default();
-    let bad = Way { loss: 0.45, delay: 1, jitter: 2, ..Way::default() };
-    let lossy = Way { loss: 0.1, ..bad };
-    let sum = |additions, late, way: Way, of: fn(&Outcome) -> usize| -> usize {
+    let all = Extensions::default();
+    let bad = LinkFaults { loss: 0.45, delay: 1, jitter: 2, ..LinkFaults::default() };
+    let lossy = LinkFaults { loss: 0.1, ..bad };
+    let sum = |additions, late, way: LinkFaults, of: fn(&Outcome) -> usize| -> usize {
         let outcome = |seed| storm(&Setting { additions, late, seed, ..Setting::default() }, way, 60);
         (1..=2).map(|seed| of(&outcome(seed))).sum()
     };
     let deaths = |additions| sum(additions, 0, bad, |o| o.false_deaths);
     let alarms = |additions| sum(additions, 400, lossy, |o| o.false_alarms);
     let fewest = deaths(all);
-    for (what, additions) in
-        [("dogpile", Additions { dogpile: false, ..all }), ("buddy", Additions { buddy: false, ..all })]
-    {
+    for (what, additions) in [
+        ("dogpile", Extensions { dynamic_suspicion: false, ..all }),
+        ("buddy", Extensions { buddy_system: false, ..all }),
+    ] {
         let without = deaths(additions);
         assert!(2 * without > 3 * fewest, "{what}: {without} against {fewest}");
     }
-    let (quiet, doubtless) = (alarms(all), alarms(Additions { local_health: false, ..all }));
+    let (quiet, doubtless) = (alarms(all), alarms(Extensions { local_health: false, ..all }));
     assert!(doubtless > 2 * quiet, "local health: {doubtless} against {quiet}");
     // A machine on which all of them run is held for a while: nobody knows that the others stood still too.
     // Those that stopped first go on last, a little later.
-    let held = begun().each(MET, 20, 0..20, |node| Act::Stall(node, 10_095 - 25 * node as u64));
+    let held = begun().staggered(MET, 20, 0..20, |node| Action::Stall(node, 10_095 - 25 * node as u64));
     let changes = |additions| -> u64 {
         let play = |seed| {
             let setting = Setting { nodes: 20, running: 20, seed, additions, ..Setting::default() };
@@ -199,19 +211,20 @@
         };
         (1..=5).map(play).sum()
     };
-    let (put_off, at_once) = (changes(all), changes(Additions { stalls: false, ..all }));
+    let (put_off, at_once) = (changes(all), changes(Extensions { stall_compensation: false, ..all }));
     assert!(at_once > 2 * put_off, "stalls: {at_once} against {put_off}");
 }
 
 /// Names that all seeds have gone from; and seeds that were dead from the start, until one comes.
 #[test]
 fn seeds_are_needed_only_to_meet() {
-    let gone = begun().at(MET, Act::Kill(0)).at(MET + 12_000, Act::Kill(5)).at(MET + 20_000, Act::Start(5));
+    let gone =
+        begun().at(MET, Action::Kill(0)).at(MET + 12_000, Action::Kill(5)).at(MET + 20_000, Action::Start(5));
     // Nobody is left to welcome it but by the seeds that it was told: it is found by those that gave it up.
     settles("all seeds dead, members known", 8, &gone, 4_000);
     let setting = Setting { nodes: 8, running: 8, seeds: vec![8], ..Setting::default() };
     let setting = Setting { nodes: 9, ..setting };
-    let outcome = play(&setting, &begun().at(MET, Act::Start(8)), 6_000);
+    let outcome = play(&setting, &begun().at(MET, Action::Start(8)), 6_000);
     assert!(outcome.settled.is_some_and(|after| after < 5_000), "{:?}", outcome.settled);
 }
 
--- a/crates/operate/src/fleet_page.rs
+++ b/crates/operate/src/fleet_page.rs
@@ -1,7 +1,7 @@
 //! The node's view of its fleet, as operators see it.
 
 use crate::metrics::FleetMetrics;
-use corkhollow_fleet::{Group, Kind, Nanos, Refusal, Snapshot, State, Stats};
+use corkhollow_fleet::{DatagramError, DatagramKind, GroupPosition, MemberState, Nanos, Snapshot, Stats};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
@@ -57,16 +57,16 @@
             zone: member.zone.clone(),
             state: member.state.name().to_owned(),
             incarnation: member.incarnation,
-            since_ms: (member.since + ago) / 1_000_000,
-            drains: member.drains,
+            since_ms: (member.state_age + ago) / 1_000_000,
+            drains: member.is_draining,
         };
-        let Group { ordinal, size } = snapshot.group;
+        let GroupPosition { ordinal, size } = snapshot.group_position;
         FleetPage {
             fleet: snapshot.fleet.clone(),
             node: snapshot.node.clone(),
             incarnation: snapshot.incarnation,
-            view: format!("{:016x}", snapshot.view),
-            settled: snapshot.settled,
+            view: format!("{:016x}", snapshot.view_digest),
+            settled: snapshot.is_settled,
             ordinal,
             size,
             refused_by,
@@ -92,27 +92,27 @@
 impl FleetMetrics {
     /// Brings the figures up to date.
     pub fn update(&self, snapshot: &Snapshot, stats: &Stats) {
-        for state in State::ALL {
+        for state in MemberState::ALL {
             let count = snapshot.members.iter().filter(|member| member.state == state).count();
             self.members.with_label_values(&[state.name()]).set(count as i64);
         }
         let raise =
             |counter: &prometheus::IntCounter, to: u64| counter.inc_by(to.saturating_sub(counter.get()));
-        raise(&self.changes, stats.changes);
-        raise(&self.refuted, stats.refuted);
-        for kind in Kind::ALL {
-            for (way, counts) in [("out", &stats.sent), ("in", &stats.taken)] {
+        raise(&self.changes, stats.state_changes);
+        raise(&self.refuted, stats.refutations);
+        for kind in DatagramKind::ALL {
+            for (way, counts) in [("out", &stats.sent), ("in", &stats.received)] {
                 let (datagrams, bytes) = counts[kind as usize];
                 raise(&self.datagrams.with_label_values(&[kind.name(), way]), datagrams);
                 raise(&self.bytes.with_label_values(&[kind.name(), way]), bytes);
             }
         }
-        for why in Refusal::ALL {
-            raise(&self.refused.with_label_values(&[why.name()]), stats.refused[why as usize]);
+        for why in DatagramError::ALL {
+            raise(&self.refused.with_label_values(&[why.name()]), stats.rejected[why as usize]);
         }
-        self.late.set(stats.late as f64 / 1e9);
-        self.latest.set(stats.latest as f64 / 1e9);
-        self.settled.set(i64::from(snapshot.settled));
-        self.size.set(i64::from(snapshot.group.size));
+        self.late.set(stats.timer_lag as f64 / 1e9);
+        self.latest.set(stats.max_timer_lag as f64 / 1e9);
+        self.settled.set(i64::from(snapshot.is_settled));
+        self.size.set(i64::from(snapshot.group_position.size));
     }
 }
--- a/crates/operate/tests/golden.rs
+++ b/crates/operate/tests/golden.rs
@@ -2,7 +2,7 @@
 
 use corkhollow_balance::interface::{Ending, Refusal, ServerId};
 use corkhollow_balance::{ClassKnowledge, Knowledge, ServerKnowledge};
-use corkhollow_fleet::{Group, MemberView, Snapshot, State, Stats};
+use corkhollow_fleet::{GroupPosition, MemberState, MemberView, Snapshot, Stats};
 use corkhollow_operate::*;
 use std::collections::BTreeSet;
 use std::path::Path;
@@ -87,23 +87,23 @@
 }
 
 fn snapshot() -> Snapshot {
-    let member = |name: &str, port: u16, state: State| MemberView {
+    let member = |name: &str, port: u16, state: MemberState| MemberView {
         name: name.to_owned(),
         address: address(&format!("127.0.0.1:{port}")),
         zone: "north".to_owned(),
         state,
         incarnation: u64::from(port),
-        since: 1_500_000_000,
-        drains: state == State::Left,
+        state_age: 1_500_000_000,
+        is_draining: state == MemberState::Left,
     };
     Snapshot {
         fleet: "perth".to_owned(),
         node: "a".to_owned(),
         incarnation: 4,
-        view: 0x0123_4567_89ab_cdef,
-        settled: true,
-        members: State::ALL.into_iter().zip(1..).map(|(s, k)| member(&format!("m{k}"), k, s)).collect(),
-        group: Group { ordinal: 1, size: 2 },
+        view_digest: 0x0123_4567_89ab_cdef,
+        is_settled: true,
+        members: MemberState::ALL.into_iter().zip(1..).map(|(s, k)| member(&format!("m{k}"), k, s)).collect(),
+        group_position: GroupPosition { ordinal: 1, size: 2 },
     }
 }
 
@@ -112,7 +112,7 @@
     let page = FleetPage::new(&snapshot(), Some(address("127.0.0.1:7999")), 2_000_000);
     assert_golden("fleet-page.json", page.to_json().as_bytes());
     assert_eq!(FleetPage::from_json(page.to_json().as_bytes()).unwrap(), page);
-    let alone = FleetPage::new(&Snapshot { members: Vec::new(), settled: false, ..snapshot() }, None, 0);
+    let alone = FleetPage::new(&Snapshot { members: Vec::new(), is_settled: false, ..snapshot() }, None, 0);
     assert_golden("fleet-page-alone.json", alone.to_json().as_bytes());
 }
 
--- a/crates/proxy/src/active_plan.rs
+++ b/crates/proxy/src/active_plan.rs
@@ -3,7 +3,7 @@
 use crate::background;
 use crate::upstream::{CommonSettings, Pool, PoolContext};
 use corkhollow_balance::interface::SettingsError;
-use corkhollow_fleet::Group;
+use corkhollow_fleet::GroupPosition;
 use corkhollow_operate::{ClassMetrics, Handover, PoolHandover};
 use corkhollow_plan::change::{Change, PoolChange};
 use corkhollow_plan::plan::Plan;
@@ -74,7 +74,7 @@
         plan: Plan,
         shared: &PoolContext,
         seed: u64,
-        group: Option<Group>,
+        group: Option<GroupPosition>,
     ) -> Result<Rc<Self>, PoolError> {
         let terms = CommonSettings { quotas: plan.tenants.quotas().clone(), group };
         let pools = (0..plan.pools.len()).map(|at| start(&plan, at, shared, seed, &terms));
@@ -100,7 +100,7 @@
         change: &Change,
         shared: &PoolContext,
         seed: u64,
-        group: Option<Group>,
+        group: Option<GroupPosition>,
     ) -> Result<Rc<Self>, PoolError> {
         let terms = CommonSettings { quotas: plan.tenants.quotas().clone(), group };
         let fault = |at: usize| {
@@ -173,7 +173,7 @@
     ///
     /// # Errors
     /// Where a pool turns that down; those before it go by it.
-    pub async fn set_group(&self, group: Group) -> Result<(), PoolError> {
+    pub async fn set_group(&self, group: GroupPosition) -> Result<(), PoolError> {
         for (at, pool) in self.pools.iter().enumerate() {
             let told = pool.engine.set_group_position(group.ordinal, group.size.max(group.ordinal + 1));
             told.map_err(|error| PoolError { pool: self.plan.pools[at].name.clone(), error })?;
--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -3,7 +3,7 @@
 
 use corkhollow_engine::{log, LogLimiter};
 use corkhollow_fleet::{
-    Cause, Config, Event, Nanos, Node, Outbox, Snapshot, Standing, Stats, LARGEST_DATAGRAM,
+    Cause, Config, Event, Nanos, Node, NodeStatus, Outbox, Snapshot, Stats, MAX_DATAGRAM_BYTES,
 };
 use corkhollow_operate::FleetMetrics;
 use std::net::{SocketAddr, UdpSocket};
@@ -26,7 +26,7 @@
     /// The view.
     pub snapshot: Snapshot,
     /// Where the node stands.
-    pub standing: Standing,
+    pub standing: NodeStatus,
     /// What it has done and seen.
     pub stats: Stats,
     /// For a process that takes its place: its incarnation, and where others are reached.
@@ -39,7 +39,7 @@
     /// Whether the others are told that the node is being emptied.
     pub fn is_draining(&self) -> bool {
         let own = self.snapshot.members.iter().find(|member| member.name == self.snapshot.node);
-        own.is_some_and(|member| member.drains)
+        own.is_some_and(|member| member.is_draining)
     }
 }
 
@@ -114,9 +114,9 @@
     pub async fn wait_until_joined(&mut self) -> Result<(), SocketAddr> {
         loop {
             match self.view.borrow_and_update().standing {
-                Standing::Joining => {}
-                Standing::Member | Standing::Left => return Ok(()),
-                Standing::Refused { by } => return Err(by),
+                NodeStatus::Joining => {}
+                NodeStatus::Member | NodeStatus::Left => return Ok(()),
+                NodeStatus::Refused { by } => return Err(by),
             }
             if !self.changed().await {
                 return Ok(());
@@ -150,9 +150,9 @@
 fn show(node: &Node, now: Nanos) -> View {
     View {
         snapshot: node.snapshot(now),
-        standing: node.standing(),
+        standing: node.status(),
         stats: node.stats().clone(),
-        handover: node.heritage(),
+        handover: node.handover_state(),
         at: Instant::now(),
     }
 }
@@ -176,9 +176,10 @@
             Ok(socket) => socket,
             Err(error) => return log(format_args!("fleet: {error}")),
         };
-        let mut buffer = vec![0; LARGEST_DATAGRAM + 1];
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
         loop {
-            let due = self.start + Duration::from_nanos(self.node.next().min(self.now() + 3_600_000_000_000));
+            let due = self.start
+                + Duration::from_nanos(self.node.next_tick_at().min(self.now() + 3_600_000_000_000));
             let due = due.min(self.shown_at + SHOW_EVERY);
             let command = tokio::select! {
                 biased;
@@ -206,11 +207,11 @@
                     left = Some(done);
                 }
                 Some(Command::HandOver) => return,
-                Some(Command::Drain(drains)) => self.node.drain(self.now(), drains),
-                Some(Command::Reconfigure(config)) => self.node.retune(self.now(), &config),
+                Some(Command::Drain(drains)) => self.node.set_draining(self.now(), drains),
+                Some(Command::Reconfigure(config)) => self.node.reconfigure(self.now(), &config),
                 None => {}
             }
-            if self.now() >= self.node.next() {
+            if self.now() >= self.node.next_tick_at() {
                 self.node.tick(self.now());
             }
             self.carry_out(&socket);
@@ -224,7 +225,7 @@
     }
 
     fn carry_out(&mut self, socket: &tokio::net::UdpSocket) {
-        let Outbox { datagrams, events } = self.node.take();
+        let Outbox { datagrams, events } = self.node.take_outbox();
         for (to, bytes) in datagrams {
             // One that the system does not take is lost, as others are on their way.
             let _ = socket.try_send_to(&bytes, to);
@@ -239,9 +240,9 @@
         let since = self.shown_at.elapsed();
         let differs = || {
             let last = self.shown.borrow();
-            last.standing != self.node.standing()
-                || last.snapshot.view != self.node.view()
-                || last.snapshot.settled != self.node.settled(self.now())
+            last.standing != self.node.status()
+                || last.snapshot.view_digest != self.node.view_digest()
+                || last.snapshot.is_settled != self.node.is_settled(self.now())
         };
         if !now && since < SHOW_EVERY && (since < SHOW_WITHIN || !differs()) {
             return;
@@ -258,7 +259,7 @@
 /// One line a change, with its cause.
 fn tell(event: &Event, pace: &mut LogLimiter) {
     match event {
-        Event::Changed { name, state, incarnation, cause } => {
+        Event::StateChanged { name, state, incarnation, cause } => {
             let state = state.name();
             pace.log(format_args!("fleet: {name} is {state} (incarnation {incarnation}): {}", Words(cause)));
         }
@@ -288,13 +289,13 @@
 impl std::fmt::Display for Words<'_> {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self.0 {
-            Cause::Heard => f.write_str("heard from it"),
-            Cause::Told(by) => write!(f, "told by {by}"),
-            Cause::Unanswered { helpers } => {
-                write!(f, "it answered neither this node's probe nor {helpers} others")
+            Cause::HeardDirectly => f.write_str("heard from it"),
+            Cause::ReportedBy(by) => write!(f, "told by {by}"),
+            Cause::ProbeFailed { indirect_probes } => {
+                write!(f, "it answered neither this node's probe nor {indirect_probes} others")
             }
-            Cause::NoObjection(accusers) => write!(f, "it did not object to {}", accusers.join(", ")),
-            Cause::Own => f.write_str("it said so"),
+            Cause::NotRefuted(accusers) => write!(f, "it did not object to {}", accusers.join(", ")),
+            Cause::SelfReported => f.write_str("it said so"),
         }
     }
 }
--- a/crates/proxy/src/operator.rs
+++ b/crates/proxy/src/operator.rs
@@ -5,7 +5,7 @@
 use crate::socket::{Socket, SocketIo};
 use bytes::Bytes;
 use corkhollow_engine::{log, Clock};
-use corkhollow_fleet::Standing;
+use corkhollow_fleet::NodeStatus;
 use corkhollow_operate::{FleetPage, Metrics, SharedLifecycle};
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
@@ -133,7 +133,7 @@
 fn page(fleet: &Fleet) -> String {
     let view = fleet.view();
     let refused_by = match view.standing {
-        Standing::Refused { by } => Some(by),
+        NodeStatus::Refused { by } => Some(by),
         _ => None,
     };
     FleetPage::new(&view.snapshot, refused_by, view.at.elapsed().as_nanos() as u64).to_json()
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -8,7 +8,7 @@
     ListKind, Nanos, Phase, Quotas, Server as ServerInfo, ServerId, Settings, SettingsError,
 };
 use corkhollow_engine::{log, Clock, Engine};
-use corkhollow_fleet::Group;
+use corkhollow_fleet::GroupPosition;
 use corkhollow_operate::Metrics;
 use corkhollow_plan::change::Differs;
 use corkhollow_plan::config::parse_server_list;
@@ -73,7 +73,7 @@
     /// The tenants' quotas.
     pub quotas: Quotas,
     /// The node's position in its fleet; overrides the pool's settings.
-    pub group: Option<Group>,
+    pub group: Option<GroupPosition>,
 }
 
 impl CommonSettings {
@@ -81,7 +81,7 @@
     pub fn settings(&self, pool: &plan::Pool) -> Settings {
         let settings = &pool.settings;
         let (ordinal, group_size) = match self.group {
-            Some(Group { ordinal, size }) => (ordinal, size.max(ordinal + 1)),
+            Some(GroupPosition { ordinal, size }) => (ordinal, size.max(ordinal + 1)),
             None => (settings.ordinal, settings.group_size),
         };
         Settings { tenant_quota: self.quotas.clone(), ordinal, group_size, ..settings.clone() }
--- a/crates/proxy/tests/follow.rs
+++ b/crates/proxy/tests/follow.rs
@@ -3,7 +3,7 @@
 
 use corkhollow_balance::interface::{Class, Phase, Server, Settings};
 use corkhollow_engine::Clock;
-use corkhollow_fleet::Group;
+use corkhollow_fleet::GroupPosition;
 use corkhollow_operate::Metrics;
 use corkhollow_plan::change::PoolChange;
 use corkhollow_plan::config::parse_config;
@@ -190,7 +190,7 @@
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
         LocalSet::new().block_on(&runtime, async {
             let shared = shared();
-            let group = |k: u32| (k > 0).then(|| Group { ordinal: k, size: 7 * k });
+            let group = |k: u32| (k > 0).then(|| GroupPosition { ordinal: k, size: 7 * k });
             let mut site = ActivePlan::start(first.plan(), &shared, 1, None).unwrap();
             let (mut counts, mut last) = (0, first.clone());
             for (file, parts, view, late) in &files {
--- a/crates/standin/src/rig.rs
+++ b/crates/standin/src/rig.rs
@@ -2,7 +2,7 @@
 //! The scripts are those that simulated nodes are played with. All that was started ends with the rig.
 
 use crate::program::Node;
-use corkhollow_faults::{Act, Network, Script};
+use corkhollow_faults::{Action, Network, Script};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::net::{SocketAddr, UdpSocket};
@@ -177,19 +177,19 @@
     }
 
     /// Does one thing at once. What it takes to leave or start is waited for; a stall ends by itself.
-    pub fn act(&mut self, act: &Act) {
+    pub fn act(&mut self, act: &Action) {
         self.shared.tell(act.to_string());
         let count = self.nodes.len();
-        if Script::on_network(act, &mut self.shared.network.lock().unwrap(), count) {
+        if Script::apply_to_network(act, &mut self.shared.network.lock().unwrap(), count) {
             return;
         }
         match *act {
-            Act::Start(number) => self.start(number),
-            Act::Kill(number) => {
+            Action::Start(number) => self.start(number),
+            Action::Kill(number) => {
                 self.shared.real.lock().unwrap()[number] = None;
                 self.nodes[number] = None;
             }
-            Act::Leave(number) => {
+            Action::Leave(number) => {
                 if let Some(mut node) = self.nodes[number].take() {
                     node.signal("-TERM");
                     let status = node.exit();
@@ -197,7 +197,7 @@
                     self.shared.real.lock().unwrap()[number] = None;
                 }
             }
-            Act::Stall(number, lasts) => {
+            Action::Stall(number, lasts) => {
                 let pid = self.node(number).id().to_string();
                 self.node(number).signal("-STOP");
                 let shared = self.shared.clone();
@@ -215,7 +215,7 @@
     /// Plays a script from now on, to its end.
     pub fn play(&mut self, script: &Script) {
         let start = Instant::now();
-        for (time, act) in script.acts() {
+        for (time, act) in script.actions() {
             let due = start + Duration::from_millis(*time);
             thread::sleep(due.saturating_duration_since(Instant::now()));
             self.act(act);
@@ -305,7 +305,7 @@
             let from = self.real.lock().unwrap().iter().position(|real| *real == Some(source));
             // What a test sends by itself comes through.
             let copies = match from {
-                Some(from) => self.network.lock().unwrap().send(from, to),
+                Some(from) => self.network.lock().unwrap().delivery_times(from, to),
                 None => vec![0],
             };
             for time in copies {
