--- a/crates/plan/src/lib.rs
+++ b/crates/plan/src/lib.rs
@@ -2,19 +2,19 @@
 
 pub mod change;
 pub mod config;
-pub mod hosts;
+pub mod discovery_list;
 pub mod limits;
 pub mod plan;
 pub mod platform;
-pub mod pools;
+mod raw_config;
+pub mod roster;
 pub mod routes;
-pub mod settled;
-mod shape;
+pub mod stable_read;
 pub mod tenants;
 pub mod version;
 
 /// A stable hash: FNV-1a with its bits mixed, so that its low ones are as good as its high ones.
-pub fn mix(bytes: &[u8]) -> u64 {
+pub fn stable_hash(bytes: &[u8]) -> u64 {
     let hash = bytes
         .iter()
         .fold(0xcbf2_9ce4_8422_2325, |h: u64, b| (h ^ u64::from(*b)).wrapping_mul(0x0100_0000_01b3));
--- a/crates/proxy/src/http1/client_connections.rs
+++ b/crates/proxy/src/http1/client_connections.rs
@@ -68,7 +68,7 @@
         };
         let backlog_wait = || blocked_since.get().map_or(Duration::ZERO, |since| since.elapsed());
         loop {
-            while self.service.budget.clients_exhausted() {
+            while self.service.budget.must_stop_accepting() {
                 blocked_since.set(blocked_since.get().or(Some(Instant::now())));
                 if !self.close_longest_idle() {
                     self.log_full();
@@ -110,7 +110,7 @@
         backlog_wait: Duration,
     ) {
         let budget = &self.service.budget;
-        let over_limit = budget.clients_full() && !self.close_longest_idle();
+        let over_limit = budget.must_refuse_clients() && !self.close_longest_idle();
         let number = self.next_number.get();
         self.next_number.set(number + 1);
         let connection = AcceptedConnection {
@@ -121,7 +121,7 @@
             backlog_wait,
             over_limit,
         };
-        let client = ClientConnection::new(connection, self.service.clock.now(), budget.client());
+        let client = ClientConnection::new(connection, self.service.clock.now(), budget.client_slot());
         self.open.borrow_mut().insert(number, client.clone());
         let clients = self.clone();
         tokio::task::spawn_local(async move {
@@ -211,7 +211,7 @@
 async fn serve_connection(service: &Rc<Service>, client: Rc<ClientConnection>) {
     let mut builder = http1::Builder::new();
     builder
-        .max_buf_size(service.current_plan.get().plan.limits.read_buffer())
+        .max_buf_size(service.current_plan.get().plan.limits.read_buffer_bytes())
         .timer(hyper_util::rt::TokioTimer::new())
         .header_read_timeout(None);
     let handler = service_fn(|request| respond(service, &client, request));
