--- a/crates/proxy/src/http1/general.rs
+++ b/crates/proxy/src/http1/general.rs
@@ -396,7 +396,7 @@
             head.extend([name.as_str().as_bytes(), b": ", value.as_bytes(), b"\r\n"].concat());
         }
         head.extend(b"\r\n");
-        client.socket.write_between(&head);
+        client.socket.write_own_message(&head);
     })
 }
 
@@ -410,8 +410,8 @@
         Answer::Buffered { status, headers, body } => {
             (status, headers, AnswerBody::Buffered(BufferedBodyReader::new(Rc::new(body))))
         }
-        Answer::Stream { status, headers, length, frames: pieces } => {
-            (status, headers, AnswerBody::Stream { pieces, length })
+        Answer::Stream { status, headers, length, frames } => {
+            (status, headers, AnswerBody::Stream { frames, length })
         }
         Answer::Refused { retry_after } => {
             let detail = "no server can take it now; it has not run";
