--- a/crates/corkhollow/src/commands/run.rs
+++ b/crates/corkhollow/src/commands/run.rs
@@ -15,7 +15,7 @@
 use corkhollow_proxy::background;
 use corkhollow_proxy::fleet::FleetCell;
 use corkhollow_proxy::http1::{ClientConnections, Service};
-use corkhollow_proxy::operator::Operator;
+use corkhollow_proxy::operator::OperatorServer;
 use corkhollow_proxy::upstream::{Engines, PoolContext};
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -101,7 +101,7 @@
         None => {
             let mut config = Config::load().map_err(StartError::from)?;
             config.operator = args.operator.or(config.operator);
-            (Told::Platform(Box::new(config.shape.clone())), config.plan())
+            (Told::Platform(Box::new(config.raw.clone())), config.plan())
         }
     };
     background::silence_panic_messages();
@@ -263,7 +263,7 @@
     let clock = Clock::start();
     let neighbours = neighbours.map(Rc::new);
     let own = if plan.fleet.is_some() { membership::DESCRIPTORS } else { 0 };
-    let budget = Budget::new(plan.limits.descriptors.saturating_sub(own), plan.limits.memory);
+    let budget = Budget::new(plan.limits.descriptors.saturating_sub(own), plan.limits.memory_bytes);
     let metrics = Metrics::new()?;
     let shared =
         PoolContext { clock, budget: budget.clone(), metrics: metrics.clone(), engines: Engines::default() };
@@ -297,12 +297,12 @@
     let changed = Arc::new(Notify::new());
     if let Some(calls) = calls {
         log(format_args!("operators call at {}", calls.local_addr()?));
-        let (control, metrics, changed) = (control.clone(), metrics.clone(), changed.clone());
+        let (lifecycle, metrics, lifecycle_changed) = (control.clone(), metrics.clone(), changed.clone());
         let fleet = member.place.clone();
-        Operator { control, metrics, clock, changed, fleet }.start(calls)?;
+        OperatorServer { lifecycle, metrics, clock, lifecycle_changed, fleet }.start(calls)?;
     }
     if let Some(neighbours) = &neighbours {
-        budget.keep_to(neighbours.now().limit_share());
+        budget.set_limit_share(neighbours.now().limit_share());
         tokio::select! {
             // Nothing has been taken yet.
             _ = terminate.recv() => return Ok(()),
@@ -312,7 +312,7 @@
                     member.regroup(&current, group, &mut LogLimiter::new(1, 0.0)).await;
                 }
                 if succeeds {
-                    if let Some(plan) = site.plan.share() {
+                    if let Some(plan) = site.plan.to_arc() {
                         spawn_local(member.clone().succeed(plan, from, metrics.clone(), seed));
                     }
                 }
@@ -408,9 +408,9 @@
         }
         looks = looks.wrapping_add(1);
         for (held, (now, most)) in [
-            (&metrics.client_connections, budget.clients()),
-            (&metrics.server_connections, budget.servers()),
-            (&metrics.body_bytes, budget.bytes()),
+            (&metrics.client_connections, budget.client_usage()),
+            (&metrics.server_connections, budget.server_usage()),
+            (&metrics.body_bytes, budget.body_bytes_usage()),
         ] {
             held.set(now, most);
         }
@@ -421,7 +421,7 @@
 /// Keeps to this process's share of the limits, for good.
 async fn share(neighbours: Rc<Neighbours>, budget: Rc<Budget>) {
     loop {
-        budget.keep_to(neighbours.now().limit_share());
+        budget.set_limit_share(neighbours.now().limit_share());
         tokio::time::sleep(SHARE).await;
     }
 }
@@ -484,7 +484,7 @@
             control.lock().drain(clock.now());
         }
         if let Some(told) = told {
-            match site.restore_knowledge(&told) {
+            match site.import_knowledge(&told) {
                 0 => log(format_args!("begins cold: nothing that the other process knows holds here")),
                 known => log(format_args!("begins with what is known of {known} servers")),
             }
--- a/crates/proxy/src/http1/platform.rs
+++ b/crates/proxy/src/http1/platform.rs
@@ -11,8 +11,8 @@
 use bytes::Bytes;
 use corkhollow_balance::interface::{self, Nanos, Settings};
 use corkhollow_engine::{Answer, Message, Payload};
-use corkhollow_plan::limits::MOST_BODY;
-use corkhollow_plan::routes::{Outcome, Target};
+use corkhollow_plan::limits::MAX_BODY_BYTES;
+use corkhollow_plan::routes::{RequestHead, RouteAction};
 use hyper::body::{Body, Incoming};
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::{Method, Request, Response, StatusCode, Uri};
@@ -45,7 +45,7 @@
         return with_connection_close(text_response(StatusCode::BAD_REQUEST, "two lengths\n"));
     }
     // The path is matched and forwarded without normalisation.
-    let target = Target {
+    let target = RequestHead {
         listener: 0,
         host: "",
         path: head.uri.path(),
@@ -54,8 +54,8 @@
         headers: &head.headers,
     };
     let Some((class, pool_index)) =
-        active_plan.plan.routes.find(&target).and_then(|(_, route)| match route.outcome {
-            Outcome::Forward { pool, .. } => Some((route.class?, pool)),
+        active_plan.plan.routes.find(&target).and_then(|(_, route)| match route.action {
+            RouteAction::Forward { pool, .. } => Some((route.class?, pool)),
             _ => None,
         })
     else {
@@ -64,8 +64,8 @@
     let (pool, settings) = (&active_plan.pools[pool_index], &active_plan.plan.pools[pool_index].settings);
     client.track_request(&active_plan.class_metrics[class]);
     let limits = BodyLimits {
-        max_buffered_bytes: active_plan.plan.limits.replay_buffer,
-        max_bytes: MOST_BODY,
+        max_buffered_bytes: active_plan.plan.limits.replay_buffer_bytes,
+        max_bytes: MAX_BODY_BYTES,
         stall_timeout: BODY_STALL_TIMEOUT,
         min_pace: Some(MinPace { grace: BODY_PACE_GRACE, bytes_per_second: MIN_BODY_BYTES_PER_SECOND }),
         forward_stall_timeout: Duration::from_nanos(active_plan.plan.limits.stall_timeout),
@@ -74,7 +74,7 @@
     };
     if client.over_limit {
         // Answer 503 with `Retry-After`, but only after reading the body, so that the client sees the answer.
-        if body.size_hint().lower() <= MOST_BODY {
+        if body.size_hint().lower() <= MAX_BODY_BYTES {
             upload::discard_body(body, &limits).await;
         }
         return with_connection_close(refusal_response(Nanos::MAX, settings));
@@ -171,8 +171,8 @@
         Answer::Buffered { headers, body, .. } => {
             server_response(headers, AnswerBody::Buffered(BufferedBodyReader::new(Rc::new(body))))
         }
-        Answer::Stream { headers, length, frames: pieces, .. } => {
-            server_response(headers, AnswerBody::Stream { pieces, length })
+        Answer::Stream { headers, length, frames, .. } => {
+            server_response(headers, AnswerBody::Stream { frames, length })
         }
         Answer::Refused { retry_after } => refusal_response(retry_after, settings),
         Answer::Failed { timed_out: true } => {
@@ -196,7 +196,7 @@
 /// Parses a hexadecimal routing key; hashes anything else.
 fn parse_route_key(text: &[u8]) -> u64 {
     let hex = std::str::from_utf8(text).ok().and_then(|t| u64::from_str_radix(t, 16).ok());
-    hex.unwrap_or_else(|| corkhollow_plan::mix(text))
+    hex.unwrap_or_else(|| corkhollow_plan::stable_hash(text))
 }
 
 fn server_response(headers: HeaderMap, body: AnswerBody) -> Response<AnswerBody> {
--- a/crates/proxy/src/upstream/http.rs
+++ b/crates/proxy/src/upstream/http.rs
@@ -56,7 +56,7 @@
         headers.remove(header::CONTENT_LENGTH);
     }
     let length = body.size_hint().exact();
-    let mut gathered = BufferedBody::new(upstreams.budget.lease());
+    let mut gathered = BufferedBody::new(upstreams.budget.small_lease());
     let overflow = loop {
         match next_available_frame(connection, &mut body).await {
             None => break None,
--- a/crates/proxy/src/upstream/upstreams.rs
+++ b/crates/proxy/src/upstream/upstreams.rs
@@ -105,7 +105,7 @@
             forwards: shared.metrics.forwards.clone(),
             connect_timeout: Cell::new(Duration::from_nanos(pool.connect_timeout)),
             stall_timeout: Duration::from_nanos(limits.stall_timeout),
-            read_buffer_bytes: limits.read_buffer(),
+            read_buffer_bytes: limits.read_buffer_bytes(),
             limiter: Rc::new(ConnectionLimiter {
                 max_connections: pool.max_connections.unwrap_or(usize::MAX),
                 max_waiting: pool.max_waiting,
@@ -137,7 +137,7 @@
     /// Closes idle connections that are no longer reusable, and more if the node holds too many connections.
     pub fn close_expired_idle(&self) {
         self.with_servers(|servers| servers.sweep(self.clock.now()));
-        while self.budget.servers_over() && self.close_oldest_idle() {}
+        while self.budget.is_over_server_limit() && self.close_oldest_idle() {}
     }
 
     /// Aborts abandoned attempts whose grace period is over.
