--- a/crates/operate/src/fleet_page.rs
+++ b/crates/operate/src/fleet_page.rs
@@ -99,8 +99,8 @@
         let raise_to = |counter: &prometheus::IntCounter, total: u64| {
             counter.inc_by(total.saturating_sub(counter.get()))
         };
-        raise_to(&self.state_changes, stats.state_changes);
-        raise_to(&self.refutations, stats.refutations);
+        raise_to(&self.changes, stats.state_changes);
+        raise_to(&self.refuted, stats.refutations);
         for kind in DatagramKind::ALL {
             for (way, counters) in [("out", &stats.sent), ("in", &stats.received)] {
                 let (datagrams, bytes) = counters[kind as usize];
--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -312,7 +312,7 @@
                     "no answer to this node's probe, nor to indirect probes by {indirect_probes} others"
                 )
             }
-            Cause::NoObjection(accusers) => {
+            Cause::NotRefuted(accusers) => {
                 write!(f, "suspicion by {} not refuted in time", accusers.join(", "))
             }
             Cause::SelfReported => f.write_str("announced by the node itself"),
