--- a/crates/proxy/src/active_plan.rs
+++ b/crates/proxy/src/active_plan.rs
@@ -3,7 +3,7 @@
 use crate::background;
 use crate::upstream::{CommonSettings, Pool, PoolContext};
 use corkhollow_balance::interface::SettingsError;
-use corkhollow_fleet::Group;
+use corkhollow_fleet::GroupPosition;
 use corkhollow_operate::{ClassMetrics, Handover, PoolHandover};
 use corkhollow_plan::change::{Change, PoolChange};
 use corkhollow_plan::plan::Plan;
@@ -76,7 +76,7 @@
         plan: Plan,
         shared: &PoolContext,
         seed: u64,
-        group: Option<Group>,
+        group: Option<GroupPosition>,
     ) -> Result<Rc<Self>, PoolError> {
         let common = CommonSettings { quotas: plan.tenants.quotas().clone(), group };
         let pools = (0..plan.pools.len()).map(|index| start_pool(&plan, index, shared, seed, &common));
@@ -106,7 +106,7 @@
         change: &Change,
         shared: &PoolContext,
         seed: u64,
-        group: Option<Group>,
+        group: Option<GroupPosition>,
     ) -> Result<Rc<Self>, PoolError> {
         let common = CommonSettings { quotas: plan.tenants.quotas().clone(), group };
         let pool_error = |index: usize| {
@@ -189,7 +189,7 @@
     ///
     /// # Errors
     /// If a pool rejects the position; the pools before it have adopted it.
-    pub async fn set_group(&self, group: Group) -> Result<(), PoolError> {
+    pub async fn set_group(&self, group: GroupPosition) -> Result<(), PoolError> {
         for (index, pool) in self.pools.iter().enumerate() {
             let updated = pool.engine.set_group_position(group.ordinal, group.size.max(group.ordinal + 1));
             updated.map_err(|error| PoolError { pool: self.plan.pools[index].name.clone(), error })?;
