--- a/crates/corkhollow/src/commands/run.rs
+++ b/crates/corkhollow/src/commands/run.rs
@@ -6,7 +6,7 @@
 use crate::cli::RunArgs;
 use crate::succession::{self, Neighbours};
 use corkhollow_engine::{log, Clock, LogLimiter};
-use corkhollow_fleet::Group;
+use corkhollow_fleet::GroupPosition;
 use corkhollow_operate::{FleetHandover, Handover, Metrics, MetricsError, SharedLifecycle};
 use corkhollow_plan::limits::Budget;
 use corkhollow_plan::plan::Plan;
@@ -15,7 +15,7 @@
 use corkhollow_proxy::background;
 use corkhollow_proxy::fleet::FleetCell;
 use corkhollow_proxy::http1::{ClientConnections, Service};
-use corkhollow_proxy::operator::Operator;
+use corkhollow_proxy::operator::OperatorServer;
 use corkhollow_proxy::upstream::{Engines, PoolContext};
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -297,9 +297,9 @@
     let changed = Arc::new(Notify::new());
     if let Some(calls) = calls {
         log(format_args!("operators call at {}", calls.local_addr()?));
-        let (control, metrics, changed) = (control.clone(), metrics.clone(), changed.clone());
+        let (lifecycle, metrics, lifecycle_changed) = (control.clone(), metrics.clone(), changed.clone());
         let fleet = member.place.clone();
-        Operator { control, metrics, clock, changed, fleet }.start(calls)?;
+        OperatorServer { lifecycle, metrics, clock, lifecycle_changed, fleet }.start(calls)?;
     }
     if let Some(neighbours) = &neighbours {
         budget.set_limit_share(neighbours.now().limit_share());
@@ -308,11 +308,11 @@
             _ = terminate.recv() => return Ok(()),
             from = learn(neighbours, &site, clock, &control) => {
                 if let Some(from) = &from {
-                    let group = Group { ordinal: from.ordinal, size: from.size };
+                    let group = GroupPosition { ordinal: from.ordinal, size: from.size };
                     member.regroup(&current, group, &mut LogLimiter::new(1, 0.0)).await;
                 }
                 if succeeds {
-                    if let Some(plan) = site.plan.share() {
+                    if let Some(plan) = site.plan.to_arc() {
                         spawn_local(member.clone().succeed(plan, from, metrics.clone(), seed));
                     }
                 }
@@ -484,7 +484,7 @@
             control.lock().drain(clock.now());
         }
         if let Some(told) = told {
-            match site.restore_knowledge(&told) {
+            match site.import_knowledge(&told) {
                 0 => log(format_args!("begins cold: nothing that the other process knows holds here")),
                 known => log(format_args!("begins with what is known of {known} servers")),
             }
