--- a/crates/plan/tests/change.rs
+++ b/crates/plan/tests/change.rs
@@ -32,7 +32,7 @@
 }
 
 fn file_spec() -> impl Strategy<Value = FileSpec> {
-    let servers = || vec((0..6u8, 1..3u8), 0..5).prop_map(|s| unlike(s, |s| s.0));
+    let servers = || vec((0..6u8, 1..3u8), 0..5).prop_map(|s| unique_by_name(s, |s| s.0));
     (
         vec((0..4u8, 0..2u8), 1..4),
         vec((0..12u8, 1..4u8), 0..10),
@@ -40,10 +40,10 @@
         vec((0..8u8, 0..4usize, 0..3usize, 0..3u8), 1..8),
     )
         .prop_map(|(classes, tenants, pools, routes)| FileSpec {
-            classes: unlike(classes, |c| c.0),
-            tenants: unlike(tenants, |t| t.0),
-            pools: unlike(pools, |p| p.0),
-            routes: unlike(routes, |r| r.0),
+            classes: unique_by_name(classes, |c| c.0),
+            tenants: unique_by_name(tenants, |t| t.0),
+            pools: unique_by_name(pools, |p| p.0),
+            routes: unique_by_name(routes, |r| r.0),
         })
 }
 
