--- a/crates/proxy/src/http1/client_connection.rs
+++ b/crates/proxy/src/http1/client_connection.rs
@@ -45,6 +45,7 @@
     pub(super) idle_since: Cell<Nanos>,
     /// When the connection was accepted; `None` once its first request head has been read.
     pub(super) awaiting_first_request_since: Cell<Option<Instant>>,
+    /// When bytes were last found to have moved, or an answer to be awaited, by the periodic check.
     pub(super) last_progress_at: Cell<Nanos>,
     /// Upper bound on the time that the connection spent in the backlog; zero once its first request has begun.
     pub(super) backlog_wait: Cell<Duration>,
@@ -137,7 +138,7 @@
 
     /// How long the current request, complete by now, may have waited in the backlog. Zero where its last byte came
     /// after [`BACKLOG_READ_WINDOW`]: the client was still sending.
-    pub(super) fn request_backlog_wait_nanos(&self) -> Nanos {
+    pub(super) fn effective_backlog_wait(&self) -> Nanos {
         match Instant::now() < self.backlog_wait_until {
             true => self.request_backlog_wait.get().as_nanos() as Nanos,
             false => 0,
@@ -153,8 +154,9 @@
     }
 
     /// Completes when the client closes the connection while its complete request awaits an answer. A half-close counts
-    /// as leaving: it cannot be told from a full close. With `one_at_a_time` (no pipelining, as on the platform), surplus
-    /// bytes from the client are discarded so that they cannot hide the close behind them.
+    /// as leaving: it cannot be told from a full close. Bytes that the client sends meanwhile are buffered for hyper. With
+    /// `one_at_a_time` (no pipelining, as on the platform), bytes beyond the buffer are discarded, so that they cannot hide
+    /// the close behind them, and the connection closes after the answer.
     pub(super) async fn client_left(&self, one_at_a_time: bool) {
         poll_fn(|cx| match self.stage.get() == RequestStage::AwaitingAnswer && self.request_complete.get() {
             true => self.socket.poll_peer_closed(cx, one_at_a_time.then_some(&self.close_after_answer)),
--- a/crates/proxy/src/http1/platform.rs
+++ b/crates/proxy/src/http1/platform.rs
@@ -116,7 +116,7 @@
             }
         };
     // The client's timeout includes the time that its connection spent in the backlog.
-    let time_left = time_left.saturating_sub(client.request_backlog_wait_nanos());
+    let time_left = time_left.saturating_sub(client.effective_backlog_wait());
     client.stage.set(RequestStage::AwaitingAnswer);
     let is_buffered = matches!(payload, Payload::Buffered(_));
     if is_buffered {
