--- a/crates/corkhollow/src/commands/reload.rs
+++ b/crates/corkhollow/src/commands/reload.rs
@@ -6,11 +6,11 @@
 use super::{load, Failure};
 use corkhollow_engine::log;
 use corkhollow_fleet::Config as FleetConfig;
-use corkhollow_fleet::Group;
+use corkhollow_fleet::GroupPosition;
 use corkhollow_operate::Metrics;
 use corkhollow_plan::change::Change;
 use corkhollow_plan::plan::{Plan, Source};
-use corkhollow_plan::platform::{Config, Shape};
+use corkhollow_plan::platform::{Config, RawConfig};
 use corkhollow_proxy::active_plan::{ActivePlan, CurrentPlan};
 use corkhollow_proxy::background::{self, Task};
 use corkhollow_proxy::fleet::FleetCell;
@@ -28,7 +28,7 @@
     /// An operator's file, and the operator's address where the command line gives another one.
     File(PathBuf, Option<SocketAddr>),
     /// The platform's file; what it held when it was last taken.
-    Platform(Box<Shape>),
+    Platform(Box<RawConfig>),
 }
 
 /// A file that can be put in force.
@@ -38,7 +38,7 @@
     /// What the fleet's node is told.
     fleet: Option<FleetConfig>,
     /// What the platform's file held.
-    shape: Option<Box<Shape>>,
+    shape: Option<Box<RawConfig>>,
     /// How long it took to read and check the file, and to compare its plan with the one in force.
     read: Duration,
     compared: Duration,
@@ -63,13 +63,13 @@
         Told::File(path, operator) => (read(path, *operator)?, None),
         Told::Platform(shape) => {
             let config = Config::reload(shape).map_err(StartError::from)?;
-            (config.plan_beside(old).map_err(StartError::from)?, Some(Box::new(config.shape)))
+            (config.plan_replacing(old).map_err(StartError::from)?, Some(Box::new(config.raw)))
         }
     };
     let fleet = membership::reloaded(old, &plan)?;
     let read = begun.elapsed();
     let begun = Instant::now();
-    let (plan, change) = plan.follow(old);
+    let (plan, change) = plan.rebase_on(old);
     Ok(Compiled { plan, change, fleet, shape, read, compared: begun.elapsed() })
 }
 
@@ -92,7 +92,7 @@
     pub seed: u64,
     pub place: &'t FleetCell,
     /// What the node counts as in its fleet.
-    pub group: Option<Group>,
+    pub group: Option<GroupPosition>,
 }
 
 impl Reloads {
@@ -107,7 +107,7 @@
             self.again = true;
             return;
         }
-        let Some(old) = current.get().plan.share() else { return };
+        let Some(old) = current.get().plan.to_arc() else { return };
         let told = self.told.clone();
         match background::spawn(move || compile(&told, &old)) {
             Ok(running) => self.running = Some(running),
@@ -154,7 +154,7 @@
         let bound = target.listeners.bind(&plan)?;
         let site = old.reload(plan, &change, target.shared, target.seed, target.group)?;
         let (now, then) = (&site.plan.limits, &old.plan.limits);
-        if (now.descriptors, now.memory) != (then.descriptors, then.memory) {
+        if (now.descriptors, now.memory_bytes) != (then.descriptors, then.memory_bytes) {
             log(format_args!("`limits.descriptors` and `limits.memory` change with a restart only"));
         }
         if site.plan.operator != old.plan.operator {
@@ -171,7 +171,7 @@
         let swapped = begun.elapsed();
         let times = [read, compared, swapped];
         tell(&site, &change, times);
-        let told = (times.map(|time| time.as_secs_f64()), change.touched());
+        let told = (times.map(|time| time.as_secs_f64()), change.changed_pools());
         target.shared.metrics.set_active_config(&change.to.to_string(), Some(told));
         Ok(())
     }
@@ -204,6 +204,6 @@
          pools touched: {}; read and checked in {read:.1} ms, compared in {compared:.1} ms, in force in {swapped:.1} ms",
         change.to,
         change.from,
-        change.touched(),
+        change.changed_pools(),
     ));
 }
--- a/crates/operate/src/fleet_page.rs
+++ b/crates/operate/src/fleet_page.rs
@@ -1,7 +1,7 @@
 //! The node's view of its fleet: the JSON of the fleet page and the fleet metrics.
 
 use crate::metrics::FleetMetrics;
-use corkhollow_fleet::{Group, Kind, Nanos, Refusal, Snapshot, State, Stats};
+use corkhollow_fleet::{DatagramError, DatagramKind, GroupPosition, MemberState, Nanos, Snapshot, Stats};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
@@ -57,16 +57,16 @@
             zone: member.zone.clone(),
             state: member.state.name().to_owned(),
             incarnation: member.incarnation,
-            since_ms: (member.since + age) / 1_000_000,
-            drains: member.drains,
+            since_ms: (member.state_age + age) / 1_000_000,
+            drains: member.is_draining,
         };
-        let Group { ordinal, size } = snapshot.group;
+        let GroupPosition { ordinal, size } = snapshot.group_position;
         FleetPage {
             fleet: snapshot.fleet.clone(),
             node: snapshot.node.clone(),
             incarnation: snapshot.incarnation,
-            view: format!("{:016x}", snapshot.view),
-            settled: snapshot.settled,
+            view: format!("{:016x}", snapshot.view_digest),
+            settled: snapshot.is_settled,
             ordinal,
             size,
             refused_by,
@@ -92,28 +92,28 @@
 impl FleetMetrics {
     /// Updates the metrics from a snapshot and the node's counters.
     pub fn update(&self, snapshot: &Snapshot, stats: &Stats) {
-        for state in State::ALL {
+        for state in MemberState::ALL {
             let count = snapshot.members.iter().filter(|member| member.state == state).count();
             self.members.with_label_values(&[state.name()]).set(count as i64);
         }
         let raise_to = |counter: &prometheus::IntCounter, total: u64| {
             counter.inc_by(total.saturating_sub(counter.get()))
         };
-        raise_to(&self.changes, stats.changes);
-        raise_to(&self.refuted, stats.refuted);
-        for kind in Kind::ALL {
-            for (way, counters) in [("out", &stats.sent), ("in", &stats.taken)] {
+        raise_to(&self.changes, stats.state_changes);
+        raise_to(&self.refuted, stats.refutations);
+        for kind in DatagramKind::ALL {
+            for (way, counters) in [("out", &stats.sent), ("in", &stats.received)] {
                 let (datagrams, bytes) = counters[kind as usize];
                 raise_to(&self.datagrams.with_label_values(&[kind.name(), way]), datagrams);
                 raise_to(&self.bytes.with_label_values(&[kind.name(), way]), bytes);
             }
         }
-        for refusal in Refusal::ALL {
-            raise_to(&self.refused.with_label_values(&[refusal.name()]), stats.refused[refusal as usize]);
+        for refusal in DatagramError::ALL {
+            raise_to(&self.refused.with_label_values(&[refusal.name()]), stats.rejected[refusal as usize]);
         }
-        self.late_seconds.set(stats.late as f64 / 1e9);
-        self.max_late_seconds.set(stats.latest as f64 / 1e9);
-        self.settled.set(i64::from(snapshot.settled));
-        self.size.set(i64::from(snapshot.group.size));
+        self.late_seconds.set(stats.timer_lag as f64 / 1e9);
+        self.max_late_seconds.set(stats.max_timer_lag as f64 / 1e9);
+        self.settled.set(i64::from(snapshot.is_settled));
+        self.size.set(i64::from(snapshot.group_position.size));
     }
 }
--- a/crates/proxy/src/http1/general.rs
+++ b/crates/proxy/src/http1/general.rs
@@ -13,7 +13,7 @@
 use corkhollow_engine::{Answer, InterimHandler, Message, Payload};
 use corkhollow_plan::plan::Listener;
 use corkhollow_plan::routes::path::normalise;
-use corkhollow_plan::routes::{Host, Outcome, Rewrite, Target};
+use corkhollow_plan::routes::{Host, RequestHead, Rewrite, RouteAction};
 use hyper::body::{Body, Incoming};
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::http::request::Parts;
@@ -132,7 +132,7 @@
         "*" if head.method == Method::OPTIONS => Cow::Borrowed("*"),
         raw => normalise(raw, listener.paths).map_err(|error| Problem::malformed(error.to_string()))?,
     };
-    let target = Target {
+    let target = RequestHead {
         listener: listener_index,
         host: host.as_str(),
         path: &path,
@@ -143,14 +143,14 @@
     let Some((_, route)) = active_plan.plan.routes.find(&target) else {
         return Err(no_route_problem(active_plan, &target));
     };
-    match &route.outcome {
-        Outcome::Answer { status, content_type, body } => {
+    match &route.action {
+        RouteAction::Answer { status, content_type, body } => {
             let mut response = Response::new(AnswerBody::Text((!body.is_empty()).then(|| body.clone())));
             *response.status_mut() = StatusCode::from_u16(*status).unwrap_or(StatusCode::OK);
             response.headers_mut().insert(header::CONTENT_TYPE, content_type.clone());
             Ok(response)
         }
-        Outcome::Redirect(redirect) => {
+        RouteAction::Redirect(redirect) => {
             let location = redirect.location("http", host.as_str(), &path, head.uri.query());
             let location =
                 location.ok_or_else(|| Problem::malformed("no location can be made of this target"))?;
@@ -159,7 +159,7 @@
             response.headers_mut().insert(header::LOCATION, location);
             Ok(response)
         }
-        Outcome::Forward { pool, rewrite } => {
+        RouteAction::Forward { pool, rewrite } => {
             let class = active_plan.plan.class_of(route.class, &head.method);
             client.track_request(&active_plan.class_metrics[class]);
             let upstream_path = upstream_target(rewrite, &path, &head.uri)?;
@@ -171,7 +171,7 @@
             rewrite.request.apply(&mut headers);
             let limits = &active_plan.plan.limits;
             let body_limits = upload::BodyLimits {
-                max_buffered_bytes: limits.replay_buffer,
+                max_buffered_bytes: limits.replay_buffer_bytes,
                 max_bytes: u64::MAX,
                 stall_timeout: Duration::from_nanos(limits.stall_timeout),
                 min_pace: None,
@@ -298,8 +298,8 @@
 }
 
 /// 405 if a route matches with another method, else 404.
-fn no_route_problem(active_plan: &ActivePlan, target: &Target<'_>) -> Problem {
-    let allowed = active_plan.plan.routes.other_methods(target);
+fn no_route_problem(active_plan: &ActivePlan, target: &RequestHead<'_>) -> Problem {
+    let allowed = active_plan.plan.routes.allowed_methods(target);
     if allowed.is_empty() {
         return Problem::new(StatusCode::NOT_FOUND, "no-route", "no route takes this request");
     }
@@ -346,7 +346,7 @@
         headers.append(header::VIA, via.clone());
     }
     if !headers.contains_key(&listener.request_id) {
-        let id = corkhollow_plan::mix(&service.clock.now().to_le_bytes()) ^ service.next_request_id();
+        let id = corkhollow_plan::stable_hash(&service.clock.now().to_le_bytes()) ^ service.next_request_id();
         if let Ok(id) = HeaderValue::try_from(format!("{id:016x}")) {
             headers.insert(&listener.request_id, id);
         }
@@ -396,7 +396,7 @@
             head.extend([name.as_str().as_bytes(), b": ", value.as_bytes(), b"\r\n"].concat());
         }
         head.extend(b"\r\n");
-        client.socket.write_between(&head);
+        client.socket.write_own_message(&head);
     })
 }
 
@@ -410,8 +410,8 @@
         Answer::Buffered { status, headers, body } => {
             (status, headers, AnswerBody::Buffered(BufferedBodyReader::new(Rc::new(body))))
         }
-        Answer::Stream { status, headers, length, frames: pieces } => {
-            (status, headers, AnswerBody::Stream { pieces, length })
+        Answer::Stream { status, headers, length, frames } => {
+            (status, headers, AnswerBody::Stream { frames, length })
         }
         Answer::Refused { retry_after } => {
             let detail = "no server can take it now; it has not run";
--- a/crates/proxy/src/upstream/platform.rs
+++ b/crates/proxy/src/upstream/platform.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use corkhollow_balance::interface::Ending;
 use corkhollow_engine::{Answer, AttemptId, BufferedBody, Engine, IncompleteBody};
-use corkhollow_plan::limits::MOST_BODY;
+use corkhollow_plan::limits::MAX_BODY_BYTES;
 use http_body_util::BodyExt;
 use hyper::body::{Body, Frame, Incoming};
 use hyper::header::{self, HeaderMap};
@@ -19,7 +19,7 @@
 /// Longer answers are streamed.
 const MAX_BUFFERED_BYTES: u64 = 64 * 1024;
 /// A longer answer counts as broken.
-const MAX_ANSWER_BYTES: u64 = MOST_BODY;
+const MAX_ANSWER_BYTES: u64 = MAX_BODY_BYTES;
 /// A short answer whose body stalls for this long after the head counts as broken.
 const BUFFERED_STALL_TIMEOUT: Duration = Duration::from_millis(250);
 /// A streamed answer that stalls for this long counts as broken: a server that lost power or network never
@@ -59,7 +59,7 @@
         engine.on_attempt_ended(id, Ending::Reset);
         return false;
     }
-    let mut buffered = BufferedBody::new(upstreams.budget.lease());
+    let mut buffered = BufferedBody::new(upstreams.budget.small_lease());
     let mut overflow = None;
     while length.is_none_or(|length| length <= MAX_BUFFERED_BYTES) {
         match tokio::time::timeout(BUFFERED_STALL_TIMEOUT, connection.drive(body.frame())).await {
--- a/crates/proxy/src/upstream/servers.rs
+++ b/crates/proxy/src/upstream/servers.rs
@@ -69,7 +69,7 @@
 fn hash_server_id(host: &str, salt: u8) -> ServerId {
     let mut name = host.as_bytes().to_vec();
     name.extend((salt > 0).then_some(salt));
-    ServerId(corkhollow_plan::mix(&name))
+    ServerId(corkhollow_plan::stable_hash(&name))
 }
 
 impl ServerTable {
@@ -250,7 +250,7 @@
             driver: Some(Box::new(driver)),
             interim_answers: Default::default(),
             has_surplus_bytes: false,
-            _slot: Budget::new(100, 100).server().unwrap(),
+            _slot: Budget::new(100, 100).server_slot().unwrap(),
             _permit: super::super::upstreams::ConnectionPermit::unlimited(),
         };
         (connection, peer, address)
