--- a/crates/proxy/src/active_plan.rs
+++ b/crates/proxy/src/active_plan.rs
@@ -3,7 +3,7 @@
 use crate::background;
 use crate::upstream::{CommonSettings, Pool, PoolContext};
 use corkhollow_balance::interface::SettingsError;
-use corkhollow_fleet::Group;
+use corkhollow_fleet::GroupPosition;
 use corkhollow_operate::{ClassMetrics, Handover, PoolHandover};
 use corkhollow_plan::change::{Change, PoolChange};
 use corkhollow_plan::plan::Plan;
@@ -76,7 +76,7 @@
         plan: Plan,
         shared: &PoolContext,
         seed: u64,
-        group: Option<Group>,
+        group: Option<GroupPosition>,
     ) -> Result<Rc<Self>, PoolError> {
         let common = CommonSettings { quotas: plan.tenants.quotas().clone(), group };
         let pools = (0..plan.pools.len()).map(|index| start_pool(&plan, index, shared, seed, &common));
@@ -106,7 +106,7 @@
         change: &Change,
         shared: &PoolContext,
         seed: u64,
-        group: Option<Group>,
+        group: Option<GroupPosition>,
     ) -> Result<Rc<Self>, PoolError> {
         let common = CommonSettings { quotas: plan.tenants.quotas().clone(), group };
         let pool_error = |index: usize| {
@@ -116,11 +116,11 @@
         let mut started = Vec::new();
         for (index, pool) in change.pools.iter().enumerate() {
             match pool {
-                PoolChange::Starts => started.push(start_pool(&plan, index, shared, seed, &common)?),
-                PoolChange::GoesOn { differs, .. } if differs.settings || change.quotas => {
+                PoolChange::Created => started.push(start_pool(&plan, index, shared, seed, &common)?),
+                PoolChange::Reused { differences, .. } if differences.settings || change.quotas_changed => {
                     common.settings(&plan.pools[index]).validate().map_err(pool_error(index))?;
                 }
-                PoolChange::GoesOn { .. } => {}
+                PoolChange::Reused { .. } => {}
             }
         }
         // All settings are validated: nothing below can fail.
@@ -129,18 +129,19 @@
         let mut pools = Vec::with_capacity(plan.pools.len());
         for (index, pool) in change.pools.iter().enumerate() {
             pools.push(match pool {
-                PoolChange::Starts => (started.next().expect("it has been started"), new_indexes.clone()),
-                PoolChange::GoesOn { former, differs } => {
-                    let (pool, class_indexes) = (&self.pools[*former], &self.class_indexes[*former]);
+                PoolChange::Created => (started.next().expect("it has been started"), new_indexes.clone()),
+                PoolChange::Reused { old_index, differences } => {
+                    let (pool, class_indexes) = (&self.pools[*old_index], &self.class_indexes[*old_index]);
                     // The predecessor of a class is the old class with the same name.
                     let predecessors = || {
                         change
-                            .classes
+                            .old_class_indexes
                             .iter()
                             .map(|predecessor| Some(class_indexes[(*predecessor)?]))
                             .collect::<Vec<_>>()
                     };
-                    let updated = pool.update(&plan, index, *differs, change.quotas, &common, predecessors);
+                    let updated =
+                        pool.update(&plan, index, *differences, change.quotas_changed, &common, predecessors);
                     let updated = updated.map_err(pool_error(index))?;
                     (pool.clone(), updated.map_or_else(|| class_indexes.clone(), Rc::from))
                 }
@@ -188,7 +189,7 @@
     ///
     /// # Errors
     /// If a pool rejects the position; the pools before it have adopted it.
-    pub async fn set_group(&self, group: Group) -> Result<(), PoolError> {
+    pub async fn set_group(&self, group: GroupPosition) -> Result<(), PoolError> {
         for (index, pool) in self.pools.iter().enumerate() {
             let updated = pool.engine.set_group_position(group.ordinal, group.size.max(group.ordinal + 1));
             updated.map_err(|error| PoolError { pool: self.plan.pools[index].name.clone(), error })?;
@@ -212,7 +213,7 @@
     common: &CommonSettings,
 ) -> Result<Rc<Pool>, PoolError> {
     let name = &plan.pools[index].name;
-    let pool_seed = seed ^ corkhollow_plan::mix(name.as_bytes());
+    let pool_seed = seed ^ corkhollow_plan::stable_hash(name.as_bytes());
     let started =
         Pool::start(plan, index, shared, if plan.seed.is_some() { seed } else { pool_seed }, common);
     started.map_err(|error| PoolError { pool: name.clone(), error })
--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -3,7 +3,7 @@
 
 use corkhollow_engine::{log, LogLimiter};
 use corkhollow_fleet::{
-    Cause, Config, Event, Nanos, Node, Outbox, Snapshot, Standing, Stats, LARGEST_DATAGRAM,
+    Cause, Config, Event, Nanos, Node, NodeStatus, Outbox, Snapshot, Stats, MAX_DATAGRAM_BYTES,
 };
 use corkhollow_operate::FleetMetrics;
 use std::net::{SocketAddr, UdpSocket};
@@ -28,7 +28,7 @@
     /// The members.
     pub snapshot: Snapshot,
     /// Whether the node is a member.
-    pub standing: Standing,
+    pub standing: NodeStatus,
     /// Counters of the protocol.
     pub stats: Stats,
     /// For a successor of this process: the node's incarnation and the addresses of other members.
@@ -41,7 +41,7 @@
     /// Whether the node announces that it is being drained.
     pub fn is_draining(&self) -> bool {
         let own_record = self.snapshot.members.iter().find(|member| member.name == self.snapshot.node);
-        own_record.is_some_and(|member| member.drains)
+        own_record.is_some_and(|member| member.is_draining)
     }
 }
 
@@ -124,9 +124,9 @@
     pub async fn wait_until_joined(&mut self) -> Result<(), SocketAddr> {
         loop {
             match self.view.borrow_and_update().standing {
-                Standing::Joining => {}
-                Standing::Member | Standing::Left => return Ok(()),
-                Standing::Refused { by } => return Err(by),
+                NodeStatus::Joining => {}
+                NodeStatus::Member | NodeStatus::Left => return Ok(()),
+                NodeStatus::Refused { by } => return Err(by),
             }
             if !self.changed().await {
                 return Ok(());
@@ -160,9 +160,9 @@
 fn current_view(node: &Node, now: Nanos) -> View {
     View {
         snapshot: node.snapshot(now),
-        standing: node.standing(),
+        standing: node.status(),
         stats: node.stats().clone(),
-        handover: node.heritage(),
+        handover: node.handover_state(),
         at: Instant::now(),
     }
 }
@@ -187,10 +187,10 @@
             Ok(socket) => socket,
             Err(error) => return log(format_args!("fleet: {error}")),
         };
-        let mut buffer = vec![0; LARGEST_DATAGRAM + 1];
+        let mut buffer = vec![0; MAX_DATAGRAM_BYTES + 1];
         loop {
-            let wake_at =
-                self.started_at + Duration::from_nanos(self.node.next().min(self.now() + 3_600_000_000_000));
+            let wake_at = self.started_at
+                + Duration::from_nanos(self.node.next_tick_at().min(self.now() + 3_600_000_000_000));
             let wake_at = wake_at.min(self.published_at + MAX_PUBLISH_INTERVAL);
             let command = tokio::select! {
                 biased;
@@ -219,11 +219,11 @@
                     leave_acknowledge = Some(acknowledge);
                 }
                 Some(Command::HandOver) => return,
-                Some(Command::Drain(drains)) => self.node.drain(self.now(), drains),
-                Some(Command::Reconfigure(config)) => self.node.retune(self.now(), &config),
+                Some(Command::Drain(drains)) => self.node.set_draining(self.now(), drains),
+                Some(Command::Reconfigure(config)) => self.node.reconfigure(self.now(), &config),
                 None => {}
             }
-            if self.now() >= self.node.next() {
+            if self.now() >= self.node.next_tick_at() {
                 self.node.tick(self.now());
             }
             self.flush_outbox(&socket);
@@ -237,7 +237,7 @@
     }
 
     fn flush_outbox(&mut self, socket: &tokio::net::UdpSocket) {
-        let Outbox { datagrams, events } = self.node.take();
+        let Outbox { datagrams, events } = self.node.take_outbox();
         for (to, bytes) in datagrams {
             // A datagram that cannot be sent counts as lost; the protocol tolerates losses.
             let _ = socket.try_send_to(&bytes, to);
@@ -252,9 +252,9 @@
         let age = self.published_at.elapsed();
         let has_changed = || {
             let published = self.published.borrow();
-            published.standing != self.node.standing()
-                || published.snapshot.view != self.node.view()
-                || published.snapshot.settled != self.node.settled(self.now())
+            published.standing != self.node.status()
+                || published.snapshot.view_digest != self.node.view_digest()
+                || published.snapshot.is_settled != self.node.is_settled(self.now())
         };
         if !force && age < MAX_PUBLISH_INTERVAL && (age < MIN_PUBLISH_INTERVAL || !has_changed()) {
             return;
@@ -271,7 +271,7 @@
 /// Logs an event in one line.
 fn log_event(event: &Event, log_limiter: &mut LogLimiter) {
     match event {
-        Event::Changed { name, state, incarnation, cause } => {
+        Event::StateChanged { name, state, incarnation, cause } => {
             let state = state.name();
             log_limiter.log(format_args!(
                 "fleet: {name} is {state} (incarnation {incarnation}): {}",
@@ -304,15 +304,18 @@
 impl std::fmt::Display for CauseText<'_> {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self.0 {
-            Cause::Heard => f.write_str("received a message from it"),
-            Cause::Told(by) => write!(f, "reported by {by}"),
-            Cause::Unanswered { helpers } => {
-                write!(f, "no answer to this node's probe, nor to indirect probes by {helpers} others")
+            Cause::HeardDirectly => f.write_str("received a message from it"),
+            Cause::ReportedBy(by) => write!(f, "reported by {by}"),
+            Cause::ProbeFailed { indirect_probes } => {
+                write!(
+                    f,
+                    "no answer to this node's probe, nor to indirect probes by {indirect_probes} others"
+                )
             }
-            Cause::NoObjection(accusers) => {
+            Cause::NotRefuted(accusers) => {
                 write!(f, "suspicion by {} not refuted in time", accusers.join(", "))
             }
-            Cause::Own => f.write_str("announced by the node itself"),
+            Cause::SelfReported => f.write_str("announced by the node itself"),
         }
     }
 }
--- a/crates/proxy/src/upstream/discovery.rs
+++ b/crates/proxy/src/upstream/discovery.rs
@@ -6,7 +6,7 @@
 use crate::socket::{Socket, SocketIo};
 use corkhollow_balance::interface::{ListKind, Phase, Server, ServerId};
 use corkhollow_engine::{log, DiscoveryCall, Engine};
-use corkhollow_plan::hosts::{Health, Host, HostList, ListError, ListReader, LONGEST_LIST};
+use corkhollow_plan::discovery_list::{Health, HostEntry, HostList, ListError, ListReader, MAX_LIST_BYTES};
 use http_body_util::{BodyExt, Empty};
 use hyper::body::{Bytes, Incoming};
 use hyper::{Request, StatusCode};
@@ -211,7 +211,7 @@
     /// Fetches the list once.
     async fn fetch(&mut self) -> Result<(), WatchError> {
         let (body, _connection) = self.get("/discovery/hosts".to_owned(), CALL_TIMEOUT).await?;
-        let limited = http_body_util::Limited::new(body, LONGEST_LIST);
+        let limited = http_body_util::Limited::new(body, MAX_LIST_BYTES);
         let collected = timeout(CALL_TIMEOUT, limited.collect()).await.map_err(|_| WatchError::TimedOut)?;
         let bytes = collected.map_err(|_| WatchError::Ended)?.to_bytes();
         self.accept(serde_json::from_slice(&bytes).map_err(ListError::from)?)
@@ -239,13 +239,13 @@
         loop {
             let silent_at = last_data_at + WATCH_SILENCE_TIMEOUT;
             let check_at = Instant::now() + TRUNCATION_CHECK_DELAY;
-            let until = if reader.amid() && !checked { check_at.min(silent_at) } else { silent_at };
+            let until = if reader.is_mid_list() && !checked { check_at.min(silent_at) } else { silent_at };
             match timeout_at(until, body.frame()).await {
                 Ok(None) => return Ok(()),
                 Ok(Some(frame)) => {
                     let Ok(data) = frame?.into_data() else { continue };
-                    // White space amid a list is a heartbeat after a truncated list, not its continuation.
-                    if !reader.amid() || !data.trim_ascii().is_empty() {
+                    // White space is_mid_list a list is a heartbeat after a truncated list, not its continuation.
+                    if !reader.is_mid_list() || !data.trim_ascii().is_empty() {
                         (last_data_at, checked) = (Instant::now(), false);
                     }
                     self.read_chunk(&mut reader, &data)?;
@@ -261,7 +261,7 @@
     }
 
     fn read_chunk(&mut self, reader: &mut ListReader, data: &[u8]) -> Result<(), WatchError> {
-        reader.take(data)?.into_iter().try_for_each(|list| self.accept(list))
+        reader.feed(data)?.into_iter().try_for_each(|list| self.accept(list))
     }
 
     /// Applies a list, unless it is older than the one in use.
@@ -280,13 +280,13 @@
         Ok(())
     }
 
-    fn apply(&self, kind: ListKind, hosts: Vec<Host>) {
+    fn apply(&self, kind: ListKind, hosts: Vec<HostEntry>) {
         // Names that are not in the settings share one more index after the known ones.
         let index_of = |names: &[String], name: &Option<String>| {
             let name = name.as_deref().unwrap_or_default();
             names.iter().position(|candidate| candidate == name).unwrap_or(names.len())
         };
-        let listed_server = |host: Host| ListedServer {
+        let listed_server = |host: HostEntry| ListedServer {
             host: host.host,
             address: host.dial,
             server: Server {
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -8,13 +8,13 @@
     ListKind, Nanos, Phase, Quotas, Server as ServerInfo, ServerId, Settings, SettingsError,
 };
 use corkhollow_engine::{log, Clock, Engine};
-use corkhollow_fleet::Group;
+use corkhollow_fleet::GroupPosition;
 use corkhollow_operate::Metrics;
-use corkhollow_plan::change::Differs;
+use corkhollow_plan::change::PoolDifferences;
 use corkhollow_plan::config::parse_server_list;
 use corkhollow_plan::limits::Budget;
 use corkhollow_plan::plan::{self, Plan, Source};
-use corkhollow_plan::pools::{Listed, Roster};
+use corkhollow_plan::roster::{Roster, RosterEntry};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -73,7 +73,7 @@
     /// The tenants' quotas.
     pub quotas: Quotas,
     /// The node's position in its fleet; overrides the pool's settings.
-    pub group: Option<Group>,
+    pub group: Option<GroupPosition>,
 }
 
 impl CommonSettings {
@@ -81,7 +81,7 @@
     pub fn settings(&self, pool: &plan::Pool) -> Settings {
         let settings = &pool.settings;
         let (ordinal, group_size) = match self.group {
-            Some(Group { ordinal, size }) => (ordinal, size.max(ordinal + 1)),
+            Some(GroupPosition { ordinal, size }) => (ordinal, size.max(ordinal + 1)),
             None => (settings.ordinal, settings.group_size),
         };
         Settings { tenant_quota: self.quotas.clone(), ordinal, group_size, ..settings.clone() }
@@ -178,7 +178,7 @@
         let roster = Rc::new(RefCell::new(Roster::new(
             config.settings.backup_zone,
             config.check.clone(),
-            config.cold,
+            config.slow_start,
         )));
         let pool = Rc::new(Pool {
             engine,
@@ -209,22 +209,22 @@
         &self,
         plan: &Plan,
         index: usize,
-        differs: Differs,
+        differences: PoolDifferences,
         quotas_changed: bool,
         common: &CommonSettings,
         predecessors: impl FnOnce() -> Vec<Option<u16>>,
     ) -> Result<Option<Vec<u16>>, SettingsError> {
         let config = &plan.pools[index];
         let mut class_indexes = None;
-        if differs.settings {
+        if differences.settings {
             class_indexes = Some(self.engine.update_settings(common.settings(config), &predecessors())?);
         } else if quotas_changed {
             self.engine.set_tenant_quotas(common.quotas.clone())?;
         }
-        if differs.times {
+        if differences.timeouts {
             self.upstreams.set_timeouts(config);
         }
-        if differs.source {
+        if differences.source {
             match (&self.discovery_address, &config.source) {
                 (Some(address_sender), Source::Discovery(from)) => {
                     self.set_discovery_address(address_sender, from.address)
@@ -276,15 +276,15 @@
         }
     }
 
-    /// Names and addresses of the servers to check.
+    /// Names and addresses of theservers to check.
     pub fn servers_to_check(&self) -> Vec<(String, SocketAddr)> {
-        self.roster.borrow().to_check()
+        self.roster.borrow().servers_to_check()
     }
 
     /// Records the result of a health check, and applies and logs a change of the server's state.
     pub fn record_check(&self, name: &str, passed: bool) {
         let now = self.engine.clock().now();
-        let changed = self.roster.borrow_mut().checked(now, name, passed);
+        let changed = self.roster.borrow_mut().record_check(now, name, passed);
         if let Some(listed) = changed {
             let state = if listed.phase == Phase::Ready { "healthy" } else { "unhealthy" };
             log(format_args!("pool {}: health checks mark server {name} {state}", self.config.name));
@@ -303,19 +303,19 @@
 
 impl ServerListUpdater {
     fn replace(&self, servers: &[plan::Server]) {
-        let listed = self.roster.borrow_mut().replace(self.engine.clock().now(), servers);
+        let listed = self.roster.borrow_mut().replace_list(self.engine.clock().now(), servers);
         self.apply(ListKind::Full, listed);
         self.ready.send_replace(true);
     }
 
-    fn apply(&self, kind: ListKind, listed: Vec<Listed>) {
+    fn apply(&self, kind: ListKind, listed: Vec<RosterEntry>) {
         let entries = listed.into_iter().map(listed_server).collect();
         let servers = self.upstreams.apply_list(kind, entries);
         self.engine.on_server_list(kind, servers);
     }
 }
 
-fn listed_server(listed: Listed) -> ListedServer {
+fn listed_server(listed: RosterEntry) -> ListedServer {
     ListedServer {
         host: listed.name,
         address: listed.address,
--- a/crates/proxy/tests/reload.rs
+++ b/crates/proxy/tests/reload.rs
@@ -3,13 +3,13 @@
 
 use corkhollow_balance::interface::{Class, Phase, Server, Settings};
 use corkhollow_engine::Clock;
-use corkhollow_fleet::Group;
+use corkhollow_fleet::GroupPosition;
 use corkhollow_operate::Metrics;
 use corkhollow_plan::change::PoolChange;
 use corkhollow_plan::config::parse_config;
 use corkhollow_plan::limits::Budget;
 use corkhollow_plan::plan::Plan;
-use corkhollow_plan::routes::Target;
+use corkhollow_plan::routes::RequestHead;
 use corkhollow_proxy::active_plan::ActivePlan;
 use corkhollow_proxy::upstream::{Engines, PoolContext};
 use http::{HeaderMap, HeaderValue, Method};
@@ -163,7 +163,7 @@
     let (headers, method) = (HeaderMap::new(), Method::GET);
     let destination = |path: u8| {
         let path = format!("/{path}");
-        let target = Target {
+        let head = RequestHead {
             listener: 0,
             host: "a.org",
             path: &path,
@@ -171,7 +171,7 @@
             method: &method,
             headers: &headers,
         };
-        let (_, route) = active.plan.routes.find(&target)?;
+        let (_, route) = active.plan.routes.find(&head)?;
         let class = active.plan.class_of(route.class, &method);
         Some((active.plan.pools[route.pool()?].name.clone(), active.plan.classes[class].name.clone()))
     };
@@ -191,7 +191,7 @@
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
         LocalSet::new().block_on(&runtime, async {
             let shared = shared();
-            let group = |k: u32| (k > 0).then(|| Group { ordinal: k, size: 7 * k });
+            let group = |k: u32| (k > 0).then(|| GroupPosition { ordinal: k, size: 7 * k });
             let mut active = ActivePlan::start(first.plan(), &shared, 1, None).unwrap();
             let (mut position, mut last) = (0, first.clone());
             for (file, parts, view_position, changes_while_compiling) in &files {
@@ -205,7 +205,7 @@
                 if !changes_while_compiling {
                     set_group_from_view(&active).await;
                 }
-                let (plan, change) = file.plan().follow(&active.plan);
+                let (plan, change) = file.plan().rebase_on(&active.plan);
                 if *changes_while_compiling {
                     set_group_from_view(&active).await;
                 }
@@ -215,17 +215,17 @@
                 active = old.reload(plan, &change, &shared, 1, group(position)).unwrap();
                 // Pools that are kept are the same objects.
                 for (pool, change) in active.pools.iter().zip(&change.pools) {
-                    if let PoolChange::GoesOn { former, .. } = change {
-                        prop_assert_eq!(Rc::as_ptr(pool), before[*former]);
+                    if let PoolChange::Reused { old_index, .. } = change {
+                        prop_assert_eq!(Rc::as_ptr(pool), before[*old_index]);
                     }
                 }
                 // An unchanged class keeps its index in the pool, and with it what was learned of it, even if
                 // its position in the file changes.
                 for (at, pool) in change.pools.iter().enumerate() {
-                    let PoolChange::GoesOn { former, .. } = pool else { continue };
-                    for (k, predecessor) in change.classes.iter().enumerate() {
+                    let PoolChange::Reused { old_index, .. } = pool else { continue };
+                    for (k, predecessor) in change.old_class_indexes.iter().enumerate() {
                         let Some(predecessor) = predecessor.filter(|predecessor| old.plan.classes[*predecessor] == active.plan.classes[k]) else { continue };
-                        prop_assert_eq!(active.class_indexes[at][k], old.class_indexes[*former][predecessor]);
+                        prop_assert_eq!(active.class_indexes[at][k], old.class_indexes[*old_index][predecessor]);
                     }
                 }
                 last = file;
