--- a/crates/corkhollow/src/commands/membership.rs
+++ b/crates/corkhollow/src/commands/membership.rs
@@ -123,7 +123,7 @@
     /// Lets the pools count so.
     pub async fn regroup(&self, current: &CurrentPlan, group: GroupPosition, pace: &mut LogLimiter) {
         self.group.set(Some(group));
-        match current.get().set_group(group).await {
+        match current.get().set_group_position(group).await {
             Ok(()) => pace.log(format_args!("fleet: counts as number {} of {}", group.ordinal, group.size)),
             Err(why) => pace.log(format_args!("fleet: {why}")),
         }
--- a/crates/proxy/src/active_plan.rs
+++ b/crates/proxy/src/active_plan.rs
@@ -189,7 +189,7 @@
     ///
     /// # Errors
     /// If a pool rejects the position; the pools before it have adopted it.
-    pub async fn set_group(&self, group: GroupPosition) -> Result<(), PoolError> {
+    pub async fn set_group_position(&self, group: GroupPosition) -> Result<(), PoolError> {
         for (index, pool) in self.pools.iter().enumerate() {
             let updated = pool.engine.set_group_position(group.ordinal, group.size.max(group.ordinal + 1));
             updated.map_err(|error| PoolError { pool: self.plan.pools[index].name.clone(), error })?;
--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -28,7 +28,7 @@
     /// The members.
     pub snapshot: Snapshot,
     /// Whether the node is a member.
-    pub standing: NodeStatus,
+    pub status: NodeStatus,
     /// Counters of the protocol.
     pub stats: Stats,
     /// For a successor of this process: the node's incarnation and the addresses of other members.
@@ -123,7 +123,7 @@
     /// The address of another process that uses the node's name.
     pub async fn wait_until_joined(&mut self) -> Result<(), SocketAddr> {
         loop {
-            match self.view.borrow_and_update().standing {
+            match self.view.borrow_and_update().status {
                 NodeStatus::Joining => {}
                 NodeStatus::Member | NodeStatus::Left => return Ok(()),
                 NodeStatus::Refused { by } => return Err(by),
@@ -160,7 +160,7 @@
 fn current_view(node: &Node, now: Nanos) -> View {
     View {
         snapshot: node.snapshot(now),
-        standing: node.status(),
+        status: node.status(),
         stats: node.stats().clone(),
         handover: node.handover_state(),
         at: Instant::now(),
@@ -252,7 +252,7 @@
         let age = self.published_at.elapsed();
         let has_changed = || {
             let published = self.published.borrow();
-            published.standing != self.node.status()
+            published.status != self.node.status()
                 || published.snapshot.view_digest != self.node.view_digest()
                 || published.snapshot.is_settled != self.node.is_settled(self.now())
         };
--- a/crates/proxy/src/operator.rs
+++ b/crates/proxy/src/operator.rs
@@ -132,7 +132,7 @@
 /// The node's view of its fleet, as JSON.
 fn fleet_page(fleet: &Fleet) -> String {
     let view = fleet.view();
-    let refused_by = match view.standing {
+    let refused_by = match view.status {
         NodeStatus::Refused { by } => Some(by),
         _ => None,
     };
--- a/crates/proxy/tests/reload.rs
+++ b/crates/proxy/tests/reload.rs
@@ -199,7 +199,7 @@
                 // The latest view applies, even if it changed while the file was being compiled.
                 let set_group_from_view = async |active: &Rc<ActivePlan>| {
                     if let Some(group) = group(*view_position) {
-                        active.set_group(group).await.unwrap();
+                        active.set_group_position(group).await.unwrap();
                     }
                 };
                 if !changes_while_compiling {
