--- a/crates/faults/src/lib.rs
+++ b/crates/faults/src/lib.rs
@@ -1,5 +1,6 @@
-//! Faults between nodes, as data: how each direction between each two nodes treats datagrams, and a script that changes it and
-//! stops, kills and starts nodes. Whoever plays it holds the clock and the nodes: a simulation, or real processes.
+//! Fault injection between nodes, as data: how each directed link treats datagrams, and scripts that change
+//! the links and stall, kill and start nodes. The caller provides the clock and the nodes: a simulation, or
+//! real processes.
 
 mod network;
 mod script;
@@ -7,5 +8,5 @@
 pub use network::{LinkFaults, Network};
 pub use script::{Action, Script};
 
-/// Time in milliseconds since a play began.
+/// Milliseconds, as a duration or since the start of a script.
 pub type Millis = u64;
