--- a/crates/fleet/src/gossip_queue.rs
+++ b/crates/fleet/src/gossip_queue.rs
@@ -1,68 +1,78 @@
-//! What is to be passed on: each claim a bounded number of times, on whatever is sent anyway and on datagrams of its own.
+//! Dissemination of claims: each is sent a limited number of times, piggybacked on other datagrams or in
+//! gossip datagrams.
 
 use crate::member::Claim;
 use std::collections::{BTreeMap, VecDeque};
 
-struct Rumour {
-    name: String,
+struct QueuedClaim {
+    member: String,
     number: u64,
-    bytes: Vec<u8>,
-    told: u32,
+    encoded: Vec<u8>,
+    transmissions: u32,
 }
 
-/// Claims under way, what was told least in front.
+/// Claims to disseminate; those with the fewest transmissions are in front.
 #[derive(Default)]
-pub struct Rumours {
-    queue: VecDeque<Rumour>,
-    /// By member, the one claim that is still passed on: older ones are dropped as they come up.
+pub struct GossipQueue {
+    queue: VecDeque<QueuedClaim>,
+    /// The number of the newest claim on each member: superseded claims are dropped when they reach the
+    /// front.
     latest: BTreeMap<String, u64>,
-    count: u64,
+    last_number: u64,
 }
 
-impl Rumours {
-    /// Passes a claim on; an older one on the same member is not passed on any longer.
-    pub fn spread(&mut self, claim: &Claim) {
-        // A claim is sound and small: it can be written.
-        if let Ok(bytes) = postcard::to_stdvec(claim) {
-            let name = claim.record.name.clone();
-            self.count += 1;
-            self.latest.insert(name.clone(), self.count);
-            self.queue.push_front(Rumour { name, number: self.count, bytes, told: 0 });
+impl GossipQueue {
+    /// Queues a claim, which supersedes any queued claim on the same member.
+    pub fn push(&mut self, claim: &Claim) {
+        // Encoding a valid claim cannot fail.
+        if let Ok(encoded) = postcard::to_stdvec(claim) {
+            let member = claim.record.name.clone();
+            self.last_number += 1;
+            self.latest.insert(member.clone(), self.last_number);
+            self.queue.push_front(QueuedClaim {
+                member,
+                number: self.last_number,
+                encoded,
+                transmissions: 0,
+            });
         }
     }
 
-    /// Whether there is nothing to tell.
+    /// Whether no claim is left to send.
     pub fn is_empty(&self) -> bool {
         self.latest.is_empty()
     }
 
-    /// Fills a datagram up to its size. Each claim is told `most` times.
-    pub fn fill(&mut self, datagram: &mut Vec<u8>, size: usize, most: u32) {
+    /// Appends queued claims to a datagram while it stays within `max_bytes`. A claim leaves the queue after
+    /// `max_transmissions`.
+    pub fn append_claims(&mut self, datagram: &mut Vec<u8>, max_bytes: usize, max_transmissions: u32) {
         for _ in 0..self.queue.len() {
-            let Some(rumour) = self.queue.front_mut() else { return };
-            let stands = self.latest.get(&rumour.name) == Some(&rumour.number);
-            if stands && datagram.len() + rumour.bytes.len() > size {
+            let Some(claim) = self.queue.front_mut() else { return };
+            let is_latest = self.latest.get(&claim.member) == Some(&claim.number);
+            if is_latest && datagram.len() + claim.encoded.len() > max_bytes {
                 return;
             }
-            let Some(mut rumour) = self.queue.pop_front() else { return };
-            if !stands {
+            let Some(mut claim) = self.queue.pop_front() else { return };
+            if !is_latest {
                 continue;
             }
-            datagram.extend(&rumour.bytes);
-            rumour.told += 1;
-            if rumour.told < most {
-                self.queue.push_back(rumour);
+            datagram.extend(&claim.encoded);
+            claim.transmissions += 1;
+            if claim.transmissions < max_transmissions {
+                self.queue.push_back(claim);
             } else {
-                self.latest.remove(&rumour.name);
+                self.latest.remove(&claim.member);
             }
         }
     }
 }
 
-/// In a small fleet, and where only some reach each other, many of them go back to who told it, or to nobody.
-const LEAST_TIMES: u32 = 10;
+/// Lower bound for small fleets and partial connectivity, where many transmissions reach the claim's source
+/// or nobody.
+const MIN_TRANSMISSIONS: u32 = 10;
 
-/// How often each claim is told in a fleet of so many: it reaches all but a few, which the comparison of digests finds.
-pub fn times(members: usize) -> u32 {
-    (usize::BITS - members.leading_zeros() + 2).max(LEAST_TIMES)
+/// How often each claim is sent in a fleet of this size: enough to reach nearly all members; anti-entropy
+/// reaches the rest.
+pub fn max_transmissions(members: usize) -> u32 {
+    (usize::BITS - members.leading_zeros() + 2).max(MIN_TRANSMISSIONS)
 }
--- a/crates/fleet/src/health.rs
+++ b/crates/fleet/src/health.rs
@@ -1,37 +1,37 @@
-//! How far a node trusts itself (Lifeguard's local health): one that hears too little, or comes too late to its own timers,
-//! gives others more time before it accuses them.
+//! Lifeguard's local health multiplier: a node that misses messages or runs late on its own timers extends
+//! its timeouts before it suspects others.
 
-/// The most that a node may mistrust itself: its timeouts are then this many times longer, and once more.
-const WORST: u32 = 7;
+/// Highest local health score; the timeouts are then multiplied by this number plus one.
+const MAX_SCORE: u32 = 7;
 
-/// 0 where all is well.
+/// The local health score; 0 is healthy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Health {
-    doubt: u32,
-    off: bool,
+pub struct LocalHealth {
+    score: u32,
+    is_disabled: bool,
 }
 
-impl Health {
-    /// One that never doubts itself, for measurements.
-    pub fn never_in_doubt() -> Self {
-        Health { doubt: 0, off: true }
+impl LocalHealth {
+    /// One whose multiplier is always 1.
+    pub fn disabled() -> Self {
+        LocalHealth { score: 0, is_disabled: true }
     }
 
-    /// A sign that the fault may be its own: a probe that nobody answered, a helper that did not even say no, an accusation
-    /// that it had to refute, a late loop.
-    pub fn worse(&mut self) {
-        if !self.off {
-            self.doubt = (self.doubt + 1).min(WORST);
+    /// Records a sign that this node may be at fault: a failed probe with missing nacks, a refuted suspicion
+    /// of itself, or a late timer.
+    pub fn degrade(&mut self) {
+        if !self.is_disabled {
+            self.score = (self.score + 1).min(MAX_SCORE);
         }
     }
 
-    /// A probe was answered.
-    pub fn better(&mut self) {
-        self.doubt = self.doubt.saturating_sub(1);
+    /// Records an answered probe.
+    pub fn improve(&mut self) {
+        self.score = self.score.saturating_sub(1);
     }
 
-    /// By how much its timeouts are longer.
-    pub fn factor(self) -> u64 {
-        u64::from(self.doubt) + 1
+    /// Factor by which probe intervals and timeouts are extended.
+    pub fn timeout_multiplier(self) -> u64 {
+        u64::from(self.score) + 1
     }
 }
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -1,94 +1,96 @@
-//! What is said of a member, and which of two sayings holds.
+//! Members, claims about their state, and the precedence between claims.
 
 use serde::{Deserialize, Serialize};
 use std::cmp::Ordering;
 use std::net::SocketAddr;
 
-/// The longest name of a node or of its zone, in bytes: with both of them, a claim fits into the smallest datagram.
+/// Maximum length of the name of a node or of its zone: a claim with both fits into the smallest datagram.
 pub const MAX_NAME_BYTES: usize = 32;
-/// No node ever comes near so many incarnations: what says so is turned down, so that each can still be refuted.
+/// Records with a higher incarnation are rejected, so that a member can always refute a claim by a higher
+/// incarnation.
 pub const MAX_INCARNATION: u64 = 1 << 48;
 
-/// What a member is held for.
+/// State of a member, in ascending precedence between claims of one incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum MemberState {
-    /// There.
+    /// The member is considered reachable.
     Alive,
-    /// It has missed probes, and can still object. It counts as there.
+    /// It failed a probe and can still refute the suspicion. It counts as present.
     Suspect,
-    /// Given up: it has not objected in time.
+    /// Its suspicion expired without a refutation.
     Dead,
-    /// It has said that it leaves.
+    /// It announced that it leaves.
     Left,
 }
 
 impl MemberState {
-    /// All of them.
+    /// All states, in the order of their discriminants.
     pub const ALL: [MemberState; 4] =
         [MemberState::Alive, MemberState::Suspect, MemberState::Dead, MemberState::Left];
 
-    /// Whether a member in this state counts as there.
+    /// Whether a member in this state counts as present in the fleet.
     pub fn is_present(self) -> bool {
         self <= MemberState::Suspect
     }
 
-    /// Its word, for operators.
+    /// The name that the fleet page, metrics and logs show.
     pub fn name(self) -> &'static str {
         ["alive", "suspect", "dead", "left"][self as usize]
     }
 }
 
-/// A member as it tells of itself.
+/// A member's description of itself.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberRecord {
-    /// Its name, unique in the fleet.
+    /// Name, unique in the fleet.
     pub name: String,
-    /// Raised by the member alone, whenever it objects to what is said of it or tells something new of itself.
+    /// Raised only by the member itself, to refute a claim or to publish a changed record.
     pub incarnation: u64,
-    /// Drawn anew by each process: tells a restarted one, or a second one of the same name, from the first.
+    /// Random number of the process: distinguishes a restarted process, or a second one of the same name,
+    /// from the first.
     pub instance_id: u32,
-    /// Where others reach it.
+    /// Address at which other members reach it.
     pub address: SocketAddr,
-    /// Its zone; empty where it has none.
+    /// Zone, or empty.
     pub zone: String,
-    /// Its operator empties it.
+    /// Whether its operator drains it.
     pub is_draining: bool,
 }
 
 impl MemberRecord {
-    /// Whether it keeps to the bounds that every node keeps to.
+    /// Whether the names, the incarnation and the port are within the bounds that every node enforces.
     pub fn is_valid(&self) -> bool {
-        let named = |text: &str| {
+        let is_valid_name = |text: &str| {
             text.len() <= MAX_NAME_BYTES
                 && text.chars().all(|c| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.'))
         };
         !self.name.is_empty()
-            && named(&self.name)
-            && named(&self.zone)
+            && is_valid_name(&self.name)
+            && is_valid_name(&self.zone)
             && (1..=MAX_INCARNATION).contains(&self.incarnation)
             && self.address.port() != 0
     }
 }
 
-/// What one node says of a member.
+/// A statement about the state of a member, as nodes pass it on.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// What it is held for.
+    /// Claimed state.
     pub state: MemberState,
-    /// Who.
+    /// The member that the claim is about.
     pub record: MemberRecord,
-    /// Who said so first; empty where it said so itself.
+    /// Name of the node that made the claim first; empty if the member made it about itself.
     pub reported_by: String,
 }
 
 impl Claim {
-    /// A member's word on itself.
+    /// A member's claim that it is alive.
     pub fn alive(record: MemberRecord) -> Self {
         Claim { state: MemberState::Alive, record, reported_by: String::new() }
     }
 
-    /// Which of two claims on one member holds: the greater. The same at every node, in whatever order they come: first the
-    /// incarnation, then the graver state, then the life.
+    /// Compares two claims about one member; the greater one takes precedence. By incarnation, then state,
+    /// then instance, so that all nodes agree whatever the order of arrival.
     pub fn compare_precedence(&self, other: &Claim) -> Ordering {
         let key = |claim: &Claim| (claim.record.incarnation, claim.state, claim.record.instance_id);
         key(self).cmp(&key(other))
--- a/crates/fleet/src/node/mod.rs
+++ b/crates/fleet/src/node/mod.rs
@@ -1,43 +1,44 @@
-//! One node of the fleet as a state machine: time and datagrams in, datagrams and events out.
+//! One fleet member as a state machine: time and datagrams in, datagrams and events out.
 
 mod claims;
 mod receive;
 mod timers;
 
-use crate::health::Health;
+use crate::gossip_queue::{max_transmissions, GossipQueue};
+use crate::health::LocalHealth;
 use crate::member::{Claim, MemberRecord, MemberState};
-use crate::probe::{Probe, Relay, Turns};
-use crate::rumours::{times, Rumours};
+use crate::probe::{Probe, ProbeSchedule, RelayedProbe};
 use crate::snapshot::{GroupPosition, MemberView, Snapshot, Stats};
-use crate::table::Table;
-use crate::wire::{Body, DatagramKind, Head, Seal};
+use crate::table::MemberTable;
+use crate::wire::{Body, Codec, DatagramKind, Header};
 use crate::Nanos;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// How fast a node probes, and how long it waits.
+/// Intervals and timeouts of the failure detector.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
-    /// From one probe to the next.
+    /// Interval between probes.
     pub probe_interval: Nanos,
-    /// A probe that is not answered after this goes by others too; less than `probe_every`.
+    /// Time without an ack after which indirect probes are requested; less than `probe_interval`.
     pub probe_timeout: Nanos,
-    /// How long a suspect has to object, where several accuse it.
+    /// Minimum time that a suspect has to refute, which applies once several members suspect it.
     pub suspicion_timeout: Nanos,
 }
 
-/// Lifeguard's additions to SWIM, and the notice that a node takes of its own stalls. All on but for measurements.
+/// Extensions of plain SWIM: those of Lifeguard, and compensation for stalls of the process. Each can be
+/// switched off to measure its effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Extensions {
-    /// A node that may itself be at fault gives others more time.
+    /// Local health multiplier: a node that may itself be at fault extends its timeouts.
     pub local_health: bool,
-    /// A suspect that one node alone accuses has longer.
+    /// Dynamic suspicion timeout: a suspect has longer to refute while only one member suspects it.
     pub dynamic_suspicion: bool,
-    /// A suspect is told so by whoever sends it anything.
+    /// Buddy system: every datagram to a suspect tells it of the suspicion.
     pub buddy_system: bool,
-    /// A node that stood still puts off all that it waited for by as much.
+    /// After a stall of the process, its deadlines are postponed by the length of the stall.
     pub stall_compensation: bool,
 }
 
@@ -52,147 +53,148 @@
     }
 }
 
-/// What a node is told.
+/// Configuration of a node.
 #[derive(Clone)]
 pub struct Config {
-    /// The fleet's name.
+    /// Name of the fleet.
     pub fleet: String,
-    /// The node's own.
+    /// Name of the node, unique in the fleet.
     pub name: String,
-    /// Its zone; empty where it has none.
+    /// Zone, or empty.
     pub zone: String,
-    /// Where others reach it.
+    /// Address at which other members reach the node.
     pub address: SocketAddr,
-    /// Where some members are reached.
+    /// Addresses of members to join through.
     pub seeds: Vec<SocketAddr>,
-    /// The fleet's key, if it has one.
+    /// Key that authenticates the fleet's datagrams.
     pub key: Option<[u8; 32]>,
-    /// Its times.
+    /// Intervals and timeouts.
     pub timing: Timing,
-    /// The largest datagram that it sends, in bytes.
+    /// Maximum size of sent datagrams.
     pub max_datagram_bytes: usize,
-    /// What it does beside plain SWIM.
+    /// Extensions of plain SWIM.
     pub extensions: Extensions,
-    /// Above the incarnation that another process under this name is known to have had; 1 where none is known.
+    /// First incarnation: higher than any known incarnation of an earlier process of this name, otherwise 1.
     pub initial_incarnation: u64,
 }
 
-/// Where the node stands.
+/// Membership status of the node itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NodeStatus {
-    /// It asks who is there, and whether its name is free.
+    /// It requests the members and checks whether its name is free.
     Joining,
     /// It is a member.
     Member,
     /// It has left.
     Left,
-    /// Another process, which has been there for longer, has its name: it is no member, and looks on.
+    /// Another process with a longer uptime has its name: it is not a member, but still follows the fleet.
     Refused {
-        /// Where that process is reached.
+        /// Address of that process.
         by: SocketAddr,
     },
 }
 
-/// Why a member's state has changed.
+/// Why the state of a member changed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Cause {
-    /// It was heard itself.
+    /// A datagram arrived from the member.
     HeardDirectly,
-    /// That node told so.
+    /// The named member reported it.
     ReportedBy(String),
-    /// It did not answer a probe of this node, nor of so many others that were asked.
+    /// Neither this node's probe nor the indirect probes were answered.
     ProbeFailed {
-        /// Others that were asked to probe it.
+        /// Number of members that were asked for an indirect probe.
         indirect_probes: u32,
     },
-    /// It did not object in time to what these said.
+    /// The member did not refute its suspicion by these accusers in time.
     NotRefuted(Vec<String>),
-    /// It said so itself.
+    /// The member announced it.
     SelfReported,
 }
 
-/// Something that operators should hear of.
+/// An event for the operator's log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A member is held for something else.
+    /// The state of a member changed.
     StateChanged {
-        /// Who.
+        /// Name of the member.
         name: String,
-        /// For what.
+        /// New state.
         state: MemberState,
-        /// At which incarnation.
+        /// Incarnation of the member.
         incarnation: u64,
-        /// Why.
+        /// Reason of the change.
         cause: Cause,
     },
-    /// The node was accused, and has objected.
+    /// The node refuted a claim about itself.
     Refuted {
-        /// By whom.
+        /// Name of the node that made the claim.
         by: String,
-        /// Of what.
+        /// Claimed state.
         state: MemberState,
-        /// Its incarnation from now on.
+        /// New incarnation of the node.
         incarnation: u64,
     },
-    /// It came so late to its own timers that it put them off.
+    /// The node ran after its timers by this much, and postponed its deadlines.
     Stalled(Nanos),
-    /// It is a member; how many others are there.
+    /// The node became a member beside this number of present members.
     Joined(usize),
-    /// Another process has its name.
+    /// Another process, at this address, has the node's name.
     Refused(SocketAddr),
 }
 
-/// What is to be done: datagrams by where they go, and what has happened.
+/// Output of the node.
 #[derive(Debug, Default)]
 pub struct Outbox {
-    /// To be sent.
+    /// Datagrams to send, with their destinations.
     pub datagrams: Vec<(SocketAddr, Vec<u8>)>,
-    /// To be told.
+    /// Events to log.
     pub events: Vec<Event>,
 }
 
-/// The node.
+/// The state machine of one node.
 pub struct Node {
     config: Config,
-    seal: Seal,
+    codec: Codec,
     rng: Pcg64Mcg,
     status: NodeStatus,
-    me: MemberRecord,
-    started: Nanos,
-    /// When its standing or its view last changed.
-    changed: Nanos,
-    /// What it last asked to be woken for.
-    wake: Nanos,
-    health: Health,
-    table: Table,
-    rumours: Rumours,
-    turns: Turns,
+    own_record: MemberRecord,
+    started_at: Nanos,
+    /// When the node's status, its own record or its view last changed.
+    last_change_at: Nanos,
+    /// When the node expected to run next; the basis of the timer lag.
+    expected_tick_at: Nanos,
+    local_health: LocalHealth,
+    table: MemberTable,
+    gossip_queue: GossipQueue,
+    probe_schedule: ProbeSchedule,
     probe: Option<Probe>,
-    relays: BTreeMap<u32, Relay>,
-    next_probe: Nanos,
-    next_gossip: Nanos,
-    next_reach: Nanos,
-    next_ask: Nanos,
-    next_join: Nanos,
-    /// While it joins: when it goes ahead, whatever has come.
-    join_by: Nanos,
-    /// What is held of its name while it joins, if another process has or had it.
+    /// Indirect probes for other members, by the sequence number of the ping.
+    relayed_probes: BTreeMap<u32, RelayedProbe>,
+    next_probe_at: Nanos,
+    next_gossip_at: Nanos,
+    next_reconnect_at: Nanos,
+    next_sync_at: Nanos,
+    next_join_at: Nanos,
+    /// When a joining node becomes a member even without an answer.
+    join_deadline: Nanos,
+    /// While joining: the claim with the highest precedence on another process of the node's name.
     namesake: Option<Claim>,
-    /// It has heard from a member.
-    met: bool,
-    /// Claims that cannot be true of living members are checked with these, a bounded number at a time.
-    checks: u32,
-    /// Numbers of datagrams that are answered.
-    seq: u32,
+    /// Whether any member has been heard.
+    has_heard_member: bool,
+    /// Corrections that may still be sent before the next probe or gossip round.
+    remaining_corrections: u32,
+    /// Sequence number of the last ping.
+    last_seq: u32,
     stats: Stats,
-    out: Outbox,
+    outbox: Outbox,
 }
 
 impl Node {
-    /// One that begins to join, with nothing known.
+    /// Creates a node that starts to join.
     pub fn new(config: Config, now: Nanos, seed: u64) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let me = MemberRecord {
+        let own_record = MemberRecord {
             name: config.name.clone(),
             incarnation: config.initial_incarnation.max(1),
             instance_id: rng.next_u32(),
@@ -200,225 +202,244 @@
             zone: config.zone.clone(),
             is_draining: false,
         };
-        let seal = Seal::new(&config.fleet, config.key);
-        let health =
-            if config.extensions.local_health { Health::default() } else { Health::never_in_doubt() };
-        let mut table = Table::default();
-        table.count(&me, true);
-        let every = config.timing.probe_interval;
-        // Nodes that start together should not probe in step.
-        let phase = rng.next_u64() % every;
-        let seq = rng.next_u32();
+        let codec = Codec::new(&config.fleet, config.key);
+        let local_health =
+            if config.extensions.local_health { LocalHealth::default() } else { LocalHealth::disabled() };
+        let mut table = MemberTable::default();
+        table.update_digest(&own_record, true);
+        let interval = config.timing.probe_interval;
+        // Spreads the probes of nodes that start together.
+        let phase = rng.next_u64() % interval;
+        let last_seq = rng.next_u32();
         Node {
-            seal,
+            codec,
             rng,
             status: NodeStatus::Joining,
-            me,
-            started: now,
-            changed: now,
-            wake: now,
-            health,
+            own_record,
+            started_at: now,
+            last_change_at: now,
+            expected_tick_at: now,
+            local_health,
             table,
-            rumours: Rumours::default(),
-            turns: Turns::default(),
+            gossip_queue: GossipQueue::default(),
+            probe_schedule: ProbeSchedule::default(),
             probe: None,
-            relays: BTreeMap::new(),
-            next_probe: now + phase,
-            next_gossip: now,
-            next_reach: now + phase + every,
-            next_ask: now,
-            next_join: now,
-            join_by: now + 2 * every,
+            relayed_probes: BTreeMap::new(),
+            next_probe_at: now + phase,
+            next_gossip_at: now,
+            next_reconnect_at: now + phase + interval,
+            next_sync_at: now,
+            next_join_at: now,
+            join_deadline: now + 2 * interval,
             namesake: None,
-            met: false,
-            checks: 0,
-            seq,
+            has_heard_member: false,
+            remaining_corrections: 0,
+            last_seq,
             stats: Stats::default(),
-            out: Outbox::default(),
+            outbox: Outbox::default(),
             config,
         }
     }
 
-    /// What is to be done since this was last asked.
+    /// Takes the datagrams and events that have accumulated since the last call.
     pub fn take_outbox(&mut self) -> Outbox {
-        std::mem::take(&mut self.out)
+        std::mem::take(&mut self.outbox)
     }
 
-    /// Where it stands.
+    /// Membership status of the node.
     pub fn status(&self) -> NodeStatus {
         self.status
     }
 
-    /// What it has done and seen.
+    /// Counters since the node started.
     pub fn stats(&self) -> &Stats {
         &self.stats
     }
 
-    /// Its incarnation, and where the members that are there are reached: for a process that takes its place.
+    /// The node's incarnation and the addresses of the present members, for its successor process.
     pub fn handover_state(&self) -> (u64, Vec<SocketAddr>) {
-        (self.me.incarnation, self.table.present().map(|held| held.claim.record.address).collect())
+        (self.own_record.incarnation, self.table.present().map(|entry| entry.claim.record.address).collect())
     }
 
-    /// Says that it leaves, to as many as would say it on. Nothing is sent or believed from here on.
+    /// Leaves the fleet and announces it to some members. Afterwards the node ignores datagrams and sends
+    /// none.
     pub fn leave(&mut self, now: Nanos) {
         if self.status == NodeStatus::Member {
-            let claim = Claim { state: MemberState::Left, ..Claim::alive(self.me.clone()) };
-            self.rumours.spread(&claim);
-            // Each of these passes it on; that all of them miss it is as unlikely as that a rumour dies out.
-            for address in self.some_present(2 * times(self.table.count_present()) as usize) {
+            let claim = Claim { state: MemberState::Left, ..Claim::alive(self.own_record.clone()) };
+            self.gossip_queue.push(&claim);
+            // Each of them disseminates the claim, which is lost only if all of these datagrams are.
+            for address in
+                self.sample_present_addresses(2 * max_transmissions(self.table.present_count()) as usize)
+            {
                 self.send(address, Body::Gossip, None);
             }
         }
         self.status = NodeStatus::Left;
-        self.changed = now;
+        self.last_change_at = now;
     }
 
-    /// Its operator empties it, or no longer.
-    pub fn set_draining(&mut self, now: Nanos, drains: bool) {
-        if self.me.is_draining != drains {
-            self.renew(now, self.me.incarnation, |me| me.is_draining = drains);
+    /// Publishes whether the operator drains the node.
+    pub fn set_draining(&mut self, now: Nanos, is_draining: bool) {
+        if self.own_record.is_draining != is_draining {
+            self.raise_incarnation(now, self.own_record.incarnation, |own_record| {
+                own_record.is_draining = is_draining
+            });
         }
     }
 
-    /// Goes by other seeds, times, key and zone from here on. Its name, fleet and address are for good.
+    /// Applies the seeds, timing, datagram size, key and zone of a new configuration. Name, fleet and address
+    /// cannot change.
     pub fn reconfigure(&mut self, now: Nanos, config: &Config) {
         self.config.seeds = config.seeds.clone();
         self.config.timing = config.timing;
         self.config.max_datagram_bytes = config.max_datagram_bytes;
         self.config.key = config.key;
-        self.seal = Seal::new(&self.config.fleet, config.key);
-        if self.me.zone != config.zone {
+        self.codec = Codec::new(&self.config.fleet, config.key);
+        if self.own_record.zone != config.zone {
             let zone = config.zone.clone();
-            self.renew(now, self.me.incarnation, |me| me.zone = zone);
+            self.raise_incarnation(now, self.own_record.incarnation, |own_record| own_record.zone = zone);
         }
     }
 
-    /// The view at this moment.
+    /// The current view.
     pub fn snapshot(&self, now: Nanos) -> Snapshot {
-        let own = MemberView {
-            name: self.me.name.clone(),
-            address: self.me.address,
-            zone: self.me.zone.clone(),
+        let own_view = MemberView {
+            name: self.own_record.name.clone(),
+            address: self.own_record.address,
+            zone: self.own_record.zone.clone(),
             state: if self.status == NodeStatus::Left { MemberState::Left } else { MemberState::Alive },
-            incarnation: self.me.incarnation,
-            state_age: now.saturating_sub(self.started),
-            is_draining: self.me.is_draining,
+            incarnation: self.own_record.incarnation,
+            state_age: now.saturating_sub(self.started_at),
+            is_draining: self.own_record.is_draining,
         };
-        let other = |held: &crate::table::Held| MemberView {
-            name: held.claim.record.name.clone(),
-            address: held.claim.record.address,
-            zone: held.claim.record.zone.clone(),
-            state: held.claim.state,
-            incarnation: held.claim.record.incarnation,
-            state_age: now.saturating_sub(held.since),
-            is_draining: held.claim.record.is_draining,
+        let member_view = |entry: &crate::table::MemberEntry| MemberView {
+            name: entry.claim.record.name.clone(),
+            address: entry.claim.record.address,
+            zone: entry.claim.record.zone.clone(),
+            state: entry.claim.state,
+            incarnation: entry.claim.record.incarnation,
+            state_age: now.saturating_sub(entry.state_since),
+            is_draining: entry.claim.record.is_draining,
         };
-        let mut members: Vec<_> = self.table.all().map(other).chain([own]).collect();
+        let mut members: Vec<_> = self.table.all().map(member_view).chain([own_view]).collect();
         members.sort_by(|a, b| a.name.cmp(&b.name));
         Snapshot {
             fleet: self.config.fleet.clone(),
-            node: self.me.name.clone(),
-            incarnation: self.me.incarnation,
-            view_digest: self.table.view(),
+            node: self.own_record.name.clone(),
+            incarnation: self.own_record.incarnation,
+            view_digest: self.table.view_digest(),
             is_settled: self.is_settled(now),
             members,
             group_position: self.group_position(),
         }
     }
 
-    /// Its place among those that are there. One that has not been told who is there yet counts its seeds as there: it must
-    /// not take the whole of what is meant for all.
+    /// The node's position among the present members. A node that has not heard any member counts its seeds
+    /// as present, so that it does not take all of a fleet-wide limit.
     pub fn group_position(&self) -> GroupPosition {
-        let names = self.table.present().map(|held| held.claim.record.name.as_str());
-        let ordinal = names.filter(|name| *name < self.me.name.as_str()).count();
-        let mut size = self.table.count_present() + 1;
-        if !self.met {
+        let names = self.table.present().map(|entry| entry.claim.record.name.as_str());
+        let ordinal = names.filter(|name| *name < self.own_record.name.as_str()).count();
+        let mut size = self.table.present_count() + 1;
+        if !self.has_heard_member {
             size = size.max(self.other_seeds().count() + 1);
         }
         GroupPosition { ordinal: ordinal as u32, size: size as u32 }
     }
 
-    /// How many others are there, as it holds.
+    /// Number of other members that are present.
     pub fn other_member_count(&self) -> usize {
-        self.table.count_present()
+        self.table.present_count()
     }
 
-    /// The digest of its view.
+    /// Digest of the node's view.
     pub fn view_digest(&self) -> u64 {
-        self.table.view()
+        self.table.view_digest()
     }
 
-    /// Whether nobody is suspected, nothing has changed for two probes, and all that were heard of late and since then have
-    /// the same view: two of them at least, where there are as many.
+    /// Whether no member is suspect, nothing has changed for two probe intervals, and all members heard
+    /// recently and since the last change have the same view. At least two such members are required, or all
+    /// if there are fewer.
     pub fn is_settled(&self, now: Nanos) -> bool {
-        let every = self.config.timing.probe_interval;
-        let since = now.saturating_sub(8 * every).max(self.changed + every / 2);
-        let heard = || self.table.present().filter(|held| held.heard > since);
-        let alone = !self.met && self.other_seeds().next().is_some();
+        let interval = self.config.timing.probe_interval;
+        let heard_after = now.saturating_sub(8 * interval).max(self.last_change_at + interval / 2);
+        let heard_members = || self.table.present().filter(|entry| entry.last_heard_at > heard_after);
+        let is_isolated = !self.has_heard_member && self.other_seeds().next().is_some();
         self.status == NodeStatus::Member
-            && !alone
-            && now >= self.changed + 2 * every
+            && !is_isolated
+            && now >= self.last_change_at + 2 * interval
             && self.table.suspects().is_empty()
-            && heard().count() >= self.table.count_present().min(2)
-            && heard().all(|held| held.view == Some(self.table.view()))
+            && heard_members().count() >= self.table.present_count().min(2)
+            && heard_members().all(|entry| entry.view_digest == Some(self.table.view_digest()))
     }
 
     fn other_seeds(&self) -> impl Iterator<Item = SocketAddr> + '_ {
-        self.config.seeds.iter().copied().filter(|seed| *seed != self.me.address)
+        self.config.seeds.iter().copied().filter(|seed| *seed != self.own_record.address)
     }
 
-    /// Another incarnation above this one, told to all.
-    fn renew(&mut self, now: Nanos, above: u64, change: impl FnOnce(&mut MemberRecord)) {
-        self.table.count(&self.me, false);
-        // What comes in is bounded, so that this cannot overflow.
-        self.me.incarnation = self.me.incarnation.max(above) + 1;
-        change(&mut self.me);
-        self.table.count(&self.me, true);
-        self.changed = now;
+    /// Changes the node's own record under an incarnation higher than its current one and `above`, and
+    /// disseminates it.
+    fn raise_incarnation(&mut self, now: Nanos, above: u64, change: impl FnOnce(&mut MemberRecord)) {
+        self.table.update_digest(&self.own_record, false);
+        // Cannot overflow: received incarnations are at most `MAX_INCARNATION`.
+        self.own_record.incarnation = self.own_record.incarnation.max(above) + 1;
+        change(&mut self.own_record);
+        self.table.update_digest(&self.own_record, true);
+        self.last_change_at = now;
         if self.status == NodeStatus::Member {
-            self.rumours.spread(&Claim::alive(self.me.clone()));
+            self.gossip_queue.push(&Claim::alive(self.own_record.clone()));
         }
     }
 
-    /// Addresses of up to so many others that are there.
-    fn some_present(&mut self, count: usize) -> Vec<SocketAddr> {
-        let all = self.table.present().map(|held| held.claim.record.address).collect();
-        crate::probe::pick(&mut self.rng, all, count)
+    /// Addresses of up to `count` random present members.
+    fn sample_present_addresses(&mut self, count: usize) -> Vec<SocketAddr> {
+        let addresses = self.table.present().map(|entry| entry.claim.record.address).collect();
+        crate::probe::sample(&mut self.rng, addresses, count)
     }
 
-    /// Sends a datagram with as many rumours as fit. Whoever is named and is not held for alive is told so first.
-    fn send(&mut self, address: SocketAddr, body: Body, to: Option<&str>) {
-        let held = to.filter(|_| self.config.extensions.buddy_system).and_then(|name| self.table.get(name));
-        let told = held.map(|held| &held.claim).filter(|claim| claim.state != MemberState::Alive).cloned();
-        let gossips = matches!(self.status, NodeStatus::Member) && !matches!(body, Body::Records);
+    /// Sends a datagram with as many queued claims as fit. With the buddy system, the claim on a receiver
+    /// that is named and not considered alive comes first.
+    fn send(&mut self, address: SocketAddr, body: Body, receiver: Option<&str>) {
+        let entry =
+            receiver.filter(|_| self.config.extensions.buddy_system).and_then(|name| self.table.get(name));
+        let receiver_claim =
+            entry.map(|entry| &entry.claim).filter(|claim| claim.state != MemberState::Alive).cloned();
+        let carries_gossip = matches!(self.status, NodeStatus::Member) && !matches!(body, Body::Records);
         let kind = body.kind();
-        let mut bytes = self.begin(body);
-        let room = self.seal.room(self.config.max_datagram_bytes);
-        if let Some(claim) = told.and_then(|claim| postcard::to_stdvec(&claim).ok()) {
-            if bytes.len() + claim.len() <= room {
+        let mut bytes = self.start_datagram(body);
+        let max_bytes = self.codec.max_bytes_before_mac(self.config.max_datagram_bytes);
+        if let Some(claim) = receiver_claim.and_then(|claim| postcard::to_stdvec(&claim).ok()) {
+            if bytes.len() + claim.len() <= max_bytes {
                 bytes.extend(claim);
             }
         }
-        if gossips {
-            self.rumours.fill(&mut bytes, room, times(self.table.count_present()));
+        if carries_gossip {
+            self.gossip_queue.append_claims(
+                &mut bytes,
+                max_bytes,
+                max_transmissions(self.table.present_count()),
+            );
         }
-        self.finish(address, kind, bytes);
+        self.finish_datagram(address, kind, bytes);
     }
 
-    fn begin(&self, body: Body) -> Vec<u8> {
-        self.seal.open(&Head { from: self.me.clone(), view: self.table.view(), body })
+    fn start_datagram(&self, body: Body) -> Vec<u8> {
+        self.codec.encode_header(&Header {
+            sender: self.own_record.clone(),
+            view_digest: self.table.view_digest(),
+            body,
+        })
     }
 
-    fn finish(&mut self, address: SocketAddr, kind: DatagramKind, mut bytes: Vec<u8>) {
-        self.seal.close(&mut bytes);
-        let (count, sum) = &mut self.stats.sent[kind as usize];
-        *count += 1;
-        *sum += bytes.len() as u64;
-        self.out.datagrams.push((address, bytes));
+    fn finish_datagram(&mut self, address: SocketAddr, kind: DatagramKind, mut bytes: Vec<u8>) {
+        self.codec.append_mac(&mut bytes);
+        let (datagram_count, byte_count) = &mut self.stats.sent[kind as usize];
+        *datagram_count += 1;
+        *byte_count += bytes.len() as u64;
+        self.outbox.datagrams.push((address, bytes));
     }
 
-    fn number(&mut self) -> u32 {
-        self.seq = self.seq.wrapping_add(1);
-        self.seq
+    fn next_seq(&mut self) -> u32 {
+        self.last_seq = self.last_seq.wrapping_add(1);
+        self.last_seq
     }
 }
--- a/crates/fleet/src/node/receive.rs
+++ b/crates/fleet/src/node/receive.rs
@@ -1,299 +1,343 @@
-//! What comes in.
+//! Handling of received datagrams.
 
 use super::{Cause, Event, Node, NodeStatus};
 use crate::member::{Claim, MemberRecord, MemberState};
-use crate::probe::Relay;
-use crate::wire::{Body, DatagramError, DatagramKind, Packet};
+use crate::probe::RelayedProbe;
+use crate::wire::{Body, Datagram, DatagramError, DatagramKind};
 use crate::Nanos;
 use std::net::SocketAddr;
 
-/// Datagrams that answer one comparison of digests; what is left comes with the next.
-const MOST_RECORDS: usize = 32;
-/// Two processes under one name whose ages differ by less began together: which one is older cannot be told by datagrams.
-const TOGETHER: Nanos = 250_000_000;
-/// Probes for others that a node has under way at the most.
-const MOST_RELAYS: usize = 256;
+/// Maximum number of datagrams in answer to a join or to digests; the next exchange of digests delivers the
+/// rest.
+const MAX_RECORDS_DATAGRAMS: usize = 32;
+/// Two processes of one name whose uptimes differ by less count as started together: delays on the network
+/// hide which is older.
+const MIN_UPTIME_DIFFERENCE: Nanos = 250_000_000;
+/// Maximum number of simultaneous indirect probes for other members.
+const MAX_RELAYED_PROBES: usize = 256;
 
 impl Node {
-    /// Takes in a datagram, whoever has sent it.
+    /// Handles a datagram from any sender.
     ///
     /// # Errors
-    /// Where nothing, or nothing beyond the sender's own state, was taken from it.
+    /// If the datagram was rejected, or its claims about members other than the sender and this node were
+    /// ignored in whole or in part.
     pub fn handle(&mut self, now: Nanos, bytes: &[u8]) -> Result<(), DatagramError> {
-        self.notice(now);
-        let handled = self.seal.read(bytes).and_then(|packet| {
-            let (count, sum) = &mut self.stats.received[packet.head.body.kind() as usize];
-            *count += 1;
-            *sum += bytes.len() as u64;
-            self.take_in(now, packet)
+        self.check_timer_lag(now);
+        let result = self.codec.decode(bytes).and_then(|datagram| {
+            let (datagram_count, byte_count) = &mut self.stats.received[datagram.header.body.kind() as usize];
+            *datagram_count += 1;
+            *byte_count += bytes.len() as u64;
+            self.handle_datagram(now, datagram)
         });
-        if let Err(why) = handled {
-            self.stats.rejected[why as usize] += 1;
+        if let Err(error) = result {
+            self.stats.rejected[error as usize] += 1;
         }
-        self.wake = self.next_tick_at().max(now);
-        handled
+        self.expected_tick_at = self.next_tick_at().max(now);
+        result
     }
 
-    fn take_in(&mut self, now: Nanos, packet: Packet) -> Result<(), DatagramError> {
+    fn handle_datagram(&mut self, now: Nanos, datagram: Datagram) -> Result<(), DatagramError> {
         if self.status == NodeStatus::Left {
             return Ok(());
         }
-        let Packet { head, claims } = packet;
-        let from = head.from;
-        if from.name == self.me.name {
-            if from.instance_id != self.me.instance_id {
-                self.meet_double(now, from, &head.body);
+        let Datagram { header, claims } = datagram;
+        let sender = header.sender;
+        if sender.name == self.own_record.name {
+            if sender.instance_id != self.own_record.instance_id {
+                self.resolve_name_conflict(now, sender, &header.body);
             }
             return Ok(());
         }
-        if head.body == Body::Join {
-            self.welcome(&from);
+        if header.body == Body::Join {
+            self.answer_join(&sender);
             return Ok(());
         }
-        let refused = matches!(self.status, NodeStatus::Refused { .. });
-        let heard = self.hear(now, &from, head.view)?;
-        if !heard {
-            // It has been given up and does not know: it is told, and what it believes of others does not count. It may be
-            // well all the same: what it asks is answered.
-            // What it says of this node does: both sides of a cut have given each other up.
+        let is_refused = matches!(self.status, NodeStatus::Refused { .. });
+        let is_current = self.update_sender(now, &sender, header.view_digest)?;
+        if !is_current {
+            // The sender does not know that it has been given up. Its claims about this node still count,
+            // since both sides of a partition give each other up; its claims about others are ignored. Its
+            // pings are answered.
             for claim in &claims {
-                self.accused(now, claim, &from);
+                self.handle_claim_about_self(now, claim, &sender);
             }
-            if let Body::Ping { seq, to } = &head.body {
-                self.answer(&from, *seq, to);
-            } else if !refused && self.may_check() {
-                self.contradict(&from);
+            if let Body::Ping { seq, target } = &header.body {
+                self.answer_ping(&sender, *seq, target);
+            } else if !is_refused && self.take_correction() {
+                self.send_claim_about_sender(&sender);
             }
             return Err(DatagramError::StaleSender);
         }
-        let mut full = false;
+        let mut is_table_full = false;
         for claim in claims {
-            full |= self.consider(now, claim, &from).is_err();
+            is_table_full |= self.merge_claim(now, claim, &sender).is_err();
         }
-        if refused {
+        if is_refused {
             return Ok(());
         }
-        match head.body {
-            Body::Ping { seq, to } => self.answer(&from, seq, &to),
-            Body::Ack { seq } => self.acknowledged(seq),
-            Body::PingRequest { seq, to, address } => self.ping_for(now, &from, seq, to, address),
+        match header.body {
+            Body::Ping { seq, target } => self.answer_ping(&sender, seq, &target),
+            Body::Ack { seq } => self.handle_ack(seq),
+            Body::PingRequest { seq, target, address } => {
+                self.relay_probe(now, &sender, seq, target, address)
+            }
             Body::Nack { seq } => {
                 if let Some(probe) = self.probe.as_mut().filter(|probe| probe.seq == seq) {
                     probe.nacks += 1;
                 }
             }
-            Body::Digests { digests, back } => {
-                self.tell_of(&from, &digests);
-                if back {
-                    self.ask(from.address, false);
+            Body::Digests { digests, wants_digests } => {
+                self.answer_digests(&sender, &digests);
+                if wants_digests {
+                    self.send_digests(sender.address, false);
                 }
             }
-            Body::Records => self.welcomed(now),
+            Body::Records => self.handle_records(now),
             Body::Gossip | Body::Join | Body::NameConflict { .. } => {}
         }
-        let suspected =
-            self.table.get(&from.name).is_some_and(|held| held.claim.state == MemberState::Suspect);
-        if suspected && self.config.extensions.buddy_system {
-            self.send(from.address, Body::Gossip, Some(&from.name));
+        let is_suspect =
+            self.table.get(&sender.name).is_some_and(|entry| entry.claim.state == MemberState::Suspect);
+        if is_suspect && self.config.extensions.buddy_system {
+            self.send(sender.address, Body::Gossip, Some(&sender.name));
         }
-        self.compare(now, &from, head.view);
-        if full {
+        self.sync_if_views_differ(now, &sender, header.view_digest);
+        if is_table_full {
             return Err(DatagramError::TableFull);
         }
         Ok(())
     }
 
-    /// The sender's own word on itself; false where this node has better knowledge: it has been given up, or another process
-    /// has its name.
-    fn hear(&mut self, now: Nanos, from: &MemberRecord, view: u64) -> Result<bool, DatagramError> {
-        let word = Claim::alive(from.clone());
-        match self.table.get(&from.name) {
-            // What it sent before its latest word may come after it.
-            Some(held) if held.claim.compare_precedence(&word).is_ge() => {
-                if held.claim.record.instance_id != from.instance_id || !held.claim.state.is_present() {
+    /// Merges the sender's own record. Returns false if the sender is dead or has left, or if another process
+    /// with precedence has its name.
+    fn update_sender(
+        &mut self,
+        now: Nanos,
+        sender: &MemberRecord,
+        view_digest: u64,
+    ) -> Result<bool, DatagramError> {
+        let claim = Claim::alive(sender.clone());
+        match self.table.get(&sender.name) {
+            // Datagrams of a present member may arrive out of order.
+            Some(entry) if entry.claim.compare_precedence(&claim).is_ge() => {
+                if entry.claim.record.instance_id != sender.instance_id || !entry.claim.state.is_present() {
                     return Ok(false);
                 }
             }
-            _ => self.settle_alive(now, word, Cause::HeardDirectly)?,
+            _ => self.set_alive(now, claim, Cause::HeardDirectly)?,
         }
-        if let Some(held) = self.table.get_mut(&from.name) {
-            (held.heard, held.view) = (now, Some(view));
+        if let Some(entry) = self.table.get_mut(&sender.name) {
+            (entry.last_heard_at, entry.view_digest) = (now, Some(view_digest));
         }
-        self.met = true;
+        self.has_heard_member = true;
         Ok(true)
     }
 
-    /// Tells a sender what is held of its name: that it has been given up, or that another process has it.
-    fn contradict(&mut self, from: &MemberRecord) {
-        let mut bytes = self.begin(Body::Gossip);
-        let held = self.table.get(&from.name).and_then(|held| postcard::to_stdvec(&held.claim).ok());
-        bytes.extend(held.unwrap_or_default());
-        self.finish(from.address, DatagramKind::Gossip, bytes);
+    /// Sends the accepted claim on the sender's name, so that the sender can refute it or notice the other
+    /// process.
+    fn send_claim_about_sender(&mut self, sender: &MemberRecord) {
+        let mut bytes = self.start_datagram(Body::Gossip);
+        let claim = self.table.get(&sender.name).and_then(|entry| postcard::to_stdvec(&entry.claim).ok());
+        bytes.extend(claim.unwrap_or_default());
+        self.finish_datagram(sender.address, DatagramKind::Gossip, bytes);
     }
 
-    /// A process that joins gets no place before it knows whether its name is free.
-    fn welcome(&mut self, from: &MemberRecord) {
+    /// Sends all claims to a joining process, which is not added to the table before it knows that its name
+    /// is free.
+    fn answer_join(&mut self, sender: &MemberRecord) {
         if !matches!(self.status, NodeStatus::Member) {
             return;
         }
-        // What is held of its name comes first.
-        let own = self.table.get(&from.name).map(|held| held.claim.clone());
-        let others = self.table.all().map(|held| &held.claim).filter(|claim| claim.record.name != from.name);
-        let claims: Vec<_> = own.into_iter().chain(others.cloned()).collect();
-        self.send_records(from.address, claims);
+        // The claim on the sender's own name comes first, so that it is never left out.
+        let sender_claim = self.table.get(&sender.name).map(|entry| entry.claim.clone());
+        let other_claims =
+            self.table.all().map(|entry| &entry.claim).filter(|claim| claim.record.name != sender.name);
+        let claims: Vec<_> = sender_claim.into_iter().chain(other_claims.cloned()).collect();
+        self.send_records(sender.address, claims);
     }
 
-    /// Tells of all in the parts that differ.
-    fn tell_of(&mut self, to: &MemberRecord, digests: &[u32; crate::wire::BUCKETS]) {
-        let claims: Vec<_> = self.table.differing(digests).cloned().collect();
-        self.send_records(to.address, claims);
+    /// Sends the claims of all buckets whose digests differ.
+    fn answer_digests(&mut self, sender: &MemberRecord, digests: &[u32; crate::wire::DIGEST_BUCKETS]) {
+        let claims: Vec<_> = self.table.claims_in_differing_buckets(digests).cloned().collect();
+        self.send_records(sender.address, claims);
     }
 
-    /// Sends claims in as many datagrams as they take, up to a bound; one at least.
+    /// Sends claims in at least one and at most [`MAX_RECORDS_DATAGRAMS`] datagrams.
     fn send_records(&mut self, address: SocketAddr, claims: Vec<Claim>) {
-        let room = self.seal.room(self.config.max_datagram_bytes);
-        let start = crate::probe::draw(&mut self.rng, claims.len().max(1));
-        // Where not all fit, another part of them comes first each time, but for the very first.
+        let max_bytes = self.codec.max_bytes_before_mac(self.config.max_datagram_bytes);
+        let start = crate::probe::random_below(&mut self.rng, claims.len().max(1));
+        // All but the first claim are rotated at random, so that a limited answer leaves out other claims
+        // each time.
         let rotated = claims
             .iter()
             .take(1)
             .chain(claims.iter().skip(1).cycle().skip(start).take(claims.len().saturating_sub(1)));
-        let mut bytes = self.begin(Body::Records);
-        let mut sent = 0;
+        let mut bytes = self.start_datagram(Body::Records);
+        let mut sent_count = 0;
         for claim in rotated {
             let Ok(claim) = postcard::to_stdvec(claim) else { continue };
-            if bytes.len() + claim.len() > room {
-                self.finish(address, DatagramKind::Records, bytes);
-                sent += 1;
-                if sent == MOST_RECORDS {
+            if bytes.len() + claim.len() > max_bytes {
+                self.finish_datagram(address, DatagramKind::Records, bytes);
+                sent_count += 1;
+                if sent_count == MAX_RECORDS_DATAGRAMS {
                     return;
                 }
-                bytes = self.begin(Body::Records);
+                bytes = self.start_datagram(Body::Records);
             }
             bytes.extend(claim);
         }
-        self.finish(address, DatagramKind::Records, bytes);
+        self.finish_datagram(address, DatagramKind::Records, bytes);
     }
 
-    /// Somebody has told who is there.
-    fn welcomed(&mut self, now: Nanos) {
+    /// Completes the join on the first answer, unless another process may have the node's name.
+    fn handle_records(&mut self, now: Nanos) {
         if self.status != NodeStatus::Joining {
             return;
         }
-        if self.double().is_none() {
-            self.become_member(now);
+        if self.namesake_address().is_none() {
+            self.complete_join(now);
         } else {
-            // That one is asked as soon as may be, and gets its time.
+            // The other process is contacted with the next join request, and has time to answer.
             let timeout = self.config.timing.probe_timeout;
-            self.next_join = self.next_join.min(now);
-            self.join_by = self.join_by.max(self.started + 6 * timeout);
+            self.next_join_at = self.next_join_at.min(now);
+            self.join_deadline = self.join_deadline.max(self.started_at + 6 * timeout);
         }
     }
 
-    /// Another process under the node's own name. Who has been there for longer keeps it: times of one's own need no common
-    /// clock, and as what a process says of its age is old when it comes, two can never both give way.
-    fn meet_double(&mut self, now: Nanos, from: MemberRecord, body: &Body) {
-        let uptime = now.saturating_sub(self.started);
+    /// Handles a datagram of another process with the node's name: the process with the longer uptime keeps
+    /// the name. Uptimes need no common clock.
+    fn resolve_name_conflict(&mut self, now: Nanos, sender: MemberRecord, body: &Body) {
+        let uptime = now.saturating_sub(self.started_at);
         match (self.status, body) {
             (NodeStatus::Left | NodeStatus::Refused { .. }, _) => {}
-            (_, Body::NameConflict { uptime: theirs })
-                if self.gives_way(*theirs, uptime, from.instance_id) =>
+            (_, Body::NameConflict { uptime: other_uptime })
+                if self.should_yield_name(*other_uptime, uptime, sender.instance_id) =>
             {
-                self.table.count(&self.me, false);
-                self.status = NodeStatus::Refused { by: from.address };
-                self.out.events.push(Event::Refused(from.address));
+                self.table.update_digest(&self.own_record, false);
+                self.status = NodeStatus::Refused { by: sender.address };
+                self.outbox.events.push(Event::Refused(sender.address));
             }
             _ => {
-                self.send(from.address, Body::NameConflict { uptime }, None);
-                if *body != Body::Join && from.incarnation >= self.me.incarnation {
-                    self.renew(now, from.incarnation, |_| ());
+                self.send(sender.address, Body::NameConflict { uptime }, None);
+                if *body != Body::Join && sender.incarnation >= self.own_record.incarnation {
+                    self.raise_incarnation(now, sender.incarnation, |_| ());
                 }
             }
         }
     }
 
-    /// Whether the other one stays, by its age when it told it and this node's now. What was told is old by the time that it took:
-    /// the other is never taken for older than it is, so that not both give way, and of two that began together the greater
-    /// life stays, so that one does.
-    fn gives_way(&self, theirs: Nanos, own: Nanos, life: u32) -> bool {
-        theirs > own.saturating_add(TOGETHER)
-            || (theirs.abs_diff(own) <= TOGETHER && life > self.me.instance_id)
+    /// Whether the other process keeps the name. A received uptime is too low by the time on the network,
+    /// never too high, so that at most one process yields; the greater instance id decides between processes
+    /// that started together.
+    fn should_yield_name(&self, other_uptime: Nanos, own_uptime: Nanos, other_instance_id: u32) -> bool {
+        other_uptime > own_uptime.saturating_add(MIN_UPTIME_DIFFERENCE)
+            || (other_uptime.abs_diff(own_uptime) <= MIN_UPTIME_DIFFERENCE
+                && other_instance_id > self.own_record.instance_id)
     }
 
-    /// A probe is answered by the one that it names, at whatever address that one was reached.
-    fn answer(&mut self, from: &MemberRecord, seq: u32, to: &str) {
-        if to == self.me.name && self.status == NodeStatus::Member {
-            self.send(from.address, Body::Ack { seq }, Some(&from.name));
+    /// Answers a ping if it names this node; one that reached this address for another member is ignored.
+    fn answer_ping(&mut self, sender: &MemberRecord, seq: u32, target: &str) {
+        if target == self.own_record.name && self.status == NodeStatus::Member {
+            self.send(sender.address, Body::Ack { seq }, Some(&sender.name));
         }
     }
 
-    fn acknowledged(&mut self, seq: u32) {
+    fn handle_ack(&mut self, seq: u32) {
         if self.probe.as_ref().is_some_and(|probe| probe.seq == seq) {
             self.probe = None;
-            self.health.better();
-        } else if let Some(relay) = self.relays.remove(&seq) {
-            self.send(relay.asker.1, Body::Ack { seq: relay.asked }, Some(&relay.asker.0));
+            self.local_health.improve();
+        } else if let Some(relayed) = self.relayed_probes.remove(&seq) {
+            self.send(
+                relayed.requester.1,
+                Body::Ack { seq: relayed.requester_seq },
+                Some(&relayed.requester.0),
+            );
         }
     }
 
-    fn ping_for(&mut self, now: Nanos, asker: &MemberRecord, asked: u32, to: String, address: SocketAddr) {
-        if self.relays.len() >= MOST_RELAYS || to == self.me.name {
+    fn relay_probe(
+        &mut self,
+        now: Nanos,
+        requester: &MemberRecord,
+        requester_seq: u32,
+        target: String,
+        address: SocketAddr,
+    ) {
+        if self.relayed_probes.len() >= MAX_RELAYED_PROBES || target == self.own_record.name {
             return;
         }
-        let seq = self.number();
-        // Some time is left for the word that nothing has come.
+        let seq = self.next_seq();
+        // Early enough for the nack to arrive before the requester's probe fails.
         let nack_at = now + self.config.timing.probe_timeout * 4 / 5;
-        let asker = (asker.name.clone(), asker.address);
-        self.relays.insert(seq, Relay { asked, asker, nack_at });
-        self.send(address, Body::Ping { seq, to: to.clone() }, Some(&to));
+        let requester = (requester.name.clone(), requester.address);
+        self.relayed_probes.insert(seq, RelayedProbe { requester_seq, requester, nack_at });
+        self.send(address, Body::Ping { seq, target: target.clone() }, Some(&target));
     }
 
-    /// Compares views, where both have had the time to hear the latest rumours.
-    fn compare(&mut self, now: Nanos, from: &MemberRecord, view: u64) {
-        let every = self.config.timing.probe_interval;
-        let quiet = now >= self.changed + every;
-        let long_ago = now >= self.next_ask + 8 * every;
-        let due = now >= self.next_ask && (quiet || long_ago);
-        if self.status == NodeStatus::Member && view != self.table.view() && due {
-            self.next_ask = now + every;
-            self.ask(from.address, true);
+    /// Sends digests to a member whose view differs, at most once per probe interval. While views still
+    /// change, gossip gets time to deliver the changes first, but no more than eight intervals.
+    fn sync_if_views_differ(&mut self, now: Nanos, sender: &MemberRecord, view_digest: u64) {
+        let interval = self.config.timing.probe_interval;
+        let is_quiet = now >= self.last_change_at + interval;
+        let is_overdue = now >= self.next_sync_at + 8 * interval;
+        let is_due = now >= self.next_sync_at && (is_quiet || is_overdue);
+        if self.status == NodeStatus::Member && view_digest != self.table.view_digest() && is_due {
+            self.next_sync_at = now + interval;
+            self.send_digests(sender.address, true);
         }
     }
 
-    /// Whether the claim is on this node's own name, and what comes of it then.
-    pub(super) fn accused(&mut self, now: Nanos, claim: &Claim, from: &MemberRecord) -> bool {
-        if claim.record.name != self.me.name {
+    /// Handles a claim on the node's own name: refutes it, or reacts to another process of that name. Returns
+    /// false if the claim is about another member.
+    pub(super) fn handle_claim_about_self(
+        &mut self,
+        now: Nanos,
+        claim: &Claim,
+        sender: &MemberRecord,
+    ) -> bool {
+        if claim.record.name != self.own_record.name {
             return false;
         }
-        let ours = claim.record.instance_id == self.me.instance_id;
+        let is_own_instance = claim.record.instance_id == self.own_record.instance_id;
         match self.status {
-            // What was there before it, or a second one: who it is shows when that one is asked.
+            // Either a predecessor or a second process of this name: a join request to its address shows
+            // which.
             NodeStatus::Joining
-                if !ours
-                    && self.namesake.as_ref().is_none_or(|held| claim.compare_precedence(held).is_gt()) =>
+                if !is_own_instance
+                    && self
+                        .namesake
+                        .as_ref()
+                        .is_none_or(|namesake| claim.compare_precedence(namesake).is_gt()) =>
             {
                 self.namesake = Some(claim.clone());
             }
-            NodeStatus::Member if claim.record.incarnation >= self.me.incarnation => {
-                if ours
+            NodeStatus::Member if claim.record.incarnation >= self.own_record.incarnation => {
+                if is_own_instance
                     && claim.state == MemberState::Alive
-                    && claim.record.incarnation == self.me.incarnation
+                    && claim.record.incarnation == self.own_record.incarnation
                 {
                     return true;
                 }
-                if !ours && claim.state.is_present() && claim.record.address != self.me.address {
-                    let uptime = now.saturating_sub(self.started);
+                if !is_own_instance
+                    && claim.state.is_present()
+                    && claim.record.address != self.own_record.address
+                {
+                    let uptime = now.saturating_sub(self.started_at);
                     self.send(claim.record.address, Body::NameConflict { uptime }, None);
                 }
-                self.renew(now, claim.record.incarnation, |_| ());
-                if ours && claim.state != MemberState::Alive {
-                    self.health.worse();
+                self.raise_incarnation(now, claim.record.incarnation, |_| ());
+                if is_own_instance && claim.state != MemberState::Alive {
+                    self.local_health.degrade();
                     self.stats.refutations += 1;
-                    let by = if claim.reported_by.is_empty() { &from.name } else { &claim.reported_by };
-                    let incarnation = self.me.incarnation;
-                    self.out.events.push(Event::Refuted { by: by.clone(), state: claim.state, incarnation });
-                    // Whoever accuses it is answered at once.
-                    self.send(from.address, Body::Gossip, Some(&from.name));
+                    let by = if claim.reported_by.is_empty() { &sender.name } else { &claim.reported_by };
+                    let incarnation = self.own_record.incarnation;
+                    self.outbox.events.push(Event::Refuted {
+                        by: by.clone(),
+                        state: claim.state,
+                        incarnation,
+                    });
+                    // The refutation goes to the sender of the claim at once.
+                    self.send(sender.address, Body::Gossip, Some(&sender.name));
                 }
             }
             _ => {}
--- a/crates/fleet/src/node/timers.rs
+++ b/crates/fleet/src/node/timers.rs
@@ -1,272 +1,294 @@
-//! What a node does by itself: joining, probes, suspicions that end, rumours, looking for those that are gone.
+//! Actions by time: joining, probes, suspicion timeouts, gossip rounds, and contact with dead members and
+//! unknown seeds.
 
 use super::{Cause, Event, Node, NodeStatus};
 use crate::member::{Claim, MemberState};
-use crate::probe::{pick, Probe};
+use crate::probe::{sample, Probe};
 use crate::wire::Body;
 use crate::Nanos;
 
-/// Members that a node asks to probe another one.
-const HELPERS: usize = 3;
-/// Members that hear each round of rumours.
-const FAN_OUT: usize = 3;
-/// Rounds of rumours in the time from one probe to the next.
-const ROUNDS: u64 = 3;
-/// Members that a round of rumours may check on.
-pub(super) const CHECKS: u32 = 4;
+/// Maximum number of members that are asked for an indirect probe (SWIM's k).
+const INDIRECT_PROBES: usize = 3;
+/// Maximum number of members that receive each gossip round.
+const GOSSIP_FANOUT: usize = 3;
+/// Number of gossip rounds per probe interval.
+const GOSSIP_ROUNDS_PER_PROBE: u64 = 3;
+/// Maximum number of corrections from one probe or gossip round to the next.
+pub(super) const MAX_CORRECTIONS: u32 = 4;
 
 impl Node {
-    /// Does what is due. To be called no later than [`Node::next`], and after all that has come has been handled: a node
-    /// that stood still must hear first what it missed.
+    /// Performs all actions that are due. To be called no later than [`Node::next_tick_at`], and after all
+    /// received datagrams have been handled: after a stall these must count before any timeout does.
     pub fn tick(&mut self, now: Nanos) {
-        self.notice(now);
+        self.check_timer_lag(now);
         if self.status == NodeStatus::Joining {
-            self.join(now);
+            self.continue_join(now);
         }
         if self.status == NodeStatus::Member {
-            self.relay(now);
-            self.go_on_with_probe(now);
-            self.end_suspicions(now);
-            if now >= self.next_probe {
-                self.begin_probe(now);
+            self.send_due_nacks(now);
+            self.continue_probe(now);
+            self.expire_suspicions(now);
+            if now >= self.next_probe_at {
+                self.start_probe(now);
             }
-            if now >= self.next_gossip {
-                self.next_gossip = now + self.config.timing.probe_interval / ROUNDS;
-                self.checks = CHECKS;
-                self.gossip();
+            if now >= self.next_gossip_at {
+                self.next_gossip_at = now + self.config.timing.probe_interval / GOSSIP_ROUNDS_PER_PROBE;
+                self.remaining_corrections = MAX_CORRECTIONS;
+                self.send_gossip();
             }
-            if now >= self.next_reach {
-                self.next_reach = now + 2 * self.config.timing.probe_interval;
-                self.reach();
+            if now >= self.next_reconnect_at {
+                self.next_reconnect_at = now + 2 * self.config.timing.probe_interval;
+                self.reconnect();
                 self.table.reap(now);
             }
         }
-        self.wake = self.next_tick_at();
+        self.expected_tick_at = self.next_tick_at();
     }
 
     /// When [`Node::tick`] is due again.
     pub fn next_tick_at(&self) -> Nanos {
         match self.status {
-            NodeStatus::Joining => self.next_join.min(self.join_by),
+            NodeStatus::Joining => self.next_join_at.min(self.join_deadline),
             NodeStatus::Member => {
-                let probe = self.probe.as_ref().map(|probe| probe.ask_others.unwrap_or(probe.end));
-                let nacks = self.relays.values().map(|relay| relay.nack_at).min();
-                let ends = self.table.next_end();
-                let gossip = Some(self.next_gossip).filter(|_| !self.rumours.is_empty());
-                let dues = [probe, nacks, ends, gossip, Some(self.next_reach)];
-                dues.into_iter().flatten().fold(self.next_probe, Nanos::min)
+                let probe = self.probe.as_ref().map(|probe| probe.indirect_at.unwrap_or(probe.deadline));
+                let nack = self.relayed_probes.values().map(|relayed| relayed.nack_at).min();
+                let suspicion = self.table.next_suspicion_deadline();
+                let gossip = Some(self.next_gossip_at).filter(|_| !self.gossip_queue.is_empty());
+                let timers = [probe, nack, suspicion, gossip, Some(self.next_reconnect_at)];
+                timers.into_iter().flatten().fold(self.next_probe_at, Nanos::min)
             }
             NodeStatus::Left | NodeStatus::Refused { .. } => Nanos::MAX,
         }
     }
 
-    /// Whether it comes so late that what it waited for says nothing: then it waits for as long again. A process may have
-    /// stood still between any two instructions.
-    pub(super) fn notice(&mut self, now: Nanos) {
-        let late = now.saturating_sub(self.wake);
-        self.stats.timer_lag = late;
-        self.stats.max_timer_lag = self.stats.max_timer_lag.max(late);
-        if late <= self.config.timing.probe_timeout / 2 {
+    /// Records how late the node runs, and postpones all deadlines by that time if it is long: while the
+    /// process was stalled, it could not receive the awaited datagrams.
+    pub(super) fn check_timer_lag(&mut self, now: Nanos) {
+        let lag = now.saturating_sub(self.expected_tick_at);
+        self.stats.timer_lag = lag;
+        self.stats.max_timer_lag = self.stats.max_timer_lag.max(lag);
+        if lag <= self.config.timing.probe_timeout / 2 {
             return;
         }
-        self.wake = now;
-        self.health.worse();
+        self.expected_tick_at = now;
+        self.local_health.degrade();
         if !self.config.extensions.stall_compensation {
             return;
         }
-        if late >= self.config.timing.probe_interval {
-            self.out.events.push(Event::Stalled(late));
+        if lag >= self.config.timing.probe_interval {
+            self.outbox.events.push(Event::Stalled(lag));
         }
-        self.table.put_off(late);
+        self.table.postpone_suspicions(lag);
         if let Some(probe) = &mut self.probe {
-            probe.ask_others = probe.ask_others.map(|at| at + late);
-            probe.end += late;
+            probe.indirect_at = probe.indirect_at.map(|at| at + lag);
+            probe.deadline += lag;
         }
-        for relay in self.relays.values_mut() {
-            relay.nack_at += late;
+        for relayed in self.relayed_probes.values_mut() {
+            relayed.nack_at += lag;
         }
-        for due in [&mut self.next_probe, &mut self.join_by] {
-            *due = due.saturating_add(late);
+        for timer in [&mut self.next_probe_at, &mut self.join_deadline] {
+            *timer = timer.saturating_add(lag);
         }
     }
 
-    fn join(&mut self, now: Nanos) {
-        if self.other_seeds().next().is_none() || now >= self.join_by {
-            return self.become_member(now);
+    fn continue_join(&mut self, now: Nanos) {
+        if self.other_seeds().next().is_none() || now >= self.join_deadline {
+            return self.complete_join(now);
         }
-        if now >= self.next_join {
-            self.next_join = now + self.config.timing.probe_timeout;
-            let mut calls: Vec<_> = self.other_seeds().collect();
-            // Somebody else may have this node's name: it is asked itself.
-            calls.extend(self.double());
-            for address in calls {
+        if now >= self.next_join_at {
+            self.next_join_at = now + self.config.timing.probe_timeout;
+            let mut addresses: Vec<_> = self.other_seeds().collect();
+            // A process that has this node's name answers with a name conflict.
+            addresses.extend(self.namesake_address());
+            for address in addresses {
                 self.send(address, Body::Join, None);
             }
         }
     }
 
-    /// Nobody who was asked has anything against it.
-    pub(super) fn become_member(&mut self, now: Nanos) {
-        let former = self.namesake.take().map_or(0, |claim| claim.record.incarnation);
+    /// Becomes a member, with an incarnation above that of an earlier process of the same name.
+    pub(super) fn complete_join(&mut self, now: Nanos) {
+        let former_incarnation = self.namesake.take().map_or(0, |claim| claim.record.incarnation);
         self.status = NodeStatus::Member;
-        if former >= self.me.incarnation {
-            self.renew(now, former, |_| ());
+        if former_incarnation >= self.own_record.incarnation {
+            self.raise_incarnation(now, former_incarnation, |_| ());
         }
-        self.changed = now;
-        self.rumours.spread(&Claim::alive(self.me.clone()));
-        self.next_gossip = now;
-        self.next_ask = now;
-        self.out.events.push(Event::Joined(self.table.count_present()));
+        self.last_change_at = now;
+        self.gossip_queue.push(&Claim::alive(self.own_record.clone()));
+        self.next_gossip_at = now;
+        self.next_sync_at = now;
+        self.outbox.events.push(Event::Joined(self.table.present_count()));
     }
 
-    /// Where a process that is held for there under this node's name is reached, unless it is this node's own place: what was
-    /// there is gone then.
-    pub(super) fn double(&self) -> Option<std::net::SocketAddr> {
-        let there = self.namesake.as_ref().filter(|claim| claim.state.is_present());
-        there.map(|claim| claim.record.address).filter(|address| *address != self.me.address)
+    /// The address of a present process with this node's name. A process at this node's own address is a
+    /// predecessor that has ended.
+    pub(super) fn namesake_address(&self) -> Option<std::net::SocketAddr> {
+        let present = self.namesake.as_ref().filter(|claim| claim.state.is_present());
+        present.map(|claim| claim.record.address).filter(|address| *address != self.own_record.address)
     }
 
-    fn relay(&mut self, now: Nanos) {
-        let due: Vec<_> = self.relays.iter().filter(|(_, r)| now >= r.nack_at).map(|(seq, _)| *seq).collect();
+    fn send_due_nacks(&mut self, now: Nanos) {
+        let due: Vec<_> = self
+            .relayed_probes
+            .iter()
+            .filter(|(_, relayed)| now >= relayed.nack_at)
+            .map(|(seq, _)| *seq)
+            .collect();
         for seq in due {
-            if let Some(relay) = self.relays.remove(&seq) {
-                self.send(relay.asker.1, Body::Nack { seq: relay.asked }, Some(&relay.asker.0));
+            if let Some(relayed) = self.relayed_probes.remove(&seq) {
+                self.send(
+                    relayed.requester.1,
+                    Body::Nack { seq: relayed.requester_seq },
+                    Some(&relayed.requester.0),
+                );
             }
         }
     }
 
-    fn begin_probe(&mut self, now: Nanos) {
+    fn start_probe(&mut self, now: Nanos) {
         let timing = self.config.timing;
-        let factor = self.health.factor();
-        self.next_probe = now + timing.probe_interval * factor;
-        self.checks = CHECKS;
+        let multiplier = self.local_health.timeout_multiplier();
+        self.next_probe_at = now + timing.probe_interval * multiplier;
+        self.remaining_corrections = MAX_CORRECTIONS;
         if self.probe.is_some() {
             return;
         }
         let table = &self.table;
-        let names = || table.present().map(|held| held.claim.record.name.as_str()).collect();
-        let there = |name: &str| table.get(name).is_some_and(|held| held.claim.state.is_present());
-        let Some(name) = self.turns.next(&mut self.rng, names, there) else { return };
-        let Some(held) = self.table.get(&name) else { return };
-        let (address, incarnation) = (held.claim.record.address, held.claim.record.incarnation);
-        let seq = self.number();
-        self.send(address, Body::Ping { seq, to: name.clone() }, Some(&name));
-        let ask_others = Some(now + timing.probe_timeout * factor);
-        let end = self.next_probe;
-        self.probe = Some(Probe { name, incarnation, seq, ask_others, end, helpers: 0, nacks: 0 });
+        let names = || table.present().map(|entry| entry.claim.record.name.as_str()).collect();
+        let is_present = |name: &str| table.get(name).is_some_and(|entry| entry.claim.state.is_present());
+        let Some(target) = self.probe_schedule.next_target(&mut self.rng, names, is_present) else { return };
+        let Some(entry) = self.table.get(&target) else { return };
+        let (address, incarnation) = (entry.claim.record.address, entry.claim.record.incarnation);
+        let seq = self.next_seq();
+        self.send(address, Body::Ping { seq, target: target.clone() }, Some(&target));
+        let indirect_at = Some(now + timing.probe_timeout * multiplier);
+        let deadline = self.next_probe_at;
+        self.probe =
+            Some(Probe { target, incarnation, seq, indirect_at, deadline, indirect_probes: 0, nacks: 0 });
     }
 
-    fn go_on_with_probe(&mut self, now: Nanos) {
+    /// Fails the probe in progress at its deadline, or requests indirect probes when they are due.
+    fn continue_probe(&mut self, now: Nanos) {
         let Some(probe) = &mut self.probe else { return };
-        if now >= probe.end {
+        if now >= probe.deadline {
             let probe = self.probe.take();
-            return probe.into_iter().for_each(|probe| self.missed(now, &probe));
+            return probe.into_iter().for_each(|probe| self.handle_failed_probe(now, &probe));
         }
-        if probe.ask_others.is_none_or(|at| now < at) {
+        if probe.indirect_at.is_none_or(|at| now < at) {
             return;
         }
-        probe.ask_others = None;
-        let (name, seq) = (probe.name.clone(), probe.seq);
-        let Some(held) = self.table.get(&name) else { return };
-        let address = held.claim.record.address;
-        // Those that were heard of late are the likelier to hear this: where only some reach each other, others are no help.
-        let of_late = now.saturating_sub(8 * self.config.timing.probe_interval);
-        let others = self.table.present().filter(|held| held.claim.record.name != name);
-        let (near, far): (Vec<_>, Vec<_>) = others.partition(|held| held.heard > of_late);
-        let address_of =
-            |held: &crate::table::Held| (held.claim.record.name.clone(), held.claim.record.address);
-        let (near, far) =
-            (near.into_iter().map(address_of).collect(), far.into_iter().map(address_of).collect());
-        let mut helpers = pick(&mut self.rng, near, HELPERS);
-        let more = pick(&mut self.rng, far, HELPERS - helpers.len());
-        helpers.extend(more);
+        probe.indirect_at = None;
+        let (target, seq) = (probe.target.clone(), probe.seq);
+        let Some(entry) = self.table.get(&target) else { return };
+        let address = entry.claim.record.address;
+        // Members heard recently are preferred: under partial connectivity the others may be unreachable.
+        let heard_after = now.saturating_sub(8 * self.config.timing.probe_interval);
+        let others = self.table.present().filter(|entry| entry.claim.record.name != target);
+        let (recent, silent): (Vec<_>, Vec<_>) = others.partition(|entry| entry.last_heard_at > heard_after);
+        let name_and_address =
+            |entry: &crate::table::MemberEntry| (entry.claim.record.name.clone(), entry.claim.record.address);
+        let (recent, silent) = (
+            recent.into_iter().map(name_and_address).collect(),
+            silent.into_iter().map(name_and_address).collect(),
+        );
+        let mut helpers = sample(&mut self.rng, recent, INDIRECT_PROBES);
+        let silent_helpers = sample(&mut self.rng, silent, INDIRECT_PROBES - helpers.len());
+        helpers.extend(silent_helpers);
         if let Some(probe) = &mut self.probe {
-            probe.helpers = helpers.len() as u32;
+            probe.indirect_probes = helpers.len() as u32;
         }
-        for (helper, at) in helpers {
-            self.send(at, Body::PingRequest { seq, to: name.clone(), address }, Some(&helper));
+        for (helper, helper_address) in helpers {
+            self.send(
+                helper_address,
+                Body::PingRequest { seq, target: target.clone(), address },
+                Some(&helper),
+            );
         }
-        // The first may have been lost.
-        self.send(address, Body::Ping { seq, to: name.clone() }, Some(&name));
+        // The first ping may have been lost.
+        self.send(address, Body::Ping { seq, target: target.clone() }, Some(&target));
     }
 
-    /// A probe has failed, whoever's fault it is.
-    fn missed(&mut self, now: Nanos, probe: &Probe) {
-        if probe.nacks < probe.helpers || probe.helpers == 0 {
-            // Not even those that should have said no were heard.
-            self.health.worse();
+    /// Suspects the target of a failed probe, and degrades the local health if nacks are missing.
+    fn handle_failed_probe(&mut self, now: Nanos, probe: &Probe) {
+        if probe.nacks < probe.indirect_probes || probe.indirect_probes == 0 {
+            // This node may not receive datagrams: reachable helpers would have sent nacks.
+            self.local_health.degrade();
         }
-        let Some(held) = self.table.get(&probe.name) else { return };
-        // What it has told of itself since counts for more.
-        if held.claim.record.incarnation != probe.incarnation || !held.claim.state.is_present() {
+        let Some(entry) = self.table.get(&probe.target) else { return };
+        // A new incarnation since the probe started shows that the target is alive.
+        if entry.claim.record.incarnation != probe.incarnation || !entry.claim.state.is_present() {
             return;
         }
         let claim = Claim {
             state: MemberState::Suspect,
-            record: held.claim.record.clone(),
-            reported_by: self.me.name.clone(),
+            record: entry.claim.record.clone(),
+            reported_by: self.own_record.name.clone(),
         };
-        self.suspect(now, claim, Cause::ProbeFailed { indirect_probes: probe.helpers });
+        self.suspect(now, claim, Cause::ProbeFailed { indirect_probes: probe.indirect_probes });
     }
 
-    fn end_suspicions(&mut self, now: Nanos) {
-        if self.table.next_end().is_none_or(|end| now < end) {
+    /// Declares suspects dead that have not refuted in time.
+    fn expire_suspicions(&mut self, now: Nanos) {
+        if self.table.next_suspicion_deadline().is_none_or(|deadline| now < deadline) {
             return;
         }
-        let over = |name: &&String| {
-            let suspicion = self.table.get(name).and_then(|held| held.suspicion.as_ref());
-            suspicion.is_some_and(|suspicion| now >= suspicion.end())
+        let is_expired = |name: &&String| {
+            let suspicion = self.table.get(name).and_then(|entry| entry.suspicion.as_ref());
+            suspicion.is_some_and(|suspicion| now >= suspicion.deadline())
         };
-        let over: Vec<String> = self.table.suspects().iter().filter(over).cloned().collect();
-        for name in over {
-            let Some(held) = self.table.get(&name) else { continue };
-            let accusers = held.suspicion.as_ref().map(|s| s.accusers().to_vec()).unwrap_or_default();
-            let record = held.claim.record.clone();
-            let claim = Claim { state: MemberState::Dead, record, reported_by: self.me.name.clone() };
-            self.settle_on(now, claim, None, Cause::NotRefuted(accusers));
+        let expired: Vec<String> = self.table.suspects().iter().filter(is_expired).cloned().collect();
+        for name in expired {
+            let Some(entry) = self.table.get(&name) else { continue };
+            let accusers =
+                entry.suspicion.as_ref().map(|suspicion| suspicion.accusers().to_vec()).unwrap_or_default();
+            let record = entry.claim.record.clone();
+            let claim = Claim { state: MemberState::Dead, record, reported_by: self.own_record.name.clone() };
+            self.accept_claim(now, claim, None, Cause::NotRefuted(accusers));
         }
     }
 
-    fn gossip(&mut self) {
-        if self.rumours.is_empty() {
+    fn send_gossip(&mut self) {
+        if self.gossip_queue.is_empty() {
             return;
         }
-        // Mostly those that were heard of late: where only some reach each other, the others never hear it from here.
-        let of_late = self.wake.saturating_sub(8 * self.config.timing.probe_interval);
-        let near = self.table.present().filter(|held| held.heard > of_late);
-        let near = near.map(|held| held.claim.record.address).collect();
-        let mut hearers = pick(&mut self.rng, near, FAN_OUT - 1);
-        let more = FAN_OUT - hearers.len();
-        hearers.extend(self.some_present(more));
-        for address in hearers {
-            if self.rumours.is_empty() {
+        // All but one receiver are chosen from the members heard recently, if there are enough: under partial
+        // connectivity the others may be unreachable.
+        let heard_after = self.expected_tick_at.saturating_sub(8 * self.config.timing.probe_interval);
+        let recent = self.table.present().filter(|entry| entry.last_heard_at > heard_after);
+        let recent = recent.map(|entry| entry.claim.record.address).collect();
+        let mut receivers = sample(&mut self.rng, recent, GOSSIP_FANOUT - 1);
+        let missing = GOSSIP_FANOUT - receivers.len();
+        receivers.extend(self.sample_present_addresses(missing));
+        for address in receivers {
+            if self.gossip_queue.is_empty() {
                 break;
             }
             self.send(address, Body::Gossip, None);
         }
     }
 
-    /// Looks for one that is gone and for one seed that nobody answers for: after a cut both sides have given each other up,
-    /// and neither would ever ask.
-    fn reach(&mut self) {
-        let dead = self.table.all().filter(|held| held.claim.state == MemberState::Dead);
+    /// Pings a random dead member and sends digests to a random seed that is not a present member: after a
+    /// partition both sides have given each other up and would otherwise stay apart.
+    fn reconnect(&mut self) {
+        let dead = self.table.all().filter(|entry| entry.claim.state == MemberState::Dead);
         let dead: Vec<_> =
-            dead.map(|held| (held.claim.record.name.clone(), held.claim.record.address)).collect();
-        for (name, address) in pick(&mut self.rng, dead, 1) {
-            let seq = self.number();
-            self.send(address, Body::Ping { seq, to: name.clone() }, Some(&name));
+            dead.map(|entry| (entry.claim.record.name.clone(), entry.claim.record.address)).collect();
+        for (name, address) in sample(&mut self.rng, dead, 1) {
+            let seq = self.next_seq();
+            self.send(address, Body::Ping { seq, target: name.clone() }, Some(&name));
         }
-        let known =
-            |seed: &std::net::SocketAddr| self.table.present().any(|held| held.claim.record.address == *seed);
-        let seeds: Vec<_> = self.other_seeds().filter(|seed| !known(seed)).collect();
-        for address in pick(&mut self.rng, seeds, 1) {
-            self.ask(address, true);
+        let is_member = |seed: &std::net::SocketAddr| {
+            self.table.present().any(|entry| entry.claim.record.address == *seed)
+        };
+        let seeds: Vec<_> = self.other_seeds().filter(|seed| !is_member(seed)).collect();
+        for address in sample(&mut self.rng, seeds, 1) {
+            self.send_digests(address, true);
         }
     }
 
-    /// Tells somebody the digests of this node's view, and hears where theirs differs.
-    pub(super) fn ask(&mut self, address: std::net::SocketAddr, back: bool) {
-        let digests = self.table.parts();
-        self.send(address, Body::Digests { digests, back }, None);
+    /// Sends the digests of the member table, to be answered with the claims of the buckets that differ.
+    pub(super) fn send_digests(&mut self, address: std::net::SocketAddr, wants_digests: bool) {
+        let digests = self.table.bucket_digests();
+        self.send(address, Body::Digests { digests, wants_digests }, None);
     }
 }
--- a/crates/fleet/src/probe.rs
+++ b/crates/fleet/src/probe.rs
@@ -1,86 +1,87 @@
-//! Whom to probe next, and the probe under way.
+//! Selection of probe targets, and the state of probes in progress.
 
 use crate::Nanos;
 use rand_core::RngCore;
 use std::net::SocketAddr;
 
-/// A number below `below`, which is not 0.
-pub(crate) fn draw(rng: &mut impl RngCore, below: usize) -> usize {
-    ((u128::from(rng.next_u64()) * below as u128) >> 64) as usize
+/// Returns a random number below `bound`, which must not be 0.
+pub(crate) fn random_below(rng: &mut impl RngCore, bound: usize) -> usize {
+    ((u128::from(rng.next_u64()) * bound as u128) >> 64) as usize
 }
 
-/// Picks up to `count` of the items, each as likely as any other.
-pub(crate) fn pick<T>(rng: &mut impl RngCore, mut from: Vec<T>, count: usize) -> Vec<T> {
-    for at in 0..count.min(from.len()) {
-        let other = at + draw(rng, from.len() - at);
-        from.swap(at, other);
+/// Returns up to `count` of the items, chosen uniformly without replacement, in random order.
+pub(crate) fn sample<T>(rng: &mut impl RngCore, mut items: Vec<T>, count: usize) -> Vec<T> {
+    for index in 0..count.min(items.len()) {
+        let other = index + random_below(rng, items.len() - index);
+        items.swap(index, other);
     }
-    from.truncate(count);
-    from
+    items.truncate(count);
+    items
 }
 
-/// Every member in turn, in an order that is drawn anew for each round: the time until a dead one is probed is bounded.
+/// Round-robin over the members in an order that is shuffled for each round, which bounds the time until a
+/// dead member is probed. Holds the names that remain in this round, the next one last.
 #[derive(Default)]
-pub struct Turns(Vec<String>);
+pub struct ProbeSchedule(Vec<String>);
 
-impl Turns {
-    /// The next name; none where there are none.
-    pub fn next<'n>(
+impl ProbeSchedule {
+    /// The next member to probe, or `None` if no member is present.
+    pub fn next_target<'n>(
         &mut self,
         rng: &mut impl RngCore,
         names: impl Fn() -> Vec<&'n str>,
-        there: impl Fn(&str) -> bool,
+        is_present: impl Fn(&str) -> bool,
     ) -> Option<String> {
         for _ in 0..2 {
             while let Some(name) = self.0.pop() {
-                if there(&name) {
+                if is_present(&name) {
                     return Some(name);
                 }
             }
-            let all = names();
-            let count = all.len();
-            self.0 = pick(rng, all, count).into_iter().map(str::to_owned).collect();
+            let names = names();
+            let count = names.len();
+            self.0 = sample(rng, names, count).into_iter().map(str::to_owned).collect();
         }
         None
     }
 
-    /// This one's turn comes next.
-    pub fn first(&mut self, name: &str) {
+    /// Makes a member the next target.
+    pub fn prioritize(&mut self, name: &str) {
         self.0.retain(|other| other != name);
         self.0.push(name.to_owned());
     }
 
-    /// A new member comes at a place of its own in this round.
-    pub fn join(&mut self, rng: &mut impl RngCore, name: &str) {
-        let at = draw(rng, self.0.len() + 1);
-        self.0.insert(at, name.to_owned());
+    /// Inserts a new member at a random position of this round.
+    pub fn insert(&mut self, rng: &mut impl RngCore, name: &str) {
+        let index = random_below(rng, self.0.len() + 1);
+        self.0.insert(index, name.to_owned());
     }
 }
 
-/// The probe under way.
+/// The probe in progress.
 pub struct Probe {
-    /// Who is probed.
-    pub name: String,
-    /// At which incarnation.
+    /// Name of the probed member.
+    pub target: String,
+    /// Incarnation of the target when the probe started.
     pub incarnation: u64,
-    /// What its answer has to name.
+    /// Sequence number that the ack must carry.
     pub seq: u32,
-    /// When others are asked to try; none once they have been.
-    pub ask_others: Option<Nanos>,
-    /// When it has failed.
-    pub end: Nanos,
-    /// Others that were asked.
-    pub helpers: u32,
-    /// Of these, those that have at least said that they could not reach it either.
+    /// When indirect probes are requested; `None` once they have been.
+    pub indirect_at: Option<Nanos>,
+    /// When the probe fails.
+    pub deadline: Nanos,
+    /// Number of members that were asked for an indirect probe.
+    pub indirect_probes: u32,
+    /// Number of these that replied with a nack.
     pub nacks: u32,
 }
 
-/// A probe for somebody else.
-pub struct Relay {
-    /// What the asker wants its answer to name.
-    pub asked: u32,
-    /// Who asked, and where it is reached.
-    pub asker: (String, SocketAddr),
-    /// When it is told that nothing has come.
+/// An indirect probe on behalf of another member.
+pub struct RelayedProbe {
+    /// Sequence number of the requester's probe, which the ack or nack to it carries.
+    pub requester_seq: u32,
+    /// Name and address of the requester.
+    pub requester: (String, SocketAddr),
+    /// When the requester is sent a nack unless the target has answered.
     pub nack_at: Nanos,
 }
--- a/crates/fleet/src/snapshot.rs
+++ b/crates/fleet/src/snapshot.rs
@@ -1,78 +1,79 @@
-//! What a node tells of its view, to operators and to the rest of the program.
+//! The node's view and counters, for operators and the rest of the program.
 
 use crate::member::MemberState;
 use crate::wire::{DatagramError, DatagramKind};
 use crate::Nanos;
 use std::net::SocketAddr;
 
-/// The node's place among those that are there: what it goes by where a sum over all nodes is to hold.
+/// The node's position among the present members, by which it takes its share of fleet-wide limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GroupPosition {
-    /// Its number, from 0, in the order of names.
+    /// Index of the node, from 0, among the present members sorted by name.
     pub ordinal: u32,
-    /// How many are there: suspects count, and so does the node itself.
+    /// Number of present members, including suspects and the node itself.
     pub size: u32,
 }
 
-/// One member, as the node holds it.
+/// One member in the node's view.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MemberView {
-    /// Its name.
+    /// Name.
     pub name: String,
-    /// Where it is reached.
+    /// Address at which other members reach it.
     pub address: SocketAddr,
-    /// Its zone; empty where it has none.
+    /// Zone, or empty.
     pub zone: String,
-    /// What it is held for.
+    /// State.
     pub state: MemberState,
-    /// Its incarnation.
+    /// Incarnation.
     pub incarnation: u64,
-    /// For how long the state has held, in nanoseconds.
+    /// Time since the member entered its state.
     pub state_age: Nanos,
-    /// Its operator empties it.
+    /// Whether its operator drains it.
     pub is_draining: bool,
 }
 
-/// The view at one moment.
+/// The view at one time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Snapshot {
-    /// The fleet's name.
+    /// Name of the fleet.
     pub fleet: String,
-    /// The node's own.
+    /// Name of the node.
     pub node: String,
-    /// Its incarnation.
+    /// Incarnation of the node.
     pub incarnation: u64,
-    /// Equal exactly where names, incarnations and presence are equal.
+    /// Digest of the view: equal where the present members, their incarnations and their instances are equal.
     pub view_digest: u64,
-    /// Nobody is suspected, nothing has changed of late, and those who were heard of late have the same view.
+    /// Whether no member is suspect, nothing has changed recently, and the members heard recently have the
+    /// same view.
     pub is_settled: bool,
-    /// All members by name, itself included.
+    /// All members by name, including the node itself and those that are dead or have left.
     pub members: Vec<MemberView>,
-    /// What it counts as.
+    /// The node's position among the present members.
     pub group_position: GroupPosition,
 }
 
-/// What a node has done and seen, counted from its start.
+/// Counters since the node started.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Stats {
-    /// Datagrams and bytes sent, by kind.
+    /// Datagrams and bytes sent, by [`DatagramKind`].
     pub sent: [(u64, u64); DatagramKind::ALL.len()],
-    /// Datagrams and bytes taken in, by kind.
+    /// Datagrams and bytes decoded, by [`DatagramKind`].
     pub received: [(u64, u64); DatagramKind::ALL.len()],
-    /// Datagrams turned down, by reason.
+    /// Datagrams rejected, by [`DatagramError`].
     pub rejected: [u64; DatagramError::ALL.len()],
-    /// Changes of a member's state.
+    /// Changes of the state of other members.
     pub state_changes: u64,
-    /// Accusations of itself that it has refuted.
+    /// Claims about the node itself that it has refuted.
     pub refutations: u64,
-    /// How late it last was to its own timers, and how late at the worst, in nanoseconds.
+    /// How late the node last ran after its own timers.
     pub timer_lag: Nanos,
-    /// The worst.
+    /// Maximum of `timer_lag`.
     pub max_timer_lag: Nanos,
 }
 
 impl Stats {
-    /// Bytes sent in all.
+    /// Total number of bytes sent.
     pub fn bytes_sent(&self) -> u64 {
         self.sent.iter().map(|(_, bytes)| bytes).sum()
     }
--- a/crates/fleet/src/suspicion.rs
+++ b/crates/fleet/src/suspicion.rs
@@ -1,68 +1,83 @@
-//! How long a suspect has to object: the longest where one node alone accuses it, down to the shortest as others confirm
-//! (Lifeguard's dogpile). A word of its death shortens it further, but never to nothing: who is said to be dead by those that it
-//! was cut off from must get the time to object before anybody else believes it.
+//! Lifeguard's dynamic suspicion timeout: longest while one node alone suspects a member, shorter with each
+//! confirmation by another node. A claim that the member is dead shortens it further but leaves time to
+//! refute, since the claim may come from nodes that a partition has separated from the member.
 
 use crate::Nanos;
 
-/// Confirmations, beside the first accuser, after which the shortest time holds.
-const ENOUGH: usize = 3;
-/// The longest time in shortest ones.
-const STRETCH: u64 = 2;
+/// Confirmations, beyond the first accuser, after which the minimum timeout applies.
+const EXPECTED_CONFIRMATIONS: usize = 3;
+/// The maximum timeout, as a multiple of the minimum timeout.
+const MAX_TIMEOUT_MULTIPLIER: u64 = 2;
 
-/// One member's, at one incarnation.
+/// Suspicion of one member at one incarnation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Suspicion {
-    since: Nanos,
-    shortest: Nanos,
-    enough: usize,
-    /// Who accuses it, the first one first.
+    started_at: Nanos,
+    min_timeout: Nanos,
+    expected_confirmations: usize,
+    /// Names of the nodes that suspect the member, the first accuser first.
     accusers: Vec<String>,
-    /// The latest end, where somebody has said that it is dead.
-    cut: Option<Nanos>,
+    /// Upper bound of the deadline once a node has claimed that the member is dead.
+    max_deadline: Option<Nanos>,
 }
 
 impl Suspicion {
-    /// Begins; `others` nodes could confirm it.
-    pub fn new(now: Nanos, shortest: Nanos, others: usize, accuser: &str, dogpile: bool) -> Self {
-        let enough = if dogpile { ENOUGH.min(others) } else { 0 };
-        Suspicion { since: now, shortest, enough, accusers: vec![accuser.to_owned()], cut: None }
+    /// Starts a suspicion that up to `potential_confirmers` other nodes can confirm.
+    pub fn new(
+        now: Nanos,
+        min_timeout: Nanos,
+        potential_confirmers: usize,
+        accuser: &str,
+        is_dynamic: bool,
+    ) -> Self {
+        let expected_confirmations =
+            if is_dynamic { EXPECTED_CONFIRMATIONS.min(potential_confirmers) } else { 0 };
+        Suspicion {
+            started_at: now,
+            min_timeout,
+            expected_confirmations,
+            accusers: vec![accuser.to_owned()],
+            max_deadline: None,
+        }
     }
 
-    /// Somebody accuses it; whether that is news worth passing on.
+    /// Records a confirmation by another node. Returns whether it should be disseminated.
     pub fn confirm(&mut self, accuser: &str) -> bool {
-        let new = self.accusers.len() <= self.enough && !self.accusers.iter().any(|a| a == accuser);
-        if new {
+        let is_new = self.accusers.len() <= self.expected_confirmations
+            && !self.accusers.iter().any(|known| known == accuser);
+        if is_new {
             self.accusers.push(accuser.to_owned());
         }
-        new
+        is_new
     }
 
-    /// Somebody says that it is dead: it has until then at the most.
-    pub fn cut(&mut self, end: Nanos) {
-        self.cut = Some(self.cut.map_or(end, |cut| cut.min(end)));
+    /// Moves the deadline forward to `deadline` at the latest.
+    pub fn limit_deadline(&mut self, deadline: Nanos) {
+        self.max_deadline = Some(self.max_deadline.map_or(deadline, |current| current.min(deadline)));
     }
 
-    /// When it is given up.
-    pub fn end(&self) -> Nanos {
-        let longest = self.shortest.saturating_mul(STRETCH) as f64;
-        let shortest = self.shortest as f64;
-        let confirmed = self.accusers.len() - 1;
-        let part = match self.enough {
+    /// When the member is declared dead unless it refutes the suspicion.
+    pub fn deadline(&self) -> Nanos {
+        let max_timeout = self.min_timeout.saturating_mul(MAX_TIMEOUT_MULTIPLIER) as f64;
+        let min_timeout = self.min_timeout as f64;
+        let confirmations = self.accusers.len() - 1;
+        let reduction = match self.expected_confirmations {
             0 => 1.0,
-            enough => ((confirmed + 1) as f64).ln() / ((enough + 1) as f64).ln(),
+            expected => ((confirmations + 1) as f64).ln() / ((expected + 1) as f64).ln(),
         };
-        let lasts = (longest - (longest - shortest) * part.min(1.0)) as Nanos;
-        let end = self.since.saturating_add(lasts);
-        self.cut.map_or(end, |cut| cut.min(end))
+        let timeout = (max_timeout - (max_timeout - min_timeout) * reduction.min(1.0)) as Nanos;
+        let deadline = self.started_at.saturating_add(timeout);
+        self.max_deadline.map_or(deadline, |max_deadline| max_deadline.min(deadline))
     }
 
-    /// The node itself stood still for so long: nobody could object to it meanwhile.
-    pub fn put_off(&mut self, by: Nanos) {
-        self.since = self.since.saturating_add(by);
-        self.cut = self.cut.map(|cut| cut.saturating_add(by));
+    /// Postpones the deadline by the time during which this node was stalled and could not receive a
+    /// refutation.
+    pub fn postpone(&mut self, stall: Nanos) {
+        self.started_at = self.started_at.saturating_add(stall);
+        self.max_deadline = self.max_deadline.map(|deadline| deadline.saturating_add(stall));
     }
 
-    /// Who accuses it.
+    /// Names of the nodes that suspect the member.
     pub fn accusers(&self) -> &[String] {
         &self.accusers
     }
--- a/crates/fleet/src/table.rs
+++ b/crates/fleet/src/table.rs
@@ -1,47 +1,50 @@
-//! Who is held for what: the other members, and the digests by which two nodes find where their views differ.
+//! The other members, and the digests by which two nodes find the differences between their views.
 
 use crate::member::{Claim, MemberRecord, MemberState};
 use crate::suspicion::Suspicion;
-use crate::wire::BUCKETS;
+use crate::wire::DIGEST_BUCKETS;
 use crate::Nanos;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Members that a node keeps at the most, gone ones included; of these the longest gone make room.
+/// Maximum number of members in the table, dead and left ones included. The one that departed first makes
+/// room.
 pub const MAX_MEMBERS: usize = 4096;
-/// Gone members are remembered for so long, so that what is late cannot bring them back, and so that those from whom a cut has
-/// parted the node are still asked after it.
-const DEAD_FOR: Nanos = 24 * 3_600_000_000_000;
-const LEFT_FOR: Nanos = 600_000_000_000;
+/// Dead members are kept so that late datagrams cannot revive them, and to contact them again after a
+/// partition.
+const DEAD_RETENTION: Nanos = 24 * 3_600_000_000_000;
+/// Left members are kept so that late datagrams cannot revive them.
+const LEFT_RETENTION: Nanos = 600_000_000_000;
 
-/// One member.
+/// What the node knows of one member.
 #[derive(Clone, Debug)]
-pub struct Held {
-    /// What holds of it.
+pub struct MemberEntry {
+    /// The accepted claim.
     pub claim: Claim,
-    /// Since when its state holds.
-    pub since: Nanos,
-    /// When a datagram of its own last came; 0 for never.
-    pub heard: Nanos,
-    /// The digest of its view, as it last told.
-    pub view: Option<u64>,
-    /// While it is suspected.
+    /// When the member entered its state.
+    pub state_since: Nanos,
+    /// When a datagram from the member last arrived; 0 for never.
+    pub last_heard_at: Nanos,
+    /// The view digest in the member's last datagram.
+    pub view_digest: Option<u64>,
+    /// The running suspicion while the member is suspect.
     pub suspicion: Option<Suspicion>,
 }
 
-/// All other members by name, with the node itself in the digests.
+/// All other members by name. The digests also cover the node itself.
 #[derive(Default)]
-pub struct Table {
-    members: BTreeMap<String, Held>,
+pub struct MemberTable {
+    members: BTreeMap<String, MemberEntry>,
     suspects: BTreeSet<String>,
-    digests: [u64; BUCKETS],
-    present: usize,
+    digests: [u64; DIGEST_BUCKETS],
+    present_count: usize,
 }
 
-/// The part of the table that a name belongs to, and what it adds to the part's digest while it is present.
-fn hash(record: &MemberRecord) -> (usize, u64) {
+/// The digest bucket of a member's name, and the hash that the record adds to the bucket while the member is
+/// present.
+fn bucket_and_hash(record: &MemberRecord) -> (usize, u64) {
     let mut hasher = blake3::Hasher::new();
     hasher.update(record.name.as_bytes());
-    let bucket = usize::from(hasher.finalize().as_bytes()[0]) % BUCKETS;
+    let bucket = usize::from(hasher.finalize().as_bytes()[0]) % DIGEST_BUCKETS;
     hasher.update(&[0]);
     hasher.update(&record.incarnation.to_le_bytes());
     hasher.update(&record.instance_id.to_le_bytes());
@@ -50,127 +53,139 @@
     (bucket, u64::from_le_bytes(bytes))
 }
 
-impl Table {
-    /// Counts a record in the digests, or no longer. The node's own goes in here too.
-    pub fn count(&mut self, record: &MemberRecord, there: bool) {
-        let (bucket, value) = hash(record);
+impl MemberTable {
+    /// Adds a record to the digests or removes it. Called from outside only for the node's own record, which
+    /// is not in the table.
+    pub fn update_digest(&mut self, record: &MemberRecord, is_present: bool) {
+        let (bucket, hash) = bucket_and_hash(record);
         let digest = &mut self.digests[bucket];
-        *digest = if there { digest.wrapping_add(value) } else { digest.wrapping_sub(value) };
+        *digest = if is_present { digest.wrapping_add(hash) } else { digest.wrapping_sub(hash) };
     }
 
-    /// The digest of the view: equal where names, incarnations and presence are.
-    pub fn view(&self) -> u64 {
+    /// The digest of the whole view: equal where the present members, their incarnations and their instances
+    /// are equal.
+    pub fn view_digest(&self) -> u64 {
         self.digests.iter().fold(0, |sum, digest| sum.rotate_left(7) ^ digest)
     }
 
-    /// Digests of the parts, as they are compared.
-    pub fn parts(&self) -> [u32; BUCKETS] {
+    /// The digests of all buckets, as they are sent.
+    pub fn bucket_digests(&self) -> [u32; DIGEST_BUCKETS] {
         self.digests.map(|digest| (digest ^ (digest >> 32)) as u32)
     }
 
-    /// All claims on members in parts whose digests differ from these.
-    pub fn differing(&self, digests: &[u32; BUCKETS]) -> impl Iterator<Item = &Claim> {
-        let differs: Vec<_> = self.parts().iter().zip(digests).map(|(a, b)| a != b).collect();
-        self.members.values().map(|held| &held.claim).filter(move |claim| differs[hash(&claim.record).0])
+    /// All claims on members in buckets whose digests differ from the given ones.
+    pub fn claims_in_differing_buckets(
+        &self,
+        digests: &[u32; DIGEST_BUCKETS],
+    ) -> impl Iterator<Item = &Claim> {
+        let differs: Vec<_> =
+            self.bucket_digests().iter().zip(digests).map(|(own, other)| own != other).collect();
+        self.members
+            .values()
+            .map(|entry| &entry.claim)
+            .filter(move |claim| differs[bucket_and_hash(&claim.record).0])
     }
 
-    /// One member.
-    pub fn get(&self, name: &str) -> Option<&Held> {
+    /// Looks up a member by name.
+    pub fn get(&self, name: &str) -> Option<&MemberEntry> {
         self.members.get(name)
     }
 
-    /// One member, for what does not touch its claim.
-    pub fn get_mut(&mut self, name: &str) -> Option<&mut Held> {
+    /// Looks up a member to change anything but its claim, which [`MemberTable::put`] replaces.
+    pub fn get_mut(&mut self, name: &str) -> Option<&mut MemberEntry> {
         self.members.get_mut(name)
     }
 
-    /// All others, by name.
-    pub fn all(&self) -> impl Iterator<Item = &Held> {
+    /// All other members, by name.
+    pub fn all(&self) -> impl Iterator<Item = &MemberEntry> {
         self.members.values()
     }
 
-    /// Others that are there.
-    pub fn present(&self) -> impl Iterator<Item = &Held> {
-        self.members.values().filter(|held| held.claim.state.is_present())
+    /// The other members that are present, by name.
+    pub fn present(&self) -> impl Iterator<Item = &MemberEntry> {
+        self.members.values().filter(|entry| entry.claim.state.is_present())
     }
 
-    /// How many others are there.
-    pub fn count_present(&self) -> usize {
-        self.present
+    /// Number of other members that are present.
+    pub fn present_count(&self) -> usize {
+        self.present_count
     }
 
-    /// Whether anybody is suspected.
+    /// Names of the suspect members.
     pub fn suspects(&self) -> &BTreeSet<String> {
         &self.suspects
     }
 
-    /// Puts a claim in force, whatever held before; false where the table is full of members that are there.
+    /// Stores a claim in place of any former one on the member, whatever its precedence. Returns false if the
+    /// table is full of present members.
     pub fn put(&mut self, now: Nanos, claim: Claim, suspicion: Option<Suspicion>) -> bool {
         let name = claim.record.name.clone();
         if !self.members.contains_key(&name)
             && self.members.len() >= MAX_MEMBERS
-            && !self.forget_longest_gone()
+            && !self.evict_longest_departed()
         {
             return false;
         }
         let state = claim.state;
-        let before = self.members.get(&name).cloned();
-        if let Some(before) = before.as_ref().filter(|before| before.claim.state.is_present()) {
-            self.count(&before.claim.record, false);
-            self.present -= 1;
+        let previous = self.members.get(&name).cloned();
+        if let Some(previous) = previous.as_ref().filter(|previous| previous.claim.state.is_present()) {
+            self.update_digest(&previous.claim.record, false);
+            self.present_count -= 1;
         }
         if state.is_present() {
-            self.count(&claim.record, true);
-            self.present += 1;
+            self.update_digest(&claim.record, true);
+            self.present_count += 1;
         }
         match state {
             MemberState::Suspect => self.suspects.insert(name.clone()),
             _ => self.suspects.remove(&name),
         };
-        let (mut since, mut heard, mut view) = (now, 0, None);
-        if let Some(before) =
-            before.filter(|before| before.claim.record.instance_id == claim.record.instance_id)
+        let (mut state_since, mut last_heard_at, mut view_digest) = (now, 0, None);
+        if let Some(previous) =
+            previous.filter(|previous| previous.claim.record.instance_id == claim.record.instance_id)
         {
-            (heard, view) = (before.heard, before.view);
-            if before.claim.state == state {
-                since = before.since;
+            (last_heard_at, view_digest) = (previous.last_heard_at, previous.view_digest);
+            if previous.claim.state == state {
+                state_since = previous.state_since;
             }
         }
-        self.members.insert(name, Held { claim, since, heard, view, suspicion });
+        self.members.insert(name, MemberEntry { claim, state_since, last_heard_at, view_digest, suspicion });
         true
     }
 
-    fn forget_longest_gone(&mut self) -> bool {
-        let gone = self.members.iter().filter(|(_, held)| !held.claim.state.is_present());
-        let name = gone.min_by_key(|(_, held)| held.since).map(|(name, _)| name.clone());
+    fn evict_longest_departed(&mut self) -> bool {
+        let departed = self.members.iter().filter(|(_, entry)| !entry.claim.state.is_present());
+        let name = departed.min_by_key(|(_, entry)| entry.state_since).map(|(name, _)| name.clone());
         name.is_some_and(|name| self.members.remove(&name).is_some())
     }
 
-    /// Forgets those that have been gone for long.
+    /// Removes dead and left members whose retention has expired.
     pub fn reap(&mut self, now: Nanos) {
-        self.members.retain(|_, held| {
-            let lasts = match held.claim.state {
+        self.members.retain(|_, entry| {
+            let retention = match entry.claim.state {
                 MemberState::Alive | MemberState::Suspect => return true,
-                MemberState::Dead => DEAD_FOR,
-                MemberState::Left => LEFT_FOR,
+                MemberState::Dead => DEAD_RETENTION,
+                MemberState::Left => LEFT_RETENTION,
             };
-            now.saturating_sub(held.since) < lasts
+            now.saturating_sub(entry.state_since) < retention
         });
     }
 
-    /// The node stood still for so long: suspects get that time anew.
-    pub fn put_off(&mut self, by: Nanos) {
+    /// Postpones all suspicion deadlines by the time during which this node was stalled.
+    pub fn postpone_suspicions(&mut self, stall: Nanos) {
         for name in &self.suspects {
-            if let Some(suspicion) = self.members.get_mut(name).and_then(|held| held.suspicion.as_mut()) {
-                suspicion.put_off(by);
+            if let Some(suspicion) = self.members.get_mut(name).and_then(|entry| entry.suspicion.as_mut()) {
+                suspicion.postpone(stall);
             }
         }
     }
 
-    /// When the next suspect is given up.
-    pub fn next_end(&self) -> Option<Nanos> {
-        let ends =
-            self.suspects.iter().filter_map(|name| Some(self.members.get(name)?.suspicion.as_ref()?.end()));
-        ends.min()
+    /// The earliest suspicion deadline.
+    pub fn next_suspicion_deadline(&self) -> Option<Nanos> {
+        let deadlines = self
+            .suspects
+            .iter()
+            .filter_map(|name| Some(self.members.get(name)?.suspicion.as_ref()?.deadline()));
+        deadlines.min()
     }
 }
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -1,46 +1,47 @@
-//! Datagrams: a version, the fleet's tag, a head that tells of the sender, as many claims as fit, and, where the fleet has a
-//! key, a keyed hash (BLAKE3) over all of it.
+//! Datagram format: protocol version, fleet tag, header with the sender's record, any number of claims and,
+//! if the fleet has a key, a truncated keyed BLAKE3 hash over all of it.
 
 use crate::member::{Claim, MemberRecord};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// The largest datagram that may be set, in bytes: it crosses an Ethernet in one piece.
+/// Largest datagram size that can be configured: within the MTU of Ethernet. Longer datagrams are rejected.
 pub const MAX_DATAGRAM_BYTES: usize = 1400;
-/// The smallest, in bytes. All of it works as well.
+/// Smallest datagram size that can be configured: a header and one claim of maximum length fit.
 pub const MIN_DATAGRAM_BYTES: usize = 256;
-/// The first byte. Another one is another protocol.
-const VERSION: u8 = 0xc1;
-const TAG: usize = 8;
-const HASH: usize = 16;
-/// Parts of the table that nodes compare by their digests.
-pub(crate) const BUCKETS: usize = 16;
-
-/// Why a datagram was turned down.
+/// First byte of each datagram.
+const PROTOCOL_VERSION: u8 = 0xc1;
+const FLEET_TAG_BYTES: usize = 8;
+const MAC_BYTES: usize = 16;
+/// Number of buckets of the member table whose digests nodes compare.
+pub(crate) const DIGEST_BUCKETS: usize = 16;
+
+/// Why a datagram was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, thiserror::Error)]
 pub enum DatagramError {
-    /// It is longer than any that a node sends.
-    #[error("longer than any datagram of a fleet")]
+    /// It exceeds [`MAX_DATAGRAM_BYTES`].
+    #[error("datagram exceeds the maximum size")]
     Oversized,
-    /// It is cut, garbled or out of bounds.
-    #[error("not a datagram of this protocol")]
+    /// It is truncated, cannot be decoded, or has values out of bounds.
+    #[error("malformed datagram")]
     Malformed,
-    /// It is another fleet's.
-    #[error("of another fleet")]
+    /// Its tag is that of another fleet.
+    #[error("datagram of another fleet")]
     OtherFleet,
-    /// Its hash is not one of this fleet's key.
-    #[error("not by this fleet's key")]
+    /// Its MAC does not match the fleet's key.
+    #[error("datagram is not authenticated with the fleet's key")]
     WrongKey,
-    /// Its sender has been given up or superseded, and what it says of others does not count.
-    #[error("by a node that has been given up")]
+    /// Its sender is dead, has left, or has been replaced by another process; its claims about others were
+    /// ignored.
+    #[error("sender is no longer a member")]
     StaleSender,
-    /// It names a member more than a node keeps.
-    #[error("more members than a node keeps")]
+    /// The member table has no room for a member that it names.
+    #[error("member table is full")]
     TableFull,
 }
 
 impl DatagramError {
-    /// All of them.
+    /// All errors, in the order of their discriminants.
     pub const ALL: [DatagramError; 6] = [
         DatagramError::Oversized,
         DatagramError::Malformed,
@@ -50,60 +51,61 @@
         DatagramError::TableFull,
     ];
 
-    /// Its word, for figures.
+    /// The label value in metrics.
     pub fn name(self) -> &'static str {
         ["oversized", "garbled", "fleet", "key", "stale", "full"][self as usize]
     }
 }
 
-/// What a datagram is for.
+/// The message of a datagram. Variants and fields are encoded by their order.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Body {
-    /// To the named member alone: answer.
-    Ping { seq: u32, to: String },
-    /// The answer.
+    /// Probe: the target answers with an ack, any other node ignores it.
+    Ping { seq: u32, target: String },
+    /// Answer to a ping, direct or relayed.
     Ack { seq: u32 },
-    /// Ping that member for me.
-    PingRequest { seq: u32, to: String, address: SocketAddr },
-    /// It has not answered me either, so far.
+    /// Request to probe the target on behalf of the sender (SWIM's ping-req).
+    PingRequest { seq: u32, target: String, address: SocketAddr },
+    /// The target of an indirect probe has not answered the relaying member in time.
     Nack { seq: u32 },
     /// Claims only.
     Gossip,
-    /// Who is there? The sender is not a member yet.
+    /// Request by a process that is not a member yet for all claims.
     Join,
-    /// These are the digests of my table; tell me of the parts that differ.
-    Digests { digests: [u32; BUCKETS], back: bool },
-    /// What was asked for.
+    /// Digests of the sender's member table; the receiver answers with the claims of the buckets that differ,
+    /// and with its own digests if `wants_digests`.
+    Digests { digests: [u32; DIGEST_BUCKETS], wants_digests: bool },
+    /// Claims in answer to a join or to digests.
     Records,
-    /// Another process has that name, and has been there for so long, in nanoseconds.
+    /// Another process has the receiver's name; its uptime is in nanoseconds.
     NameConflict { uptime: u64 },
 }
 
-/// Kinds of datagrams, for figures.
+/// Kind of a datagram, for metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DatagramKind {
-    /// Probes.
+    /// Direct or relayed probe.
     Ping,
-    /// Their answers.
+    /// Answer to a probe.
     Ack,
-    /// Requests for an indirect probe.
+    /// Request for an indirect probe.
     PingRequest,
-    /// Word that one has not been answered.
+    /// Report that an indirect probe was not answered.
     Nack,
-    /// Rumours.
+    /// Claims only.
     Gossip,
-    /// Calls of newcomers.
+    /// Join request.
     Join,
-    /// Digests.
+    /// Digests of the member table.
     Digests,
-    /// Answers to them.
+    /// Claims in answer to a join request or to digests.
     Records,
-    /// Words on a name that two processes claim.
+    /// Report that two processes have the same name.
     NameConflict,
 }
 
 impl DatagramKind {
-    /// All of them.
+    /// All kinds, in the order of their discriminants.
     pub const ALL: [DatagramKind; 9] = [
         DatagramKind::Ping,
         DatagramKind::Ack,
@@ -116,14 +118,14 @@
         DatagramKind::NameConflict,
     ];
 
-    /// Its word, for figures.
+    /// The label value in metrics.
     pub fn name(self) -> &'static str {
         ["ping", "ack", "ping-for", "nack", "gossip", "join", "ask", "records", "conflict"][self as usize]
     }
 }
 
 impl Body {
-    /// Which kind it is.
+    /// The kind of the datagram.
     pub fn kind(&self) -> DatagramKind {
         match self {
             Body::Ping { .. } => DatagramKind::Ping,
@@ -139,100 +141,104 @@
     }
 }
 
-/// What every datagram begins with.
+/// Header of every datagram.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Head {
-    /// The sender, by its own word.
-    pub from: MemberRecord,
-    /// The digest of its view.
-    pub view: u64,
-    /// What it wants.
+pub struct Header {
+    /// The sender's record of itself.
+    pub sender: MemberRecord,
+    /// Digest of the sender's view.
+    pub view_digest: u64,
+    /// The message.
     pub body: Body,
 }
 
-/// A datagram that was read.
+/// A decoded datagram.
 #[derive(Debug, PartialEq)]
-pub struct Packet {
-    /// Its head.
-    pub head: Head,
-    /// What it says of members.
+pub struct Datagram {
+    /// Sender and message.
+    pub header: Header,
+    /// Claims about members.
     pub claims: Vec<Claim>,
 }
 
-/// How the datagrams of one fleet are sealed.
+/// Encodes, authenticates and decodes the datagrams of one fleet.
 #[derive(Clone)]
-pub struct Seal {
-    tag: [u8; TAG],
+pub struct Codec {
+    fleet_tag: [u8; FLEET_TAG_BYTES],
     key: Option<[u8; 32]>,
 }
 
-impl Seal {
-    /// That of this fleet, with its key if it has one.
+impl Codec {
+    /// A codec for the named fleet; datagrams are authenticated if there is a key.
     pub fn new(fleet: &str, key: Option<[u8; 32]>) -> Self {
-        let mut tag = [0; TAG];
-        tag.copy_from_slice(&blake3::hash(fleet.as_bytes()).as_bytes()[..TAG]);
-        Seal { tag, key }
+        let mut fleet_tag = [0; FLEET_TAG_BYTES];
+        fleet_tag.copy_from_slice(&blake3::hash(fleet.as_bytes()).as_bytes()[..FLEET_TAG_BYTES]);
+        Codec { fleet_tag, key }
     }
 
-    /// How much of a datagram of this size is left for head and claims, counted from its first byte.
-    pub fn room(&self, size: usize) -> usize {
-        size - if self.key.is_some() { HASH } else { 0 }
+    /// Maximum length before the MAC is appended, for a datagram of `datagram_bytes` in all.
+    pub fn max_bytes_before_mac(&self, datagram_bytes: usize) -> usize {
+        datagram_bytes - if self.key.is_some() { MAC_BYTES } else { 0 }
     }
 
-    /// Begins a datagram.
-    pub fn open(&self, head: &Head) -> Vec<u8> {
-        let mut bytes = vec![VERSION];
-        bytes.extend(self.tag);
-        // All of it is sound and small: it can be written.
-        bytes.extend(postcard::to_stdvec(head).unwrap_or_default());
+    /// Encodes the start of a datagram, to which claims and then the MAC are appended.
+    pub fn encode_header(&self, header: &Header) -> Vec<u8> {
+        let mut bytes = vec![PROTOCOL_VERSION];
+        bytes.extend(self.fleet_tag);
+        // Encoding a valid header cannot fail.
+        bytes.extend(postcard::to_stdvec(header).unwrap_or_default());
         bytes
     }
 
-    /// Ends it.
-    pub fn close(&self, bytes: &mut Vec<u8>) {
+    /// Completes a datagram with its MAC if the fleet has a key.
+    pub fn append_mac(&self, bytes: &mut Vec<u8>) {
         if let Some(key) = &self.key {
-            let hash = blake3::keyed_hash(key, bytes);
-            bytes.extend(&hash.as_bytes()[..HASH]);
+            let mac = blake3::keyed_hash(key, bytes);
+            bytes.extend(&mac.as_bytes()[..MAC_BYTES]);
         }
     }
 
-    /// Reads a datagram, whoever has sent it.
-    pub fn read(&self, bytes: &[u8]) -> Result<Packet, DatagramError> {
+    /// Authenticates, decodes and validates a datagram.
+    pub fn decode(&self, bytes: &[u8]) -> Result<Datagram, DatagramError> {
         if bytes.len() > MAX_DATAGRAM_BYTES {
             return Err(DatagramError::Oversized);
         }
         let (version, rest) = bytes.split_first().ok_or(DatagramError::Malformed)?;
-        let (tag, mut rest) = rest.split_at_checked(TAG).ok_or(DatagramError::Malformed)?;
-        if *version != VERSION {
+        let (fleet_tag, mut rest) = rest.split_at_checked(FLEET_TAG_BYTES).ok_or(DatagramError::Malformed)?;
+        if *version != PROTOCOL_VERSION {
             return Err(DatagramError::Malformed);
         }
-        if tag != self.tag {
+        if fleet_tag != self.fleet_tag {
             return Err(DatagramError::OtherFleet);
         }
         if let Some(key) = &self.key {
-            let end =
-                bytes.len().checked_sub(HASH).filter(|end| *end > TAG).ok_or(DatagramError::WrongKey)?;
-            let told = blake3::keyed_hash(key, &bytes[..end]);
-            // Every byte is looked at, wherever the first difference is.
-            let apart = told.as_bytes().iter().zip(&bytes[end..]).fold(0, |sum, (a, b)| sum | (a ^ b));
-            if apart != 0 {
+            let mac_start = bytes
+                .len()
+                .checked_sub(MAC_BYTES)
+                .filter(|start| *start > FLEET_TAG_BYTES)
+                .ok_or(DatagramError::WrongKey)?;
+            let expected = blake3::keyed_hash(key, &bytes[..mac_start]);
+            // Constant time: all bytes are compared, wherever the first difference is.
+            let difference =
+                expected.as_bytes().iter().zip(&bytes[mac_start..]).fold(0, |sum, (a, b)| sum | (a ^ b));
+            if difference != 0 {
                 return Err(DatagramError::WrongKey);
             }
-            rest = &rest[..rest.len() - HASH];
+            rest = &rest[..rest.len() - MAC_BYTES];
         }
-        let (head, mut rest) =
-            postcard::take_from_bytes::<Head>(rest).map_err(|_| DatagramError::Malformed)?;
+        let (header, mut rest) =
+            postcard::take_from_bytes::<Header>(rest).map_err(|_| DatagramError::Malformed)?;
         let mut claims = Vec::new();
         while !rest.is_empty() {
-            let (claim, after) =
+            let (claim, remaining) =
                 postcard::take_from_bytes::<Claim>(rest).map_err(|_| DatagramError::Malformed)?;
             claims.push(claim);
-            rest = after;
+            rest = remaining;
         }
-        let sound = head.from.is_valid()
+        let is_valid = header.sender.is_valid()
             && claims
                 .iter()
                 .all(|claim| claim.record.is_valid() && claim.reported_by.len() <= crate::MAX_NAME_BYTES);
-        sound.then_some(Packet { head, claims }).ok_or(DatagramError::Malformed)
+        is_valid.then_some(Datagram { header, claims }).ok_or(DatagramError::Malformed)
     }
 }
