--- a/crates/operate/src/events.rs
+++ b/crates/operate/src/events.rs
@@ -1,5 +1,5 @@
-//! The most recent events of requests and connections, kept in memory for diagnosis. Each names its subject, and the
-//! reason of a decision.
+//! The most recent events of requests and connections, kept in memory for diagnosis. Each names its subject,
+//! and the reason of a decision.
 
 use corkhollow_balance::interface::{Ending, Nanos, RequestId};
 use std::collections::VecDeque;
--- a/crates/operate/src/fleet_page.rs
+++ b/crates/operate/src/fleet_page.rs
@@ -108,11 +108,11 @@
                 raise_to(&self.bytes.with_label_values(&[kind.name(), way]), bytes);
             }
         }
-        for refusal in DatagramError::ALL {
-            raise_to(&self.refused.with_label_values(&[refusal.name()]), stats.rejected[refusal as usize]);
+        for error in DatagramError::ALL {
+            raise_to(&self.refused.with_label_values(&[error.name()]), stats.rejected[error as usize]);
         }
-        self.late_seconds.set(stats.timer_lag as f64 / 1e9);
-        self.max_late_seconds.set(stats.max_timer_lag as f64 / 1e9);
+        self.timer_lag_seconds.set(stats.timer_lag as f64 / 1e9);
+        self.max_timer_lag_seconds.set(stats.max_timer_lag as f64 / 1e9);
         self.settled.set(i64::from(snapshot.is_settled));
         self.size.set(i64::from(snapshot.group_position.size));
     }
--- a/crates/operate/src/handover.rs
+++ b/crates/operate/src/handover.rs
@@ -1,5 +1,5 @@
-//! The state that a process hands over to its successor. Encoding: a line that names the format, the length and the CRC-32
-//! of the body (both `u32`, big endian), then the body in JSON.
+//! The state that a process hands over to its successor. Encoding: a line that names the format, the length
+//! and the CRC-32 of the body (both `u32`, big endian), then the body in JSON.
 
 use corkhollow_balance::Knowledge;
 use serde::{Deserialize, Serialize};
@@ -101,15 +101,16 @@
         Ok(serde_json::from_slice(body)?)
     }
 
-    /// Shifts all timestamps so that the oldest one becomes `written_at`. The two processes may have started on different
-    /// settings of the wall clock.
+    /// Shifts all timestamps so that the oldest one becomes `written_at`. The two processes may have started
+    /// on different settings of the wall clock.
     pub fn rebased_to(mut self, written_at: u64) -> Self {
         let offset = self.oldest_written_at().map_or(0, |at| written_at.wrapping_sub(at) as i64);
         self.pools.iter_mut().for_each(|pool| pool.knowledge.shift(offset));
         self
     }
 
-    /// Oldest time at which a pool's knowledge was exported, in nanoseconds since the Unix epoch; `None` without pools.
+    /// Oldest time at which a pool's knowledge was exported, in nanoseconds since the Unix epoch; `None`
+    /// without pools.
     pub fn oldest_written_at(&self) -> Option<u64> {
         self.pools.iter().map(|pool| pool.knowledge.at).min()
     }
--- a/crates/operate/src/lib.rs
+++ b/crates/operate/src/lib.rs
@@ -1,5 +1,5 @@
-//! The operator's side of a node: metrics, recent events, readiness and drain, and the hand-over to a successor process.
-//! Nothing here does I/O; the callers own the sockets and files.
+//! The operator's side of a node: metrics, recent events, readiness and drain, and the hand-over to a
+//! successor process. Nothing here does I/O; the callers own the sockets and files.
 
 mod events;
 mod fleet_page;
--- a/crates/operate/src/lifecycle.rs
+++ b/crates/operate/src/lifecycle.rs
@@ -3,14 +3,14 @@
 use corkhollow_balance::interface::Nanos;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Connections are accepted and kept for this long after a drain or shutdown begins, until load balancers in front of the
-/// node have noticed.
+/// Connections are accepted and kept for this long after a drain or shutdown begins, until load balancers in
+/// front of the node have noticed.
 const DRAIN_GRACE: Nanos = 500_000_000;
 /// A connection idle for less than this is not closed: its next request may be on the way.
 const MIN_IDLE_TIME: Nanos = 150_000_000;
 
-/// Answers are due this long before the process must exit, to leave time for writing them and for clock differences with
-/// the process's supervisor.
+/// Answers are due this long before the process must exit, to leave time for writing them and for clock
+/// differences with the process's supervisor.
 const ANSWER_MARGIN: Nanos = 50_000_000;
 
 /// Stage of a node's lifecycle.
@@ -94,7 +94,8 @@
         self.stage == LifecycleStage::Serving
     }
 
-    /// Whether connections are accepted. A draining node keeps accepting, so that it can answer that it is not ready.
+    /// Whether connections are accepted. A draining node keeps accepting, so that it can answer that it is
+    /// not ready.
     pub fn accepts_connections(&self, now: Nanos) -> bool {
         match self.stage {
             LifecycleStage::Serving | LifecycleStage::Draining { .. } => true,
@@ -104,17 +105,17 @@
         }
     }
 
-    /// For a node that shuts down: when every request must be answered, including late ones on connections that are still
-    /// open, and when the process must exit. `None` in other stages.
+    /// For a node that shuts down: when every request must be answered, including late ones on connections
+    /// that are still open, and when the process must exit. `None` in other stages.
     pub fn shutdown_deadlines(&self, drain_timeout: Nanos) -> Option<(Nanos, Nanos)> {
         let LifecycleStage::ShuttingDown { since, .. } = self.stage else { return None };
         let exit_at = since.saturating_add(drain_timeout);
         Some((exit_at - ANSWER_MARGIN.min(drain_timeout / 2), exit_at))
     }
 
-    /// Connections idle since before this time are to be closed; `None` if none are. Closing starts after [`DRAIN_GRACE`]:
-    /// until then, clients may reuse a connection and learn from the answer that it closes, where a close that crosses a
-    /// request would lose it.
+    /// Connections idle since before this time are to be closed; `None` if none are. Closing starts after
+    /// [`DRAIN_GRACE`]: until then, clients may reuse a connection and learn from the answer that it closes,
+    /// where a close that crosses a request would lose it.
     pub fn idle_close_cutoff(&self, now: Nanos) -> Option<Nanos> {
         match self.stage {
             LifecycleStage::Serving => None,
--- a/crates/operate/src/metrics.rs
+++ b/crates/operate/src/metrics.rs
@@ -17,7 +17,8 @@
 const RULE_LATE_ANSWER: &str = "late-answer";
 /// Label for the pool.
 const POOL_LABEL: &str = "pool";
-/// Upper bounds of the buckets of the answer time histogram: from a server nearby to the longest client timeouts.
+/// Upper bounds of the buckets of the answer time histogram: from a server nearby to the longest client
+/// timeouts.
 const ANSWER_TIME_BUCKETS_SECONDS: [f64; 11] =
     [0.001, 0.003, 0.01, 0.03, 0.1, 0.3, 1.0, 3.0, 10.0, 30.0, 100.0];
 /// All endings of attempts with their labels.
@@ -156,8 +157,8 @@
     pub(crate) datagrams: IntCounterVec,
     pub(crate) bytes: IntCounterVec,
     pub(crate) refused: IntCounterVec,
-    pub(crate) late_seconds: Gauge,
-    pub(crate) max_late_seconds: Gauge,
+    pub(crate) timer_lag_seconds: Gauge,
+    pub(crate) max_timer_lag_seconds: Gauge,
     pub(crate) settled: IntGauge,
     pub(crate) size: IntGauge,
 }
@@ -267,7 +268,8 @@
         })
     }
 
-    /// Counts a closed client connection; `dropped` tells whether it lost a complete request without an answer.
+    /// Counts a closed client connection; `dropped` tells whether it lost a complete request without an
+    /// answer.
     pub fn count_client_close(&self, reason: &str, dropped: bool) {
         self.client_closes.with_label_values(&[reason]).inc();
         if dropped {
@@ -280,8 +282,8 @@
         self.rule_violations.with_label_values(&[RULE_LATE_ANSWER]).inc();
     }
 
-    /// Sets the version of the active configuration. After a reload, `change` holds the durations in seconds of its steps
-    /// (read, compare, swap) and the number of pools it changed.
+    /// Sets the version of the active configuration. After a reload, `change` holds the durations in seconds
+    /// of its steps (read, compare, swap) and the number of pools it changed.
     pub fn set_active_config(&self, version: &str, change: Option<([f64; 3], usize)>) {
         self.config_version.reset();
         self.config_version.with_label_values(&[version]).set(1);
@@ -340,8 +342,11 @@
             datagrams: counters("fleet_datagrams", "Datagrams between nodes.", &["kind", "way"])?,
             bytes: counters("fleet_bytes", "Bytes of datagrams between nodes.", &["kind", "way"])?,
             refused: counters("fleet_refused", "Datagrams turned down, by reason.", &["reason"])?,
-            late_seconds: seconds("fleet_late_seconds", "How late the node last was to its own timers.")?,
-            max_late_seconds: seconds("fleet_latest_seconds", "How late it was at the worst.")?,
+            timer_lag_seconds: seconds(
+                "fleet_late_seconds",
+                "How late the node last was to its own timers.",
+            )?,
+            max_timer_lag_seconds: seconds("fleet_latest_seconds", "How late it was at the worst.")?,
             settled: gauge("fleet_settled", "1 while the view stands still and others have the same.")?,
             size: gauge("fleet_size", "Members that are there, itself included: what sums are divided by.")?,
         })
--- a/crates/operate/src/request_tracker.rs
+++ b/crates/operate/src/request_tracker.rs
@@ -80,7 +80,8 @@
     Unserved(UnservedReason),
 }
 
-/// Counts one request when dropped: by the outcome recorded, or as [`UnservedReason::ClientLeft`] if there was none.
+/// Counts one request when dropped: by the outcome recorded, or as [`UnservedReason::ClientLeft`] if there
+/// was none.
 #[derive(Debug)]
 pub struct RequestTracker {
     class: ClassMetrics,
--- a/crates/operate/src/succession.rs
+++ b/crates/operate/src/succession.rs
@@ -7,13 +7,14 @@
     pub has_predecessor: bool,
     /// A newer process has started; it continues when this one terminates.
     pub has_successor: bool,
-    /// Another successor started before this one: this process waits until that one serves alone or has ended.
+    /// Another successor started before this one: this process waits until that one serves alone or has
+    /// ended.
     pub is_queued: bool,
 }
 
 impl Succession {
-    /// Share of the node's limits that this process may use. Two processes that overlap split the limits; a queued one
-    /// gets none.
+    /// Share of the node's limits that this process may use. Two processes that overlap split the limits; a
+    /// queued one gets none.
     pub fn limit_share(&self) -> f64 {
         match (self.has_predecessor || self.has_successor, self.is_queued) {
             (_, true) => 0.0,
@@ -22,8 +23,8 @@
         }
     }
 
-    /// Whether this process accepts connections from the shared socket. While there is a predecessor, it does so only once
-    /// it is ready: until then the predecessor can serve them at once.
+    /// Whether this process accepts connections from the shared socket. While there is a predecessor, it does
+    /// so only once it is ready: until then the predecessor can serve them at once.
     pub fn accepts_connections(&self, ready: bool) -> bool {
         !self.is_queued && (ready || !self.has_predecessor)
     }
--- a/crates/proxy/src/http1/client_connection.rs
+++ b/crates/proxy/src/http1/client_connection.rs
@@ -16,7 +16,8 @@
 use tokio::net::TcpStream;
 use tokio::sync::Notify;
 
-/// A request that arrived complete while its connection was in the backlog is read within this time after accept.
+/// A request that arrived complete while its connection was in the backlog is read within this time after
+/// accept.
 const BACKLOG_READ_WINDOW: Duration = Duration::from_millis(100);
 
 /// A connection just accepted from a listener.
@@ -47,7 +48,8 @@
     pub(super) awaiting_first_request_since: Cell<Option<Instant>>,
     /// When bytes were last found to have moved, or an answer to be awaited, by the periodic check.
     pub(super) last_progress_at: Cell<Nanos>,
-    /// Upper bound on the time that the connection spent in the backlog; zero once its first request has begun.
+    /// Upper bound on the time that the connection spent in the backlog; zero once its first request has
+    /// begun.
     pub(super) backlog_wait: Cell<Duration>,
     /// A request that is complete before this instant may have waited in the backlog.
     pub(super) backlog_wait_until: Instant,
@@ -136,8 +138,8 @@
         self.tracker.replace(Some(tracker));
     }
 
-    /// How long the current request, complete by now, may have waited in the backlog. Zero where its last byte came
-    /// after [`BACKLOG_READ_WINDOW`]: the client was still sending.
+    /// How long the current request, complete by now, may have waited in the backlog. Zero where its last
+    /// byte came after [`BACKLOG_READ_WINDOW`]: the client was still sending.
     pub(super) fn effective_backlog_wait(&self) -> Nanos {
         match Instant::now() < self.backlog_wait_until {
             true => self.request_backlog_wait.get().as_nanos() as Nanos,
@@ -153,10 +155,11 @@
         }
     }
 
-    /// Completes when the client closes the connection while its complete request awaits an answer. A half-close counts
-    /// as leaving: it cannot be told from a full close. Bytes that the client sends meanwhile are buffered for hyper. With
-    /// `one_at_a_time` (no pipelining, as on the platform), bytes beyond the buffer are discarded, so that they cannot hide
-    /// the close behind them, and the connection closes after the answer.
+    /// Completes when the client closes the connection while its complete request awaits an answer. A
+    /// half-close counts as leaving: it cannot be told from a full close. Bytes that the client sends
+    /// meanwhile are buffered for hyper. With `one_at_a_time` (no pipelining, as on the platform), bytes
+    /// beyond the buffer are discarded, so that they cannot hide the close behind them, and the connection
+    /// closes after the answer.
     pub(super) async fn client_left(&self, one_at_a_time: bool) {
         poll_fn(|cx| match self.stage.get() == RequestStage::AwaitingAnswer && self.request_complete.get() {
             true => self.socket.poll_peer_closed(cx, one_at_a_time.then_some(&self.close_after_answer)),
@@ -165,8 +168,8 @@
         .await
     }
 
-    /// Requests a close and wakes the task that serves the connection, which would otherwise keep the descriptor until
-    /// the client leaves.
+    /// Requests a close and wakes the task that serves the connection, which would otherwise keep the
+    /// descriptor until the client leaves.
     pub(super) fn request_close(&self, reason: CloseReason) {
         self.pending_close.set(Some(reason));
         self.close_signal.notify_one();
--- a/crates/proxy/src/http1/client_connections.rs
+++ b/crates/proxy/src/http1/client_connections.rs
@@ -92,7 +92,8 @@
             }
         }
         let backlog_wait = backlog_wait();
-        // Accept from the kernel directly: after a pause of the process, tokio may not yet know of waiting connections.
+        // Accept from the kernel directly: after a pause of the process, tokio may not yet know of waiting
+        // connections.
         let Ok(listener) = listener.into_std() else { return };
         while let Ok((stream, peer)) = listener.accept() {
             if let Ok(stream) = stream.set_nonblocking(true).and_then(|()| TcpStream::from_std(stream)) {
@@ -101,7 +102,8 @@
         }
     }
 
-    /// Starts a task that serves an accepted connection. `backlog_wait` is an upper bound on its time in the backlog.
+    /// Starts a task that serves an accepted connection. `backlog_wait` is an upper bound on its time in the
+    /// backlog.
     fn start_serving(
         self: &Rc<Self>,
         listener_name: &Rc<str>,
@@ -175,7 +177,8 @@
         self.close_for_reason(CloseReason::SlowHead);
     }
 
-    /// Closes idle and stalled connections, so that no client holds a descriptor forever. Called once a second.
+    /// Closes idle and stalled connections, so that no client holds a descriptor forever. Called once a
+    /// second.
     pub fn close_idle_and_stalled(&self) {
         let now = self.service.clock.now();
         for client in self.open.borrow().values() {
@@ -195,8 +198,8 @@
         connections.for_each(|client| client.request_close(CloseReason::ListenerRemoved));
     }
 
-    /// Requests a close of all connections that have been idle since `before` or longer; returns how many connections
-    /// are still open.
+    /// Requests a close of all connections that have been idle since `before` or longer; returns how many
+    /// connections are still open.
     pub fn close_idle(&self, before: Nanos) -> usize {
         let (now, limits) = (self.service.clock.now(), self.service.close_limits());
         let open = self.open.borrow();
--- a/crates/proxy/src/http1/close_policy.rs
+++ b/crates/proxy/src/http1/close_policy.rs
@@ -1,5 +1,5 @@
-//! Decides whether a client's connection may be closed. The decision is made once when a close is requested and again
-//! when it is carried out, because bytes may arrive in between.
+//! Decides whether a client's connection may be closed. The decision is made once when a close is requested
+//! and again when it is carried out, because bytes may arrive in between.
 
 use std::time::Duration;
 
@@ -91,8 +91,8 @@
     Abort,
 }
 
-/// Whether a close for this reason may be requested now. `has_unread` asks the kernel whether bytes or an end of
-/// stream wait to be read; it costs a system call and is called only when the answer matters.
+/// Whether a close for this reason may be requested now. `has_unread` asks the kernel whether bytes or an end
+/// of stream wait to be read; it costs a system call and is called only when the answer matters.
 pub fn should_close(
     reason: CloseReason,
     state: &ConnectionState,
@@ -114,15 +114,16 @@
         }
         CloseReason::Stalled => {
             let stalled = !between_requests && state.since_progress >= limits.stall_timeout;
-            // While an answer is awaited or written the socket is not read, so pending bytes are not progress.
+            // While an answer is awaited or written the socket is not read, so pending bytes are not
+            // progress.
             let reads_request = matches!(state.stage, RequestStage::Idle | RequestStage::ReadingBody);
             stalled && !(reads_request && has_unread())
         }
     }
 }
 
-/// How to carry out a close that was requested earlier. A request whose first bytes have arrived since must still be
-/// answered.
+/// How to carry out a close that was requested earlier. A request whose first bytes have arrived since must
+/// still be answered.
 pub fn decide_close(
     reason: CloseReason,
     state: &ConnectionState,
--- a/crates/proxy/src/http1/general.rs
+++ b/crates/proxy/src/http1/general.rs
@@ -46,7 +46,8 @@
         Problem { status, reason, detail: detail.into(), retry_after: None, allow: None, close: false }
     }
 
-    /// A request that cannot be parsed unambiguously. The connection closes: the start of the next request is unknown.
+    /// A request that cannot be parsed unambiguously. The connection closes: the start of the next request is
+    /// unknown.
     fn malformed(detail: impl Into<Cow<'static, str>>) -> Self {
         Problem { close: true, ..Problem::new(StatusCode::BAD_REQUEST, "unreadable", detail) }
     }
@@ -95,7 +96,8 @@
             Ok(response) => response,
             Err(problem) => problem.into_response(),
         };
-    // Discard a short unread body to keep the connection. A client that still awaits `100 Continue` may never send it.
+    // Discard a short unread body to keep the connection. A client that still awaits `100 Continue` may never
+    // send it.
     if let Some(unread_body) = body.filter(|body| !body.is_end_stream()) {
         if !sends_body_unasked || !upload::discard_short_body(unread_body).await {
             response = with_connection_close(response);
@@ -132,7 +134,7 @@
         "*" if head.method == Method::OPTIONS => Cow::Borrowed("*"),
         raw => normalise(raw, listener.paths).map_err(|error| Problem::malformed(error.to_string()))?,
     };
-    let target = RequestHead {
+    let request_head = RequestHead {
         listener: listener_index,
         host: host.as_str(),
         path: &path,
@@ -140,8 +142,8 @@
         method: &head.method,
         headers: &head.headers,
     };
-    let Some((_, route)) = active_plan.plan.routes.find(&target) else {
-        return Err(no_route_problem(active_plan, &target));
+    let Some((_, route)) = active_plan.plan.routes.find(&request_head) else {
+        return Err(no_route_problem(active_plan, &request_head));
     };
     match &route.action {
         RouteAction::Answer { status, content_type, body } => {
@@ -298,8 +300,8 @@
 }
 
 /// 405 if a route matches with another method, else 404.
-fn no_route_problem(active_plan: &ActivePlan, target: &RequestHead<'_>) -> Problem {
-    let allowed = active_plan.plan.routes.allowed_methods(target);
+fn no_route_problem(active_plan: &ActivePlan, request_head: &RequestHead<'_>) -> Problem {
+    let allowed = active_plan.plan.routes.allowed_methods(request_head);
     if allowed.is_empty() {
         return Problem::new(StatusCode::NOT_FOUND, "no-route", "no route takes this request");
     }
@@ -308,7 +310,8 @@
     Problem { allow, ..Problem::new(StatusCode::METHOD_NOT_ALLOWED, "method", "not with this method") }
 }
 
-/// Prepares headers for the server: removes hop-by-hop headers, adds forwarding headers, `Via` and a request id.
+/// Prepares headers for the server: removes hop-by-hop headers, adds forwarding headers, `Via` and a request
+/// id.
 fn set_request_headers(
     headers: &mut HeaderMap,
     listener: &Listener,
@@ -353,8 +356,8 @@
     }
 }
 
-/// Sets a forwarding header. If `trust_previous`, an existing value is kept: as the start of the list for a list header,
-/// in place of `value` otherwise.
+/// Sets a forwarding header. If `trust_previous`, an existing value is kept: as the start of the list for a
+/// list header, in place of `value` otherwise.
 fn set_forwarding_header(
     headers: &mut HeaderMap,
     name: HeaderName,
@@ -380,8 +383,8 @@
     headers.insert(name, value);
 }
 
-/// Forwards interim (1xx) answers. hyper's server cannot send them, so they are written directly to the socket, which
-/// accepts them only between two messages.
+/// Forwards interim (1xx) answers. hyper's server cannot send them, so they are written directly to the
+/// socket, which accepts them only between two messages.
 fn interim_handler(client: &Rc<ClientConnection>, listener: &Listener) -> InterimHandler {
     let (client, via) = (client.clone(), listener.via.clone());
     InterimHandler::new(move |status, mut headers| {
--- a/crates/proxy/src/http1/platform.rs
+++ b/crates/proxy/src/http1/platform.rs
@@ -45,7 +45,7 @@
         return with_connection_close(text_response(StatusCode::BAD_REQUEST, "two lengths\n"));
     }
     // The path is matched and forwarded without normalisation.
-    let target = RequestHead {
+    let request_head = RequestHead {
         listener: 0,
         host: "",
         path: head.uri.path(),
@@ -54,7 +54,7 @@
         headers: &head.headers,
     };
     let Some((class, pool_index)) =
-        active_plan.plan.routes.find(&target).and_then(|(_, route)| match route.action {
+        active_plan.plan.routes.find(&request_head).and_then(|(_, route)| match route.action {
             RouteAction::Forward { pool, .. } => Some((route.class?, pool)),
             _ => None,
         })
--- a/crates/proxy/src/http1/respond.rs
+++ b/crates/proxy/src/http1/respond.rs
@@ -59,10 +59,10 @@
     }
 }
 
-/// Answers a request in the dialect of its listener. The answer carries `Connection: close` if the node drains or shuts
-/// down, the connection is over the limit, or its listener was removed. It also does after a chunked body if the listener
-/// is the platform's or the raw head was not captured: a `Content-Length` beside `Transfer-Encoding` could then smuggle
-/// a request (RFC 9112, 6.1).
+/// Answers a request in the dialect of its listener. The answer carries `Connection: close` if the node
+/// drains or shuts down, the connection is over the limit, or its listener was removed. It also does after a
+/// chunked body if the listener is the platform's or the raw head was not captured: a `Content-Length` beside
+/// `Transfer-Encoding` could then smuggle a request (RFC 9112, 6.1).
 pub(super) async fn respond(
     service: &Rc<Service>,
     client: &Rc<ClientConnection>,
@@ -105,7 +105,8 @@
     Ok(response.map(|body| TrackedAnswerBody { body, service: service.clone(), client: client.clone() }))
 }
 
-/// Length of a request head in bytes, without optional white space. hyper itself limits only what fits its buffer.
+/// Length of a request head in bytes, without optional white space. hyper itself limits only what fits its
+/// buffer.
 fn header_bytes(request: &Request<Incoming>) -> usize {
     let target = request.uri().path_and_query().map_or(0, |target| target.as_str().len());
     let request_line = request.method().as_str().len() + target + " HTTP/1.1\r\n ".len();
--- a/crates/proxy/src/http1/service.rs
+++ b/crates/proxy/src/http1/service.rs
@@ -27,7 +27,8 @@
 }
 
 impl Service {
-    /// Counts a closed connection and records it as an event; `dropped` tells whether it lost a complete request.
+    /// Counts a closed connection and records it as an event; `dropped` tells whether it lost a complete
+    /// request.
     pub(super) fn record_close(&self, client: &ClientConnection, reason: &'static str, dropped: bool) {
         self.metrics.count_client_close(reason, dropped);
         let subject = Subject::Connection(client.number);
--- a/crates/proxy/src/http1/upload.rs
+++ b/crates/proxy/src/http1/upload.rs
@@ -38,7 +38,8 @@
     pub stall_timeout: Duration,
     /// Slowest rate at which the client may send, if limited.
     pub min_pace: Option<MinPace>,
-    /// Whether an unread remainder goes back to the connection ([`ClientConnection::unread_body`]) when dropped.
+    /// Whether an unread remainder goes back to the connection ([`ClientConnection::unread_body`]) when
+    /// dropped.
     pub returns_unread: bool,
     /// Longest time without progress on the way to a server; at least `stall_timeout`.
     pub forward_stall_timeout: Duration,
@@ -152,15 +153,16 @@
 }
 
 impl StreamedBody {
-    /// Handles the end of the body. Returns false if the client has already left: the body must then not be completed
-    /// towards the server, which would start to process the request.
+    /// Handles the end of the body. Returns false if the client has already left: the body must then not be
+    /// completed towards the server, which would start to process the request.
     fn finish(&self) -> bool {
         let client_left = self.progress.ended_at.get().is_none() && self.client.socket.is_closed_by_peer();
         self.mark_ended(client_left);
         !client_left
     }
 
-    /// Notes that nothing more will come from the client; `failed` if the body is incomplete or the client left.
+    /// Notes that nothing more will come from the client; `failed` if the body is incomplete or the client
+    /// left.
     fn mark_ended(&self, failed: bool) {
         if self.progress.ended_at.get().is_none() {
             self.progress.ended_at.set(Some(self.clock.now()));
@@ -181,8 +183,9 @@
     }
 }
 
-/// Reads and discards the rest of a body whose answer is already decided. A client that reads only after it has sent
-/// everything would lose the answer if the connection were reset. Returns false if the body does not end within the limits.
+/// Reads and discards the rest of a body whose answer is already decided. A client that reads only after it
+/// has sent everything would lose the answer if the connection were reset. Returns false if the body does not
+/// end within the limits.
 pub(super) async fn discard_body(mut body: Incoming, limits: &BodyLimits) -> bool {
     let (started_at, mut received_bytes) = (Instant::now(), 0);
     loop {
--- a/crates/proxy/tests/closing.rs
+++ b/crates/proxy/tests/closing.rs
@@ -23,7 +23,8 @@
 const CONFIG: &str = "[[listener]]\nname = \"web\"\naddress = \"127.0.0.1:0\"\n[limits]\nheader_timeout = \"60ms\"\n\
                     [[pool]]\nname = \"main\"\nservers = []\n[[route]]\nname = \"some\"\npath = \"/some\"\npool = \"main\"\n";
 
-/// The gateway and one client connected to it, on a single thread: the gateway runs only while the test awaits.
+/// The gateway and one client connected to it, on a single thread: the gateway runs only while the test
+/// awaits.
 struct TestConnection {
     clients: Rc<ClientConnections>,
     client: TcpStream,
@@ -65,7 +66,8 @@
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 
-    /// Reads until the connection ends or is silent for a while; returns the bytes, and whether the connection ended.
+    /// Reads until the connection ends or is silent for a while; returns the bytes, and whether the
+    /// connection ended.
     async fn receive(&mut self) -> (String, bool) {
         let (mut received, mut last_byte_at) = (Vec::new(), Instant::now());
         let mut bytes = [0; 4096];
@@ -121,7 +123,8 @@
     });
 }
 
-/// The second request on a connection has begun when its listener is removed: it is answered, then the connection closes.
+/// The second request on a connection has begun when its listener is removed: it is answered, then the
+/// connection closes.
 #[test]
 fn request_begun_before_its_listener_is_removed_is_answered() {
     run_local_test(|| async {
@@ -139,7 +142,8 @@
     });
 }
 
-/// Guards against a header timeout that does not start when a head arrives in one segment with the previous request.
+/// Guards against a header timeout that does not start when a head arrives in one segment with the previous
+/// request.
 #[test]
 fn incomplete_pipelined_head_is_closed_after_its_timeout() {
     run_local_test(|| async {
