--- a/crates/proxy/src/operator.rs
+++ b/crates/proxy/src/operator.rs
@@ -65,7 +65,7 @@
     async fn serve(self, listener: TcpListener) {
         let listener = match tokio::net::TcpListener::from_std(listener) {
             Ok(listener) => listener,
-            Err(error) => return log(format_args!("operator's address: {error}")),
+            Err(error) => return log(format_args!("operator listener: {error}")),
         };
         let mut connections: VecDeque<AbortHandle> = VecDeque::new();
         loop {
@@ -132,7 +132,7 @@
 /// The node's view of its fleet, as JSON.
 fn fleet_page(fleet: &Fleet) -> String {
     let view = fleet.view();
-    let refused_by = match view.standing {
+    let refused_by = match view.status {
         NodeStatus::Refused { by } => Some(by),
         _ => None,
     };
