--- a/crates/plan/src/limits.rs
+++ b/crates/plan/src/limits.rs
@@ -8,8 +8,8 @@
 /// Descriptors that no client or server connection may use: 20 for standard streams, listeners, pollers, locks and
 /// discovery, and 8 for operators.
 const RESERVED_DESCRIPTORS: usize = 28;
-/// The fraction of the other descriptors that client connections may use. Clients get more than half, because their
-/// connections may be idle, while most server connections carry a request.
+/// The fraction of the unreserved descriptors that client connections may use; server connections get the rest.
+/// Clients get more, because their connections may be idle while a server connection carries a request.
 const CLIENT_FRACTION: f64 = 0.55;
 /// The fraction of the memory limit that bodies may use; connection buffers and heap fragmentation need the rest.
 const BODY_MEMORY_FRACTION: f64 = 0.35;
@@ -33,7 +33,7 @@
 pub struct Budget {
     /// The limits that the configuration allows.
     configured: BudgetLimits,
-    /// The limits in force, after [`Budget::set_limit_share`].
+    /// The limits in force; see [`Budget::set_limit_share`].
     limits: Cell<BudgetLimits>,
     clients: Cell<usize>,
     servers: Cell<usize>,
@@ -60,7 +60,7 @@
         })
     }
 
-    /// Lowers the limits to a fraction of the configured ones. What is in use beyond them stays until it is released.
+    /// Sets the limits to a fraction of the configured ones. What is in use beyond them stays until it is released.
     pub fn set_limit_share(&self, share: f64) {
         let scale = |limit: usize| ((limit as f64 * share) as usize).max(1);
         let BudgetLimits { clients, servers, bytes } = self.configured;
--- a/crates/plan/src/plan.rs
+++ b/crates/plan/src/plan.rs
@@ -86,7 +86,10 @@
     pub fn parse_key(text: &str) -> Result<[u8; 32], String> {
         let text = text.trim();
         if text.len() != 64 || !text.is_ascii() {
-            return Err(format!("a key has 64 hex digits; here are {} characters", text.chars().count()));
+            return Err(format!(
+                "a key must have 64 hex digits, but this one has {} characters",
+                text.chars().count()
+            ));
         }
         let mut key = [0; 32];
         for (index, byte) in key.iter_mut().enumerate() {
@@ -94,7 +97,7 @@
             let is_hex = digits.bytes().all(|digit| digit.is_ascii_hexdigit());
             let value = u8::from_str_radix(digits, 16).ok().filter(|_| is_hex);
             *byte = value.ok_or_else(|| {
-                format!("characters {} and {} are no hex digits", 2 * index + 1, 2 * index + 2)
+                format!("characters {} and {} are not hex digits", 2 * index + 1, 2 * index + 2)
             })?;
         }
         Ok(key)
@@ -292,9 +295,9 @@
 impl Plan {
     /// The class of a request: that of its route or, if that names none, the one for its method. The last class
     /// takes all methods that no class names.
-    pub fn class_of(&self, route: Option<usize>, method: &Method) -> usize {
+    pub fn class_of(&self, route_class: Option<usize>, method: &Method) -> usize {
         let by_method = || self.classes.iter().position(|c| c.methods.contains(method));
-        route.or_else(by_method).unwrap_or(self.classes.len() - 1)
+        route_class.or_else(by_method).unwrap_or(self.classes.len() - 1)
     }
 
     /// Explains, in lines for the operator, how a request is routed.
--- a/crates/plan/src/platform.rs
+++ b/crates/plan/src/platform.rs
@@ -26,9 +26,9 @@
 const CLIENT_IDLE_TIMEOUT: Nanos = 90_000_000_000;
 /// A slow client makes some progress within this time; one that makes none is disconnected.
 const STALL_TIMEOUT: Nanos = 20_000_000_000;
-/// The platform sends SIGKILL when the longest deadline of a class, capped at this value, and `DRAIN_MARGIN` have
-/// passed since SIGTERM.
+/// The longest deadline of a class that is awaited after SIGTERM.
 const MAX_DRAIN_DEADLINE: Nanos = 3_000_000_000;
+/// The time from the longest deadline after SIGTERM until the platform sends SIGKILL.
 const DRAIN_MARGIN: Nanos = 700_000_000;
 
 /// Why a configuration cannot be used.
--- a/crates/plan/src/stable_read.rs
+++ b/crates/plan/src/stable_read.rs
@@ -38,7 +38,7 @@
         }
         std::thread::yield_now();
     }
-    Err(io::Error::other("it changes while it is read"))
+    Err(io::Error::other("the file changes while it is read"))
 }
 
 #[cfg(test)]
--- a/crates/plan/src/tenants.rs
+++ b/crates/plan/src/tenants.rs
@@ -68,7 +68,7 @@
     /// Gives tenants that an older table has their numbers of that table, and all others unused ones. If the quotas are
     /// equal after that, both share one table of quotas.
     pub(crate) fn keep_numbers_of(&mut self, old: &Tenants) {
-        // Numbering starts over when the numbers run out.
+        // When the numbers run out, numbering starts over and no tenant keeps its number.
         let mut next_number = old.next_number;
         if u32::MAX - next_number <= self.numbers.len() as u32 {
             return;
--- a/crates/plan/tests/fleet.rs
+++ b/crates/plan/tests/fleet.rs
@@ -67,10 +67,10 @@
     let text = format!(" {}\n", "0123456789abcdefABCDEF0000000000".repeat(2));
     assert_eq!(Fleet::parse_key(&text).unwrap()[..4], [0x01, 0x23, 0x45, 0x67]);
     for (invalid, expected) in [
-        ("".to_owned(), "here are 0 characters"),
-        ("0".repeat(63), "here are 63 characters"),
-        (format!("{}+f", "0".repeat(62)), "characters 63 and 64 are no hex digits"),
-        ("\u{e9}".repeat(32), "here are 32 characters"),
+        ("".to_owned(), "this one has 0 characters"),
+        ("0".repeat(63), "this one has 63 characters"),
+        (format!("{}+f", "0".repeat(62)), "characters 63 and 64 are not hex digits"),
+        ("\u{e9}".repeat(32), "this one has 32 characters"),
     ] {
         assert!(Fleet::parse_key(&invalid).unwrap_err().contains(expected), "{invalid}");
     }
