--- a/crates/plan/src/routes/path.rs
+++ b/crates/plan/src/routes/path.rs
@@ -66,15 +66,15 @@
 }
 
 fn normalise_escapes(raw: &str, rules: PathRules) -> Result<String, InvalidPath> {
-    let mut out = String::with_capacity(raw.len());
+    let mut normalised = String::with_capacity(raw.len());
     let mut rest = raw;
     while let Some(index) = rest.find(['%', '\\']) {
-        out.push_str(&rest[..index]);
+        normalised.push_str(&rest[..index]);
         if rest.as_bytes()[index] == b'\\' {
             if !rules.keep_escaped_slashes {
                 return Err(InvalidPath::Slash);
             }
-            out.push('\\');
+            normalised.push('\\');
             rest = &rest[index + 1..];
             continue;
         }
@@ -86,13 +86,13 @@
         match byte {
             b if b.is_ascii_control() => return Err(InvalidPath::Control),
             b'/' | b'\\' if !rules.keep_escaped_slashes => return Err(InvalidPath::Slash),
-            b if is_unreserved(b) => out.push(b as char),
-            b => out.push_str(&format!("%{b:02X}")),
+            b if is_unreserved(b) => normalised.push(b as char),
+            b => normalised.push_str(&format!("%{b:02X}")),
         }
         rest = &rest[index + 3..];
     }
-    out.push_str(rest);
-    Ok(out)
+    normalised.push_str(rest);
+    Ok(normalised)
 }
 
 /// Removes dot segments (RFC 3986, 5.2.4); `..` at the root has no effect.
@@ -114,15 +114,15 @@
             other => kept.push(other),
         }
     }
-    let mut out = String::with_capacity(path.len());
+    let mut joined = String::with_capacity(path.len());
     for segment in &kept {
-        out.push('/');
-        out.push_str(segment);
+        joined.push('/');
+        joined.push_str(segment);
     }
-    if out.is_empty() {
-        out.push('/');
+    if joined.is_empty() {
+        joined.push('/');
     }
-    out
+    joined
 }
 
 /// A case-sensitive pattern for the paths of a route.
--- a/crates/plan/tests/change.rs
+++ b/crates/plan/tests/change.rs
@@ -88,24 +88,24 @@
 
     /// The name and a description of each item of a kind; the descriptions differ where the items do.
     fn described_items(&self, kind: &str) -> Vec<(String, String)> {
-        let word = |name: &dyn std::fmt::Display, rest: String| (name.to_string(), rest);
+        let item = |name: &dyn std::fmt::Display, description: String| (name.to_string(), description);
         match kind {
             "classes" => {
-                let own = self.classes.iter().map(|(n, e)| word(&format!("c{n}"), e.to_string()));
-                own.chain([word(&"read", String::new()), word(&"write", String::new())]).collect()
+                let configured = self.classes.iter().map(|(n, e)| item(&format!("c{n}"), e.to_string()));
+                configured.chain([item(&"read", String::new()), item(&"write", String::new())]).collect()
             }
-            "tenants" => self.tenants.iter().map(|(n, s)| word(n, s.to_string())).collect(),
+            "tenants" => self.tenants.iter().map(|(n, s)| item(n, s.to_string())).collect(),
             "pools" => {
                 // The settings of a pool contain those of all classes, without their names.
                 let classes: Vec<_> = self.classes.iter().map(|(_, effect)| effect).collect();
-                self.pools.iter().map(|(n, a, t, s)| word(n, format!("{a} {t} {s:?} {classes:?}"))).collect()
+                self.pools.iter().map(|(n, a, t, s)| item(n, format!("{a} {t} {s:?} {classes:?}"))).collect()
             }
             "routes" => {
-                let of = |(_, pool, class, path): &(u8, usize, usize, u8)| {
+                let describe = |(_, pool, class, path): &(u8, usize, usize, u8)| {
                     let class = self.classes[class % self.classes.len()].0;
                     format!("{} {class} {path}", self.pools[pool % self.pools.len()].0)
                 };
-                self.routes.iter().map(|r| word(&r.0, of(r))).collect()
+                self.routes.iter().map(|r| item(&r.0, describe(r))).collect()
             }
             _ => Vec::new(),
         }
@@ -127,7 +127,7 @@
         removed: old.iter().filter(|(name, _)| find(new, name).is_none()).count(),
         changed: new
             .iter()
-            .filter(|(name, rest)| find(old, name).is_some_and(|index| old[index].1 != *rest))
+            .filter(|(name, description)| find(old, name).is_some_and(|index| old[index].1 != *description))
             .count(),
         moved: if ordered { kept.len() - lengths.iter().max().copied().unwrap_or(0) } else { 0 },
     }
