--- a/crates/bench/benches/fleet.rs
+++ b/crates/bench/benches/fleet.rs
@@ -4,7 +4,7 @@
 //! list cold gets from all of them, what a tenant over its rate gets where there is not enough for all, and what a ninth counts as.
 
 use corkhollow_faults::Action;
-use corkhollow_standin::*;
+use corkhollow_test_support::*;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering::SeqCst};
 use std::sync::{Arc, Mutex};
--- a/crates/bench/benches/memory.rs
+++ b/crates/bench/benches/memory.rs
@@ -1,7 +1,7 @@
 //! The program's memory: while one long body passes each way, and while thousands of clients stand idle.
 //! `--bytes N` sets the length of the bodies (1 GB), `--clients N` the number of clients (5,000).
 
-use corkhollow_standin::{raw, read, response, Node};
+use corkhollow_test_support::{raw, read, response, Node};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::process::Command;
--- a/crates/bench/benches/operations.rs
+++ b/crates/bench/benches/operations.rs
@@ -2,7 +2,7 @@
 //! first second beside a cold start's, 200 long bodies at once, long bodies beside a bare relay.
 //! `--replacements N` sets how many processes follow one another (50).
 
-use corkhollow_standin::*;
+use corkhollow_test_support::*;
 use hdrhistogram::Histogram;
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Read, Write};
--- a/crates/bench/benches/scale/load.rs
+++ b/crates/bench/benches/scale/load.rs
@@ -1,6 +1,6 @@
 //! Clients that ask without a pause to speak of, and what they waited for.
 
-use corkhollow_standin::read;
+use corkhollow_test_support::read;
 use hdrhistogram::Histogram;
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
--- a/crates/bench/benches/scale/members.rs
+++ b/crates/bench/benches/scale/members.rs
@@ -5,7 +5,7 @@
 use crate::process;
 use corkhollow_fleet::{Config, Extensions, Timing};
 use corkhollow_proxy::fleet::Fleet;
-use corkhollow_standin::{Fleet as Told, Node};
+use corkhollow_test_support::{Fleet as Told, Node};
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
 use std::time::{Duration, Instant};
 
--- a/crates/bench/benches/scale/node.rs
+++ b/crates/bench/benches/scale/node.rs
@@ -4,7 +4,7 @@
 use crate::load::{timed, Client, Watch};
 use crate::process;
 use corkhollow_laboratory::scale::{Change, Counts, Frame, Generated};
-use corkhollow_standin::Node;
+use corkhollow_test_support::Node;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::Path;
--- a/crates/corkhollow/src/commands/demo.rs
+++ b/crates/corkhollow/src/commands/demo.rs
@@ -2,7 +2,7 @@
 
 use super::Failure;
 use crate::cli::DemoArgs;
-use corkhollow_standin::{Load, Machine};
+use corkhollow_test_support::{Load, Machine};
 use std::collections::VecDeque;
 use std::fmt::Write as _;
 use std::future::poll_fn;
--- a/crates/corkhollow/tests/attempts.rs
+++ b/crates/corkhollow/tests/attempts.rs
@@ -1,6 +1,6 @@
 //! Attempts at close range: answers that come twice, errors that do not end, requests of which a part is written.
 
-use corkhollow_standin::*;
+use corkhollow_test_support::*;
 use std::io::{Read, Write};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering::SeqCst};
 use std::sync::{Arc, Mutex};
--- a/crates/corkhollow/tests/backlog.rs
+++ b/crates/corkhollow/tests/backlog.rs
@@ -1,6 +1,6 @@
 //! Requests that wait in the kernel's backlog, because a process has no place for their connections.
 
-use corkhollow_standin::*;
+use corkhollow_test_support::*;
 use std::io::Write;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
--- a/crates/corkhollow/tests/ci.rs
+++ b/crates/corkhollow/tests/ci.rs
@@ -1,6 +1,6 @@
 //! What CI passes over: just the failures that KNOWN-RED.txt lists, and only while they are failures.
 
-use corkhollow_standin::Folder;
+use corkhollow_test_support::Folder;
 use std::process::Command;
 
 /// A run of two targets' tests, as cargo prints it with `--no-fail-fast`.
--- a/crates/corkhollow/tests/customers.rs
+++ b/crates/corkhollow/tests/customers.rs
@@ -1,6 +1,6 @@
 //! Settings of other customers: what is right for one's deadlines must not be wrong for another's.
 
-use corkhollow_standin::*;
+use corkhollow_test_support::*;
 use std::time::{Duration, Instant};
 
 /// Deadlines of 20 s, as a customer with heavy work has them.
--- a/crates/corkhollow/tests/demo.rs
+++ b/crates/corkhollow/tests/demo.rs
@@ -1,6 +1,6 @@
 //! The first minute: the demo serves, a server drains and one dies, and it ends by itself, leaving nothing behind.
 
-use corkhollow_standin::until;
+use corkhollow_test_support::until;
 use std::io::{BufRead, BufReader, Read};
 use std::net::{SocketAddr, TcpStream};
 use std::os::unix::process::CommandExt;
--- a/crates/corkhollow/tests/deploy.rs
+++ b/crates/corkhollow/tests/deploy.rs
@@ -2,7 +2,7 @@
 //! dynamically, that starts no other, has no Unix socket to come to and no file outside its own folder, and ends by SIGTERM with
 //! every request answered. Each check is shown to fail on a planted violation of its kind.
 
-use corkhollow_standin::*;
+use corkhollow_test_support::*;
 use std::collections::BTreeSet;
 use std::io::Write;
 use std::path::{Path, PathBuf};
--- a/crates/corkhollow/tests/fleet.rs
+++ b/crates/corkhollow/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! Several processes of the program that keep a view of each other, with faults between them.
 
 use corkhollow_faults::{Action, LinkFaults, Script};
-use corkhollow_standin::*;
+use corkhollow_test_support::*;
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, UdpSocket};
 use std::process::{Command, Stdio};
@@ -109,7 +109,7 @@
     let servers = Servers::new(3, |_, _| ok("fine"));
     // One of the servers is reached by a slow link, one by a link that cuts every ninth connection before an answer.
     let late = Ways {
-        back: corkhollow_standin::Way {
+        back: corkhollow_test_support::Way {
             delay: Duration::from_millis(20),
             jitter: Duration::from_millis(20),
             ..Default::default()
@@ -118,7 +118,7 @@
     };
     let slow = Link::new(servers.dials[0], 1, move |_| late);
     let cut = Ways {
-        back: corkhollow_standin::Way { end: Some((0, End::Cut)), ..Default::default() },
+        back: corkhollow_test_support::Way { end: Some((0, End::Cut)), ..Default::default() },
         ..Ways::default()
     };
     let lossy = Link::new(servers.dials[1], 2, move |n| if n % 9 == 8 { cut } else { Ways::default() });
--- a/crates/corkhollow/tests/golden.rs
+++ b/crates/corkhollow/tests/golden.rs
@@ -1,6 +1,6 @@
 //! Golden files of what operators type and of the files that two versions share.
 
-use corkhollow_standin::*;
+use corkhollow_test_support::*;
 use std::net::TcpListener;
 use std::path::Path;
 use std::process::Command;
--- a/crates/corkhollow/tests/leaving.rs
+++ b/crates/corkhollow/tests/leaving.rs
@@ -1,7 +1,7 @@
 //! Requests that are over while they wait: their clients have left, or they have been answered. Nothing is sent on for them,
 //! whatever the settings say of cancelling.
 
-use corkhollow_standin::*;
+use corkhollow_test_support::*;
 use std::io::Write;
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
--- a/crates/corkhollow/tests/link.rs
+++ b/crates/corkhollow/tests/link.rs
@@ -1,6 +1,6 @@
 //! The program before servers, and behind clients, whose links fail them: late, lossy, slow, cut, silent.
 
-use corkhollow_standin::*;
+use corkhollow_test_support::*;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
--- a/crates/corkhollow/tests/lists.rs
+++ b/crates/corkhollow/tests/lists.rs
@@ -1,6 +1,6 @@
 //! What the node makes of discovery at close range: how lists are cut, when calls are silent, what a restart finds.
 
-use corkhollow_standin::*;
+use corkhollow_test_support::*;
 use std::io::Write;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
--- a/crates/corkhollow/tests/operator.rs
+++ b/crates/corkhollow/tests/operator.rs
@@ -1,6 +1,6 @@
 //! What operators call: readiness, figures, drain and resume, whatever else goes on.
 
-use corkhollow_standin::*;
+use corkhollow_test_support::*;
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering::SeqCst};
--- a/crates/corkhollow/tests/platform.rs
+++ b/crates/corkhollow/tests/platform.rs
@@ -1,6 +1,6 @@
 //! The real node between scripted peers: every ending of an attempt, deadlines, drains, shutdown, bad input.
 
-use corkhollow_standin::*;
+use corkhollow_test_support::*;
 use std::io::{Read, Write};
 use std::sync::atomic::Ordering::SeqCst;
 use std::time::{Duration, Instant};
--- a/crates/corkhollow/tests/reload.rs
+++ b/crates/corkhollow/tests/reload.rs
@@ -1,6 +1,6 @@
 //! SIGHUP: what is under way while a new file takes over, and files that come one after another, in parts, or not at all.
 
-use corkhollow_standin::*;
+use corkhollow_test_support::*;
 use std::fmt::Write as _;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
--- a/crates/corkhollow/tests/retune.rs
+++ b/crates/corkhollow/tests/retune.rs
@@ -1,6 +1,6 @@
 //! New settings at SIGHUP on the platform: taken whole or turned down whole, under open requests.
 
-use corkhollow_standin::*;
+use corkhollow_test_support::*;
 use std::io::Write;
 
 const EXTRA: &str = r#"{"name":"extra","aimNs":1000000000,"giveUpNs":2000000000,"worth":2.0,"effect":"pure","group":"all","windowNs":1000000000}"#;
--- a/crates/corkhollow/tests/shutdown.rs
+++ b/crates/corkhollow/tests/shutdown.rs
@@ -1,6 +1,6 @@
 //! The end of a process with requests at every point: all that it has taken is answered before it can be killed.
 
-use corkhollow_standin::*;
+use corkhollow_test_support::*;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
--- a/crates/corkhollow/tests/site/main.rs
+++ b/crates/corkhollow/tests/site/main.rs
@@ -5,7 +5,7 @@
 mod messages;
 mod pools;
 
-use corkhollow_standin::*;
+use corkhollow_test_support::*;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicUsize, Ordering::SeqCst};
--- a/crates/corkhollow/tests/size.rs
+++ b/crates/corkhollow/tests/size.rs
@@ -1,6 +1,6 @@
 //! Large messages on the platform: far more of them than there is memory, and what else happens meanwhile.
 
-use corkhollow_standin::*;
+use corkhollow_test_support::*;
 use std::io::Write;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering::SeqCst};
 use std::time::{Duration, Instant};
--- a/crates/corkhollow/tests/start.rs
+++ b/crates/corkhollow/tests/start.rs
@@ -1,6 +1,6 @@
 //! Signals that come while a process is starting.
 
-use corkhollow_standin::*;
+use corkhollow_test_support::*;
 use std::fs::{File, OpenOptions};
 use std::io::{BufRead, BufReader, Write};
 use std::os::unix::fs::OpenOptionsExt;
--- a/crates/corkhollow/tests/terms.rs
+++ b/crates/corkhollow/tests/terms.rs
@@ -1,6 +1,6 @@
 //! Terms that are in force ahead of the bench's next edition, each forced over loopback sockets.
 
-use corkhollow_standin::*;
+use corkhollow_test_support::*;
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
 use std::sync::{Arc, Mutex};
--- a/crates/corkhollow/tests/unread.rs
+++ b/crates/corkhollow/tests/unread.rs
@@ -1,6 +1,6 @@
 //! Clients that do not read their answers.
 
-use corkhollow_standin::*;
+use corkhollow_test_support::*;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
--- a/crates/corkhollow/tests/upgrade.rs
+++ b/crates/corkhollow/tests/upgrade.rs
@@ -2,7 +2,7 @@
 
 use corkhollow_balance::Knowledge;
 use corkhollow_operate::{Handover, PoolHandover};
-use corkhollow_standin::*;
+use corkhollow_test_support::*;
 use std::io::{Read, Write};
 use std::net::TcpListener;
 use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
--- a/crates/soak/src/clients.rs
+++ b/crates/soak/src/clients.rs
@@ -3,7 +3,7 @@
 use crate::cluster::{Cluster, SlotState};
 use crate::connection::{Connection, NoMessage};
 use crate::ledger::{Effect, Ledger, Outcome, RequestRecord, StalledClient, Time};
-use corkhollow_standin::Draw;
+use corkhollow_test_support::Draw;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
 use std::thread;
--- a/crates/soak/src/cluster.rs
+++ b/crates/soak/src/cluster.rs
@@ -3,7 +3,7 @@
 use crate::connection::Connection;
 use crate::discovery::Discovery;
 use crate::ledger::{Ledger, ProcessRecord, Time};
-use corkhollow_standin::{config, get, Node, Options};
+use corkhollow_test_support::{config, get, Node, Options};
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/crates/soak/src/discovery.rs
+++ b/crates/soak/src/discovery.rs
@@ -2,7 +2,7 @@
 
 use crate::connection::Connection;
 use crate::ledger::Ledger;
-use corkhollow_standin::{host, list};
+use corkhollow_test_support::{host, list};
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -1,7 +1,7 @@
 //! What goes wrong when: a script drawn from a seed, in which faults come in groups that overlap.
 
 use crate::servers::Behaviour;
-use corkhollow_standin::Draw;
+use corkhollow_test_support::Draw;
 use std::fmt;
 use std::time::Duration;
 
--- a/crates/soak/src/servers.rs
+++ b/crates/soak/src/servers.rs
@@ -2,7 +2,7 @@
 
 use crate::connection::{Connection, Message};
 use crate::ledger::{AttemptRecord, Ledger, Treatment};
-use corkhollow_standin::Draw;
+use corkhollow_test_support::Draw;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::thread;
@@ -241,5 +241,5 @@
 }
 
 fn response(status: &str, headers: &str, body: &[u8]) -> Vec<u8> {
-    corkhollow_standin::response(status, headers, body)
+    corkhollow_test_support::response(status, headers, body)
 }
--- a/crates/standin/src/program.rs
+++ b/crates/test-support/src/program.rs
@@ -1,4 +1,4 @@
-//! The program itself, run between stand-ins.
+//! Starts and controls processes of the program under test.
 
 use crate::clients::{get, post};
 use crate::discovery::Discovery;
