--- a/crates/bench/benches/scale/main.rs
+++ b/crates/bench/benches/scale/main.rs
@@ -16,7 +16,7 @@
 mod report;
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
-use corkhollow_laboratory::scale::{Change, Count, Counts, Frame, Generated, Size};
+use corkhollow_laboratory::scale::{Change, ConfigFrame, Counts, Dimension, GeneratedConfig, PlannedSize};
 use hollow::Hollow;
 use node::Measured;
 use report::Row;
@@ -135,7 +135,7 @@
 ];
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
-    let size = Size::read(Size::TEXT)?;
+    let size = PlannedSize::parse(PlannedSize::FILE_TEXT)?;
     let part = |part: &f64| (format!("{part}"), *part, size.counts(*part));
     match Cli::parse().command {
         Command::Parts(run) => measure(&run, run.parts.iter().map(part).collect(), ""),
@@ -146,29 +146,28 @@
         ),
         Command::Alone(run) => {
             let rest = run.parts.iter().copied().fold(f64::MAX, f64::min);
-            let one = |count: &Count| {
-                let sizes = run
-                    .parts
-                    .iter()
-                    .map(|part| (format!("{count:?} {part}"), *part, size.alone(rest, *count, *part)));
+            let one = |count: &Dimension| {
+                let sizes = run.parts.iter().map(|part| {
+                    (format!("{count:?} {part}"), *part, size.counts_with_one(rest, *count, *part))
+                });
                 sizes.collect::<Vec<_>>()
             };
-            Count::ALL.iter().try_for_each(|count| measure(&run, one(count), ""))
+            Dimension::ALL.iter().try_for_each(|count| measure(&run, one(count), ""))
         }
         Command::Members { nodes, processes, rest, part } => {
             build();
             let nodes = nodes.unwrap_or(size.nodes as usize);
             let counts = size.counts(part);
             let servers = Hollow::start(counts.servers)?;
-            let frame = Frame {
+            let frame = ConfigFrame {
                 head: "[operator]\nlisten = \"127.0.0.1:0\"\n[[listener]]\nname = \"web\"\naddress = \"127.0.0.1:0\"\n",
                 pool: "",
                 address: &|k| servers.addresses[k as usize % servers.addresses.len()],
             };
-            let site = Generated::new(counts, 1);
+            let site = GeneratedConfig::new(counts, 1);
             let host = format!("{}.example.org", site.pools[0].name);
             let rest = Duration::from_secs(rest);
-            let figures = members::play(nodes, processes, rest, &site.text(&frame), &host)?;
+            let figures = members::play(nodes, processes, rest, &site.to_toml(&frame), &host)?;
             let row = Row {
                 program: "members".to_owned(),
                 size: nodes.to_string(),
@@ -180,12 +179,12 @@
         }
         Command::Write { part, seed } => {
             let address = |k: u32| SocketAddr::from(([127, 64, (k >> 8) as u8, k as u8], 9000));
-            let frame = Frame {
+            let frame = ConfigFrame {
                 head: "[[listener]]\nname = \"web\"\naddress = \"127.0.0.1:8080\"\n\n",
                 pool: "",
                 address: &address,
             };
-            print!("{}", Generated::new(size.counts(part), seed).text(&frame));
+            print!("{}", GeneratedConfig::new(size.counts(part), seed).to_toml(&frame));
             Ok(())
         }
     }
--- a/crates/bench/benches/scale/node.rs
+++ b/crates/bench/benches/scale/node.rs
@@ -3,7 +3,7 @@
 use crate::hollow::Hollow;
 use crate::load::{timed, Client, Watch};
 use crate::process;
-use corkhollow_laboratory::scale::{Change, Counts, Frame, Generated};
+use corkhollow_laboratory::scale::{Change, ConfigFrame, Counts, GeneratedConfig};
 use corkhollow_test_support::Node;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -32,11 +32,11 @@
     [[listener]]\nname = \"web\"\naddress = \"127.0.0.1:0\"\n\n";
 
 /// A request that this route takes: the last one of its service, which every service has.
-fn host_of(site: &Generated, route: usize) -> String {
+fn host_of(site: &GeneratedConfig, route: usize) -> String {
     format!("{}.example.org", site.pools[site.routes[route].pool].name)
 }
 
-fn client(address: SocketAddr, site: &Generated, route: usize) -> Client {
+fn client(address: SocketAddr, site: &GeneratedConfig, route: usize) -> Client {
     Client::new(address, &host_of(site, route), "/for-the-rest").expect("it takes clients")
 }
 
@@ -62,13 +62,13 @@
     let mut put = |name: &str, figure: f64| {
         figures.insert(name.to_owned(), figure);
     };
-    let mut site = Generated::new(counts, told.seed);
-    let frame = Frame {
+    let mut site = GeneratedConfig::new(counts, told.seed);
+    let frame = ConfigFrame {
         head: HEAD,
         pool: &told.pool,
         address: &|k| servers.addresses[k as usize % servers.addresses.len()],
     };
-    let text = site.text(&frame);
+    let text = site.to_toml(&frame);
     put("file, MB", text.len() as f64 / 1e6);
 
     let file = std::env::temp_dir().join(format!("corkhollow-scale-{}.toml", std::process::id()));
@@ -129,8 +129,8 @@
     }
 
     for (k, change) in told.changes.iter().enumerate() {
-        site.change(*change, 7 * k + 3);
-        let text = site.text(&frame);
+        site.apply(*change, 7 * k + 3);
+        let text = site.to_toml(&frame);
         std::fs::write(node.file(), text).expect("a file");
         let watch = [0, last].map(|route| Watch::start(client(node.address, &site, route)));
         std::thread::sleep(Duration::from_millis(1200));
--- a/crates/bench/benches/scale/report.rs
+++ b/crates/bench/benches/scale/report.rs
@@ -1,7 +1,7 @@
 //! Figures as a table, as JSON and as plots.
 
 use crate::node::Figures;
-use corkhollow_laboratory::scale::Fit;
+use corkhollow_laboratory::scale::PowerFit;
 use plotters::prelude::*;
 use serde::Serialize;
 use std::collections::BTreeSet;
@@ -62,9 +62,9 @@
             let cells: Vec<_> = own.iter().map(|row| cell(row.spread(name))).collect();
             let points: Vec<_> =
                 own.iter().filter_map(|row| Some((row.count, row.spread(name)?[1]))).collect();
-            let fit = Fit::of(&points).filter(|_| points.iter().all(|p| p.1.is_finite()));
+            let fit = PowerFit::of(&points).filter(|_| points.iter().all(|p| p.1.is_finite()));
             let grows = fit.map_or(String::new(), |fit| {
-                format!("{}: power {:.2}, within {:.0}%", fit.word(), fit.power, 100.0 * fit.residual)
+                format!("{}: power {:.2}, within {:.0}%", fit.growth(), fit.power, 100.0 * fit.residual)
             });
             out += &format!("| {name} | {} | {grows} |\n", cells.join(" | "));
         }
--- a/crates/laboratory/src/scale/fit.rs
+++ b/crates/laboratory/src/scale/fit.rs
@@ -1,44 +1,45 @@
-//! How a figure grows with a count: a power fitted to some measurements.
+//! A power law fitted to measurements, which shows how a value grows with a count.
 
-/// `figure = factor * count ^ power`, as far as it is so.
+/// The power law `value = factor * count ^ power`.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Fit {
-    /// The figure at a count of 1.
+pub struct PowerFit {
+    /// The value at a count of 1.
     pub factor: f64,
-    /// 1 where it grows like the count, 2 where like its square.
+    /// 1 for linear growth, 2 for quadratic growth.
     pub power: f64,
-    /// The most that a measurement lies beside it, as a part of what it gives.
+    /// The greatest relative deviation of a measurement from the fitted value.
     pub residual: f64,
 }
 
-impl Fit {
-    /// The fit of least squares over the logarithms; none where there are fewer than three counts, or a figure is not above 0.
+impl PowerFit {
+    /// Fits the logarithms of `(count, value)` by least squares. None for fewer than three points, equal counts, or a number
+    /// that is not positive.
     pub fn of(points: &[(f64, f64)]) -> Option<Self> {
-        if points.len() < 3 || points.iter().any(|(count, figure)| *count <= 0.0 || *figure <= 0.0) {
+        if points.len() < 3 || points.iter().any(|(count, value)| *count <= 0.0 || *value <= 0.0) {
             return None;
         }
-        let logs: Vec<_> = points.iter().map(|(count, figure)| (count.ln(), figure.ln())).collect();
+        let logs: Vec<_> = points.iter().map(|(count, value)| (count.ln(), value.ln())).collect();
         let n = logs.len() as f64;
         let mean = |part: fn(&(f64, f64)) -> f64| logs.iter().map(part).sum::<f64>() / n;
         let (x, y) = (mean(|p| p.0), mean(|p| p.1));
-        let spread: f64 = logs.iter().map(|p| (p.0 - x).powi(2)).sum();
-        if spread == 0.0 {
+        let variance: f64 = logs.iter().map(|p| (p.0 - x).powi(2)).sum();
+        if variance == 0.0 {
             return None;
         }
-        let power = logs.iter().map(|p| (p.0 - x) * (p.1 - y)).sum::<f64>() / spread;
-        let mut fit = Fit { factor: (y - power * x).exp(), power, residual: 0.0 };
-        let beside = |(count, figure): &(f64, f64)| (figure / fit.at(*count) - 1.0).abs();
-        fit.residual = points.iter().map(beside).fold(0.0, f64::max);
+        let power = logs.iter().map(|p| (p.0 - x) * (p.1 - y)).sum::<f64>() / variance;
+        let mut fit = PowerFit { factor: (y - power * x).exp(), power, residual: 0.0 };
+        let deviation = |(count, value): &(f64, f64)| (value / fit.value_at(*count) - 1.0).abs();
+        fit.residual = points.iter().map(deviation).fold(0.0, f64::max);
         Some(fit)
     }
 
-    /// What it gives for a count.
-    pub fn at(&self, count: f64) -> f64 {
+    /// The fitted value for a count.
+    pub fn value_at(&self, count: f64) -> f64 {
         self.factor * count.powf(self.power)
     }
 
-    /// The growth in a word.
-    pub fn word(&self) -> &'static str {
+    /// Describes the growth in words.
+    pub fn growth(&self) -> &'static str {
         match self.power {
             p if p < 0.2 => "constant",
             p if p < 0.8 => "less than linear",
--- a/crates/laboratory/src/scale/generate.rs
+++ b/crates/laboratory/src/scale/generate.rs
@@ -1,4 +1,5 @@
-//! Operators' files of any size, seeded: few services have most of the servers, routes and requests, most tenants are rare.
+//! Generates configuration files of any size from a seed. Sizes are skewed: a few services have most of the servers and routes,
+//! and a few tenants have most of the rate.
 
 use super::Counts;
 use rand_core::{RngCore, SeedableRng};
@@ -6,45 +7,47 @@
 use std::fmt::Write as _;
 use std::net::SocketAddr;
 
-/// How steeply services, routes and tenants differ: the k-th has a share of `k` to this power.
-const SKEW: f64 = -0.9;
-/// One in so many routes matches by an expression, wants a header, is for one method.
-const EXPRESSIONS: u32 = 200;
-const HEADERS: u32 = 50;
-const METHODS: u32 = 10;
-/// What all tenants' shares come to, in requests a second.
-const SHARES: f64 = 50_000.0;
+/// Exponent of the power law of sizes: the k-th largest service or tenant has a weight of `k` to this power.
+const SIZE_EXPONENT: f64 = -0.9;
+/// One in this many routes matches its path by a regular expression.
+const ROUTES_PER_REGEX: u32 = 200;
+/// One in this many routes requires a header.
+const ROUTES_PER_HEADER_MATCH: u32 = 50;
+/// One in this many routes is limited to some methods.
+const ROUTES_PER_METHOD_MATCH: u32 = 10;
+/// The sum of all tenants' rates, in requests per second.
+const TOTAL_RATE: f64 = 50_000.0;
 
-/// Servers that do the same work.
+/// The pool of one service.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Pool {
+pub struct GeneratedPool {
     /// Its name.
     pub name: String,
-    /// Names, weights and zones of its servers. The first part of a name is the server's number in the whole file.
+    /// Number in the whole file, weight and zone of each server.
     pub servers: Vec<(u32, f64, u32)>,
 }
 
-/// What leads to a pool.
+/// A route to a pool.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Route {
+pub struct GeneratedRoute {
     /// Its name.
     pub name: String,
-    /// The pool, by its place.
+    /// Index of the pool.
     pub pool: usize,
-    /// What it takes, as lines of the file.
+    /// The conditions of the route, as lines of the file.
     pub matches: String,
-    /// What servers are asked for in place of the route's path.
-    pub to: String,
+    /// The path that the route rewrites to.
+    pub rewrite_path: String,
 }
 
-/// A configuration that can be changed and written down.
+/// A generated configuration, which can be changed and written as a file.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Generated {
-    /// Services.
-    pub pools: Vec<Pool>,
+pub struct GeneratedConfig {
+    /// One pool for each service.
+    pub pools: Vec<GeneratedPool>,
     /// Routes, in their order.
-    pub routes: Vec<Route>,
-    /// Names and shares.
+    pub routes: Vec<GeneratedRoute>,
+    /// Names and rates of the tenants.
     pub tenants: Vec<(String, f64)>,
     zones: u32,
     next_server: u32,
@@ -53,54 +56,54 @@
 /// One change of a configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Nothing at all: the same file once more.
+    /// No change: the same file is loaded again.
     Nothing,
-    /// A route rewrites to another path.
+    /// One route rewrites to another path.
     Route,
-    /// A tenant gets another share.
+    /// One tenant has another rate.
     Tenant,
-    /// A server more.
+    /// One server is added.
     Server,
-    /// A server of another weight.
+    /// One server has another weight.
     Weight,
-    /// Every route, every tenant's share, every server's weight.
+    /// All routes, tenants and weights of servers change.
     Everything,
 }
 
 impl Change {
-    /// All of them.
+    /// All kinds of changes.
     pub const ALL: [Change; 6] =
         [Change::Nothing, Change::Route, Change::Tenant, Change::Server, Change::Weight, Change::Everything];
 }
 
-/// What a file says beside the services: where it listens, and lines that are to stand in its pools.
-pub struct Frame<'f> {
-    /// Lines before all else.
+/// The parts of a file that are not generated.
+pub struct ConfigFrame<'f> {
+    /// Text at the head of the file, such as listeners.
     pub head: &'f str,
-    /// Lines in each pool.
+    /// Lines that are added to each pool.
     pub pool: &'f str,
-    /// Where a server is, by its number.
+    /// Returns the address of a server by its number.
     pub address: &'f dyn Fn(u32) -> SocketAddr,
 }
 
-/// Shares out a total by the skew: at least one each.
-fn share_out(total: u32, among: u32) -> Vec<u32> {
-    let weights: Vec<f64> = (1..=among).map(|k| f64::from(k).powf(SKEW)).collect();
+/// Splits a total by [`SIZE_EXPONENT`] into `parts` counts of at least one.
+fn split_by_size(total: u32, parts: u32) -> Vec<u32> {
+    let weights: Vec<f64> = (1..=parts).map(|k| f64::from(k).powf(SIZE_EXPONENT)).collect();
     let sum: f64 = weights.iter().sum();
-    let spare = f64::from(total.saturating_sub(among));
-    let mut shares: Vec<u32> = weights.iter().map(|w| 1 + (spare * w / sum) as u32).collect();
-    // What rounding has left goes to the first ones.
-    let left = total.saturating_sub(shares.iter().sum());
-    (0..left as usize).for_each(|k| shares[k % among as usize] += 1);
-    shares
+    let extra = f64::from(total.saturating_sub(parts));
+    let mut sizes: Vec<u32> = weights.iter().map(|w| 1 + (extra * w / sum) as u32).collect();
+    // The remainder from rounding goes to the first parts.
+    let remainder = total.saturating_sub(sizes.iter().sum());
+    (0..remainder as usize).for_each(|k| sizes[k % parts as usize] += 1);
+    sizes
 }
 
-impl Generated {
-    /// A configuration with so many of each thing.
+impl GeneratedConfig {
+    /// Generates a configuration with these counts.
     pub fn new(counts: Counts, seed: u64) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let mut next_server = 0;
-        let mut pools: Vec<_> = share_out(counts.servers, counts.services)
+        let mut pools: Vec<_> = split_by_size(counts.servers, counts.services)
             .into_iter()
             .enumerate()
             .map(|(k, servers)| {
@@ -108,40 +111,46 @@
                     .map(|server| (server, 1.0, rng.next_u32() % counts.zones.max(1)))
                     .collect::<Vec<_>>();
                 next_server += servers.len() as u32;
-                Pool { name: format!("service-{k}"), servers }
+                GeneratedPool { name: format!("service-{k}"), servers }
             })
             .collect();
         shuffle(&mut pools, &mut rng);
         let mut routes = Vec::new();
-        for (pool, count) in share_out(counts.routes, counts.services).into_iter().enumerate() {
+        for (pool, count) in split_by_size(counts.routes, counts.services).into_iter().enumerate() {
             for k in 0..count {
                 let drawn = rng.next_u32();
                 let mut matches = format!("hosts = [\"{}.example.org\"]\n", pools[pool].name);
-                // The last route of a service takes what the others leave.
-                match drawn % EXPRESSIONS {
+                // The last route of a service matches all that is left.
+                match drawn % ROUTES_PER_REGEX {
                     _ if k + 1 == count => {}
                     0 => drop(writeln!(matches, "path_regex = \"/part-{k}/[0-9]+\"")),
                     _ => drop(writeln!(matches, "path_prefix = \"/part-{k}\"")),
                 }
-                if k + 1 < count && (drawn >> 8) % HEADERS == 0 {
+                if k + 1 < count && (drawn >> 8) % ROUTES_PER_HEADER_MATCH == 0 {
                     matches += "headers = [{ name = \"x-release\", is = \"next\" }]\n";
                 }
-                if k + 1 < count && (drawn >> 16) % METHODS == 0 {
+                if k + 1 < count && (drawn >> 16) % ROUTES_PER_METHOD_MATCH == 0 {
                     matches += "methods = [\"GET\", \"HEAD\"]\n";
                 }
-                let to = format!("/v1/{pool}/{k}");
-                routes.push(Route { name: format!("route-{pool}-{k}"), pool, matches, to });
+                let rewrite_path = format!("/v1/{pool}/{k}");
+                routes.push(GeneratedRoute {
+                    name: format!("route-{pool}-{k}"),
+                    pool,
+                    matches,
+                    rewrite_path,
+                });
             }
         }
-        let tenants = (0..counts.tenants).map(|k| (format!("tenant-{k}"), f64::from(k + 1).powf(SKEW)));
+        let tenants =
+            (0..counts.tenants).map(|k| (format!("tenant-{k}"), f64::from(k + 1).powf(SIZE_EXPONENT)));
         let mut tenants: Vec<_> = tenants.collect();
-        let sum: f64 = tenants.iter().map(|(_, share)| share).sum();
-        tenants.iter_mut().for_each(|(_, share)| *share = (*share / sum * SHARES * 1000.0).round() / 1000.0);
+        let sum: f64 = tenants.iter().map(|(_, rate)| rate).sum();
+        tenants.iter_mut().for_each(|(_, rate)| *rate = (*rate / sum * TOTAL_RATE * 1000.0).round() / 1000.0);
         shuffle(&mut tenants, &mut rng);
-        Generated { pools, routes, tenants, zones: counts.zones, next_server }
+        GeneratedConfig { pools, routes, tenants, zones: counts.zones, next_server }
     }
 
-    /// How many there are of each thing.
+    /// The counts of this configuration.
     pub fn counts(&self) -> Counts {
         Counts {
             servers: self.pools.iter().map(|pool| pool.servers.len() as u32).sum(),
@@ -152,31 +161,31 @@
         }
     }
 
-    /// Changes it. What one of many is concerned is drawn by the number.
-    pub fn change(&mut self, change: Change, drawn: usize) {
+    /// Applies a change; `selector` picks the item that changes.
+    pub fn apply(&mut self, change: Change, selector: usize) {
         let weight = |weight: f64| if weight > 1.5 { 1.0 } else { 2.0 };
         match change {
             Change::Nothing => {}
             Change::Route => {
-                let at = drawn % self.routes.len();
-                self.routes[at].to += "x";
+                let index = selector % self.routes.len();
+                self.routes[index].rewrite_path += "x";
             }
             Change::Tenant => {
-                let at = drawn % self.tenants.len();
-                self.tenants[at].1 += 1.0;
+                let index = selector % self.tenants.len();
+                self.tenants[index].1 += 1.0;
             }
             Change::Server => {
-                let at = drawn % self.pools.len();
-                self.pools[at].servers.push((self.next_server, 1.0, 0));
+                let index = selector % self.pools.len();
+                self.pools[index].servers.push((self.next_server, 1.0, 0));
                 self.next_server += 1;
             }
             Change::Weight => {
-                let at = drawn % self.pools.len();
-                let server = &mut self.pools[at].servers[0];
+                let index = selector % self.pools.len();
+                let server = &mut self.pools[index].servers[0];
                 server.1 = weight(server.1);
             }
             Change::Everything => {
-                self.routes.iter_mut().for_each(|route| route.to += "x");
+                self.routes.iter_mut().for_each(|route| route.rewrite_path += "x");
                 self.tenants.iter_mut().for_each(|tenant| tenant.1 += 1.0);
                 let servers = self.pools.iter_mut().flat_map(|pool| &mut pool.servers);
                 servers.for_each(|server| server.1 = weight(server.1));
@@ -184,40 +193,40 @@
         }
     }
 
-    /// The operator's file.
-    pub fn text(&self, frame: &Frame<'_>) -> String {
-        let mut out = String::from(frame.head);
+    /// Renders the configuration file.
+    pub fn to_toml(&self, frame: &ConfigFrame<'_>) -> String {
+        let mut text = String::from(frame.head);
         let zones: Vec<_> = (0..self.zones).map(|zone| format!("\"zone-{zone}\"")).collect();
-        let _ = writeln!(out, "[node]\nzone = \"zone-0\"\nzones = [{}]\n", zones.join(", "));
-        out += "[[class]]\nname = \"read\"\neffect = \"safe\"\nmethods = [\"GET\", \"HEAD\"]\n\n[tenants]\n";
-        for (name, share) in &self.tenants {
-            let _ = writeln!(out, "[[tenants.tenant]]\nname = \"{name}\"\nrate = {share:?}");
+        let _ = writeln!(text, "[node]\nzone = \"zone-0\"\nzones = [{}]\n", zones.join(", "));
+        text += "[[class]]\nname = \"read\"\neffect = \"safe\"\nmethods = [\"GET\", \"HEAD\"]\n\n[tenants]\n";
+        for (name, rate) in &self.tenants {
+            let _ = writeln!(text, "[[tenants.tenant]]\nname = \"{name}\"\nrate = {rate:?}");
         }
         for pool in &self.pools {
-            let _ = writeln!(out, "[[pool]]\nname = \"{}\"\n{}servers = [", pool.name, frame.pool);
+            let _ = writeln!(text, "[[pool]]\nname = \"{}\"\n{}servers = [", pool.name, frame.pool);
             for (server, weight, zone) in &pool.servers {
                 let address = (frame.address)(*server);
                 let _ = writeln!(
-                    out,
+                    text,
                     "    {{ address = \"{address}\", name = \"s-{server}\", weight = {weight:?}, zone = \"zone-{zone}\" }},"
                 );
             }
-            out += "]\n";
+            text += "]\n";
         }
         for route in &self.routes {
             let pool = &self.pools[route.pool].name;
             let _ = writeln!(
-                out,
+                text,
                 "[[route]]\nname = \"{}\"\n{}pool = \"{pool}\"\nrewrite = {{ path = \"{}\" }}",
-                route.name, route.matches, route.to
+                route.name, route.matches, route.rewrite_path
             );
         }
-        out
+        text
     }
 }
 
-fn shuffle<T>(all: &mut [T], rng: &mut Pcg64Mcg) {
-    for k in (1..all.len()).rev() {
-        all.swap(k, ((u64::from(rng.next_u32()) * (k as u64 + 1)) >> 32) as usize);
+fn shuffle<T>(items: &mut [T], rng: &mut Pcg64Mcg) {
+    for k in (1..items.len()).rev() {
+        items.swap(k, ((u64::from(rng.next_u32()) * (k as u64 + 1)) >> 32) as usize);
     }
 }
--- a/crates/laboratory/src/scale/mod.rs
+++ b/crates/laboratory/src/scale/mod.rs
@@ -1,9 +1,9 @@
-//! The size that is coming, and configurations of it or of a part of it.
+//! The planned size of a deployment, and generated configurations of that size or of a fraction of it.
 
 mod fit;
 mod generate;
 mod size;
 
-pub use fit::Fit;
-pub use generate::{Change, Frame, Generated, Pool, Route};
-pub use size::{Changes, Control, Count, Counts, Faults, Size};
+pub use fit::PowerFit;
+pub use generate::{Change, ConfigFrame, GeneratedConfig, GeneratedPool, GeneratedRoute};
+pub use size::{ChangeRates, ControlBudget, Counts, Dimension, FaultRates, PlannedSize};
--- a/crates/laboratory/src/scale/size.rs
+++ b/crates/laboratory/src/scale/size.rs
@@ -1,103 +1,113 @@
-//! The size, read from `size.toml`, and parts of it.
+//! The planned size of a deployment, read from `size.toml`, and counts for fractions of it.
 
 use serde::Deserialize;
 
-/// The size that is coming. What each figure is stands in the file.
+/// The planned size of a deployment. The keys are explained in `size.toml`.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
-#[allow(missing_docs)] // Each figure is told of once, in the file.
-pub struct Size {
+#[allow(missing_docs)] // The keys are explained in `size.toml`.
+pub struct PlannedSize {
     pub nodes: u32,
     pub servers: u32,
     pub services: u32,
     pub routes: u32,
     pub tenants: u32,
-    pub requests_a_second: u32,
+    #[serde(rename = "requests_a_second")]
+    pub requests_per_second: u32,
     pub regions: u32,
     pub zones: u32,
-    pub added_ms: f64,
-    pub changes: Changes,
-    pub control: Control,
-    pub faults: Faults,
+    #[serde(rename = "added_ms")]
+    pub max_added_latency_ms: f64,
+    pub changes: ChangeRates,
+    pub control: ControlBudget,
+    pub faults: FaultRates,
 }
 
-/// See [`Size`].
+/// Changes of the configuration.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 #[allow(missing_docs)]
-pub struct Changes {
-    pub a_day: u32,
-    pub in_force_s: f64,
+pub struct ChangeRates {
+    #[serde(rename = "a_day")]
+    pub per_day: u32,
+    #[serde(rename = "in_force_s")]
+    pub max_apply_seconds: f64,
 }
 
-/// See [`Size`].
+/// What a node may spend on control work.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 #[allow(missing_docs)]
-pub struct Control {
+pub struct ControlBudget {
     pub core_percent: f64,
     pub memory_mb: u32,
-    pub bytes_a_second: u32,
+    #[serde(rename = "bytes_a_second")]
+    pub bytes_per_second: u32,
     pub machines: u32,
 }
 
-/// See [`Size`].
+/// Expected failures of machines, racks, zones and regions.
 #[derive(Clone, Debug, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 #[allow(missing_docs)]
-pub struct Faults {
-    pub machines_a_day: u32,
-    pub replaced_a_day: u32,
-    pub racks_a_week: u32,
-    pub zones_a_year: u32,
-    pub regions_apart_s: u32,
+pub struct FaultRates {
+    #[serde(rename = "machines_a_day")]
+    pub machines_per_day: u32,
+    #[serde(rename = "replaced_a_day")]
+    pub replacements_per_day: u32,
+    #[serde(rename = "racks_a_week")]
+    pub racks_per_week: u32,
+    #[serde(rename = "zones_a_year")]
+    pub zones_per_year: u32,
+    #[serde(rename = "regions_apart_s")]
+    pub region_partition_seconds: u32,
 }
 
-impl Size {
-    /// The file's text.
-    pub const TEXT: &str = include_str!("../../size.toml");
+impl PlannedSize {
+    /// The text of `size.toml`.
+    pub const FILE_TEXT: &str = include_str!("../../size.toml");
 
-    /// Reads such a file.
+    /// Parses a file like `size.toml`.
     ///
     /// # Errors
-    /// Where a figure is missing, unknown or none.
-    pub fn read(text: &str) -> Result<Self, toml::de::Error> {
+    /// A key is missing or unknown, or its value is not a valid number.
+    pub fn parse(text: &str) -> Result<Self, toml::de::Error> {
         toml::from_str(text)
     }
 
-    /// How many there are of each thing that a configuration names, in a part of the size: at least one.
-    pub fn counts(&self, part: f64) -> Counts {
-        let part = |count: u32| ((f64::from(count) * part).round() as u32).max(1);
+    /// The counts of a configuration of a fraction of the size, each at least one.
+    pub fn counts(&self, fraction: f64) -> Counts {
+        let fraction = |count: u32| ((f64::from(count) * fraction).round() as u32).max(1);
         Counts {
-            servers: part(self.servers).max(part(self.services)),
-            services: part(self.services),
-            routes: part(self.routes).max(part(self.services)),
-            tenants: part(self.tenants),
+            servers: fraction(self.servers).max(fraction(self.services)),
+            services: fraction(self.services),
+            routes: fraction(self.routes).max(fraction(self.services)),
+            tenants: fraction(self.tenants),
             zones: self.zones,
         }
     }
 
-    /// The same with one count of the whole size, or of a part of its own.
-    pub fn alone(&self, rest: f64, count: Count, part: f64) -> Counts {
-        let (rest, own) = (self.counts(rest), self.counts(part));
-        match count {
-            // Each service has a server and a route.
-            Count::Services => Counts {
+    /// Like [`PlannedSize::counts`] of `base`, with one dimension at its own `fraction` instead.
+    pub fn counts_with_one(&self, base: f64, dimension: Dimension, fraction: f64) -> Counts {
+        let (base, own) = (self.counts(base), self.counts(fraction));
+        match dimension {
+            // Each service needs at least one server and one route.
+            Dimension::Services => Counts {
                 services: own.services,
-                servers: rest.servers.max(own.services),
-                routes: rest.routes.max(own.services),
-                ..rest
+                servers: base.servers.max(own.services),
+                routes: base.routes.max(own.services),
+                ..base
             },
-            Count::Servers => Counts { servers: own.servers.max(rest.services), ..rest },
-            Count::Routes => Counts { routes: own.routes.max(rest.services), ..rest },
-            Count::Tenants => Counts { tenants: own.tenants, ..rest },
+            Dimension::Servers => Counts { servers: own.servers.max(base.services), ..base },
+            Dimension::Routes => Counts { routes: own.routes.max(base.services), ..base },
+            Dimension::Tenants => Counts { tenants: own.tenants, ..base },
         }
     }
 }
 
-/// What is counted.
+/// What a configuration has many of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Count {
+pub enum Dimension {
     /// Services.
     Services,
     /// Servers.
@@ -108,15 +118,16 @@
     Tenants,
 }
 
-impl Count {
-    /// All of them.
-    pub const ALL: [Count; 4] = [Count::Services, Count::Servers, Count::Routes, Count::Tenants];
+impl Dimension {
+    /// All dimensions.
+    pub const ALL: [Dimension; 4] =
+        [Dimension::Services, Dimension::Servers, Dimension::Routes, Dimension::Tenants];
 }
 
-/// How many there are of each thing.
+/// The counts of a configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Counts {
-    /// Servers, of all services.
+    /// Servers of all services.
     pub servers: u32,
     /// Services.
     pub services: u32,
--- a/crates/laboratory/tests/scale.rs
+++ b/crates/laboratory/tests/scale.rs
@@ -1,26 +1,26 @@
-//! Configurations of the size that is coming, and of parts of it.
+//! Generated configurations of the planned size and of fractions of it.
 
-use corkhollow_laboratory::scale::{Change, Count, Fit, Frame, Generated, Size};
+use corkhollow_laboratory::scale::{Change, ConfigFrame, Dimension, GeneratedConfig, PlannedSize, PowerFit};
 use corkhollow_plan::config::{parse_config, CheckedConfig};
 use std::net::SocketAddr;
 use std::path::Path;
 
-fn size() -> Size {
-    Size::read(Size::TEXT).expect("the file is sound")
+fn size() -> PlannedSize {
+    PlannedSize::parse(PlannedSize::FILE_TEXT).expect("a valid size file")
 }
 
-fn text(site: &Generated) -> String {
+fn text(config: &GeneratedConfig) -> String {
     let address = |k: u32| SocketAddr::from(([127, 64, (k >> 8) as u8, k as u8], 9000));
     let head = "[[listener]]\nname = \"web\"\naddress = \"127.0.0.1:0\"\n\n";
-    site.text(&Frame { head, pool: "", address: &address })
+    config.to_toml(&ConfigFrame { head, pool: "", address: &address })
 }
 
-fn checked(site: &Generated) -> CheckedConfig {
-    parse_config(&text(site), Path::new("")).expect("a sound file")
+fn checked(config: &GeneratedConfig) -> CheckedConfig {
+    parse_config(&text(config), Path::new("")).expect("a valid file")
 }
 
 #[test]
-fn the_size_is_told_whole() {
+fn size_file_is_complete_and_rejects_unknown_and_invalid_values() {
     let size = size();
     let whole = size.counts(1.0);
     assert_eq!((whole.servers, whole.services), (size.servers, size.services));
@@ -28,35 +28,35 @@
     for (from, to) in
         [("nodes = 440\n", ""), ("nodes = 440", "nodes = 440\nnodse = 1"), ("nodes = 440", "nodes = -1")]
     {
-        assert!(Size::TEXT.contains(from));
-        assert!(Size::read(&Size::TEXT.replacen(from, to, 1)).is_err(), "{from} as {to}");
+        assert!(PlannedSize::FILE_TEXT.contains(from));
+        assert!(PlannedSize::parse(&PlannedSize::FILE_TEXT.replacen(from, to, 1)).is_err(), "{from} as {to}");
     }
 }
 
-/// The same seed gives the same file, each part has its counts, and the program takes it as it is.
+/// The same seed gives the same file, the counts are those asked for, and the file is valid without warnings.
 #[test]
-fn parts_are_seeded_sound_and_as_large_as_told() {
-    for part in [0.001, 0.0625, 0.25] {
-        let counts = size().counts(part);
-        let site = Generated::new(counts, 3);
-        assert_eq!(site.counts(), counts, "{part}");
-        assert_eq!(text(&site), text(&Generated::new(counts, 3)));
-        assert_ne!(text(&site), text(&Generated::new(counts, 4)));
-        let CheckedConfig { plan, warnings, .. } = checked(&site);
-        assert!(warnings.is_empty(), "{part}: {:?}", warnings.first());
+fn generated_files_are_deterministic_valid_and_of_the_given_counts() {
+    for fraction in [0.001, 0.0625, 0.25] {
+        let counts = size().counts(fraction);
+        let config = GeneratedConfig::new(counts, 3);
+        assert_eq!(config.counts(), counts, "{fraction}");
+        assert_eq!(text(&config), text(&GeneratedConfig::new(counts, 3)));
+        assert_ne!(text(&config), text(&GeneratedConfig::new(counts, 4)));
+        let CheckedConfig { plan, warnings, .. } = checked(&config);
+        assert!(warnings.is_empty(), "{fraction}: {:?}", warnings.first());
         let servers: usize = plan.pools.iter().map(|pool| pool_size(&pool.source)).sum();
         assert_eq!((plan.pools.len(), servers), (counts.services as usize, counts.servers as usize));
         assert_eq!(plan.routes.routes().len(), counts.routes as usize);
     }
-    for count in Count::ALL {
-        let (rest, alone) = (size().counts(0.0625), size().alone(0.0625, count, 0.25));
+    for dimension in Dimension::ALL {
+        let (base, with_one) = (size().counts(0.0625), size().counts_with_one(0.0625, dimension, 0.25));
         let same = [
-            alone.servers == rest.servers,
-            alone.services == rest.services,
-            alone.routes == rest.routes,
-            alone.tenants == rest.tenants,
+            with_one.servers == base.servers,
+            with_one.services == base.services,
+            with_one.routes == base.routes,
+            with_one.tenants == base.tenants,
         ];
-        assert_eq!(same.iter().filter(|same| !**same).count(), 1, "{count:?}: {alone:?}");
+        assert_eq!(same.iter().filter(|same| !**same).count(), 1, "{dimension:?}: {with_one:?}");
     }
 }
 
@@ -67,25 +67,25 @@
     }
 }
 
-/// Few have most, and nobody has nothing.
+/// A tenth of the services has more than half of the servers, and each service has at least one.
 #[test]
-fn the_skew_is_that_of_a_few_large_services() {
-    let site = Generated::new(size().counts(1.0), 1);
-    let mut sizes: Vec<_> = site.pools.iter().map(|pool| pool.servers.len()).collect();
+fn a_few_services_have_most_of_the_servers() {
+    let config = GeneratedConfig::new(size().counts(1.0), 1);
+    let mut sizes: Vec<_> = config.pools.iter().map(|pool| pool.servers.len()).collect();
     sizes.sort_unstable_by(|a, b| b.cmp(a));
-    let tenth: usize = sizes[..41].iter().sum();
-    assert!(tenth > 7_000 / 2, "{tenth}");
+    let servers_of_largest_tenth: usize = sizes[..41].iter().sum();
+    assert!(servers_of_largest_tenth > 7_000 / 2, "{servers_of_largest_tenth}");
     assert!(*sizes.last().unwrap() >= 1);
 }
 
-/// Each change of a file is what it is called, and all stay sound.
+/// Each change affects what its name says, and the file stays valid.
 #[test]
-fn changes_change_what_they_say() {
-    let before = Generated::new(size().counts(0.02), 5);
+fn each_change_affects_what_its_name_says() {
+    let before = GeneratedConfig::new(size().counts(0.02), 5);
     for change in Change::ALL {
         let mut after = before.clone();
-        after.change(change, 11);
-        let differ = [
+        after.apply(change, 11);
+        let changed = [
             before.routes.iter().zip(&after.routes).filter(|(a, b)| a != b).count(),
             before.tenants.iter().zip(&after.tenants).filter(|(a, b)| a != b).count(),
             before.pools.iter().zip(&after.pools).filter(|(a, b)| a != b).count(),
@@ -98,51 +98,51 @@
             Change::Server | Change::Weight => [0, 0, 1],
             Change::Everything => [counts.routes as usize, counts.tenants as usize, counts.services as usize],
         };
-        assert_eq!(differ, expected, "{change:?}");
+        assert_eq!(changed, expected, "{change:?}");
         assert!(checked(&after).warnings.is_empty(), "{change:?}");
     }
 }
 
 #[test]
-fn a_fit_tells_how_a_figure_grows() {
-    let points = |figure: fn(f64) -> f64| [0.0625, 0.25, 0.5, 1.0].map(|x| (x, figure(x)));
-    for (figure, word) in [
+fn a_fit_describes_the_growth_of_a_value() {
+    let points = |value: fn(f64) -> f64| [0.0625, 0.25, 0.5, 1.0].map(|x| (x, value(x)));
+    for (value, growth) in [
         ((|_| 3.0) as fn(f64) -> f64, "constant"),
         (|x| 7.0 * x, "linear"),
         (|x| 2.0 * x * x, "quadratic"),
         (|x| x.powi(3), "more than quadratic"),
         (|x| x.sqrt(), "less than linear"),
     ] {
-        let fit = Fit::of(&points(figure)).expect("a fit");
-        assert_eq!(fit.word(), word, "{fit:?}");
-        assert!(fit.residual < 1e-9 && (fit.at(2.0) / figure(2.0) - 1.0).abs() < 1e-9, "{fit:?}");
+        let fit = PowerFit::of(&points(value)).expect("a fit");
+        assert_eq!(fit.growth(), growth, "{fit:?}");
+        assert!(fit.residual < 1e-9 && (fit.value_at(2.0) / value(2.0) - 1.0).abs() < 1e-9, "{fit:?}");
     }
-    let bent = Fit::of(&points(|x| x + 0.5)).expect("a fit");
-    assert!(bent.residual > 0.05, "{bent:?}");
-    assert_eq!(Fit::of(&[(1.0, 1.0), (2.0, 2.0)]), None);
-    assert_eq!(Fit::of(&points(|_| 0.0)), None);
+    let not_a_power = PowerFit::of(&points(|x| x + 0.5)).expect("a fit");
+    assert!(not_a_power.residual > 0.05, "{not_a_power:?}");
+    assert_eq!(PowerFit::of(&[(1.0, 1.0), (2.0, 2.0)]), None);
+    assert_eq!(PowerFit::of(&points(|_| 0.0)), None);
 }
 
-/// The page goes by the size that the run goes by.
+/// The table in the capacity page must list the values of `size.toml` and no others.
 #[test]
-fn the_page_has_the_size_of_the_file() {
+fn capacity_page_lists_the_values_of_the_size_file() {
     let path = concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/CAPACITY.md");
-    let page = std::fs::read_to_string(path).expect("the page is there");
-    let (mut group, mut told) = (String::new(), 0);
-    for line in Size::TEXT.lines().filter(|line| !line.starts_with('#') && !line.is_empty()) {
+    let page = std::fs::read_to_string(path).expect("the page is readable");
+    let (mut group, mut row_count) = (String::new(), 0);
+    for line in PlannedSize::FILE_TEXT.lines().filter(|line| !line.starts_with('#') && !line.is_empty()) {
         if let Some(name) = line.strip_prefix('[') {
             group = name.replace(']', ".");
             continue;
         }
-        let (name, figure) = line.split_once(" = ").expect("a figure");
-        let row = format!("| {group}{name} | {figure} |");
+        let (name, value) = line.split_once(" = ").expect("a key and a value");
+        let row = format!("| {group}{name} | {value} |");
         assert!(page.lines().any(|line| line.starts_with(&row)), "{row} is not in the page");
-        told += 1;
+        row_count += 1;
     }
-    // No other figure stands in the table.
+    // The table has no other rows.
     let rows = page
         .split("| --- | --- | --- |\n")
         .nth(1)
         .map_or(0, |t| t.lines().take_while(|l| l.starts_with('|')).count());
-    assert_eq!(rows, told);
+    assert_eq!(rows, row_count);
 }
