--- a/crates/laboratory/src/bin/histories.rs
+++ b/crates/laboratory/src/bin/histories.rs
@@ -1,47 +1,49 @@
-//! Searches histories of the engine for one that breaks a rule, and prints each in its shortest form.
+//! Searches random histories of the engine for violations of its guarantees and prints the shortest form of each.
 //!
 //!     cargo run --release -p corkhollow-laboratory --bin histories -- --seeds 100000
 
 use clap::Parser;
-use corkhollow_laboratory::histories::{play, shortest, Fault};
+use corkhollow_laboratory::histories::{find_shortest_violation, run_history, Fault};
 use std::process::ExitCode;
 
 #[derive(Parser)]
 struct Arguments {
-    /// How many histories are played.
+    /// Number of histories.
     #[arg(long, default_value_t = 10_000)]
     seeds: u64,
-    /// The first one's seed.
+    /// First seed.
     #[arg(long, default_value_t = 0)]
     from: u64,
-    /// Requests in each.
+    /// Requests in each history.
     #[arg(long, default_value_t = 150, value_parser = clap::value_parser!(u32).range(1..))]
     requests: u32,
-    /// What is broken on purpose.
+    /// Error to inject.
     #[arg(long, value_enum, default_value_t = Fault::None)]
     fault: Fault,
-    /// Many connections are slow to come up, and many clients leave.
-    #[arg(long)]
-    crossings: bool,
+    /// Makes many connections slow to open and many clients disconnect early.
+    #[arg(long = "crossings")]
+    races: bool,
 }
 
 fn main() -> ExitCode {
-    let a = Arguments::parse();
-    let (mut broken, mut served) = (0, 0u64);
-    for seed in a.from..a.from.saturating_add(a.seeds) {
-        let history = play(seed, a.fault, a.crossings, a.requests);
+    let arguments = Arguments::parse();
+    let (mut violations, mut served) = (0, 0u64);
+    for seed in arguments.from..arguments.from.saturating_add(arguments.seeds) {
+        let history = run_history(seed, arguments.fault, arguments.races, arguments.requests);
         served += u64::from(history.served);
-        if history.broken.is_some() {
-            broken += 1;
-            if let Some((requests, short)) = shortest(seed, a.fault, a.crossings, a.requests) {
-                let rule = short.broken.map_or_else(String::new, |b| b.to_string());
-                println!("seed {seed}, {requests} requests: {rule}");
-                short.last.iter().for_each(|line| println!("    {line}"));
+        if history.violation.is_some() {
+            violations += 1;
+            if let Some((requests, shortest)) =
+                find_shortest_violation(seed, arguments.fault, arguments.races, arguments.requests)
+            {
+                let description = shortest.violation.map_or_else(String::new, |b| b.to_string());
+                println!("seed {seed}, {requests} requests: {description}");
+                shortest.last.iter().for_each(|line| println!("    {line}"));
             }
         }
     }
-    println!("{} histories, {broken} break a rule, {served} requests served", a.seeds);
-    if broken == 0 {
+    println!("{} histories, {violations} break a rule, {served} requests served", arguments.seeds);
+    if violations == 0 {
         ExitCode::SUCCESS
     } else {
         ExitCode::FAILURE
--- a/crates/laboratory/src/histories.rs
+++ b/crates/laboratory/src/histories.rs
@@ -1,5 +1,6 @@
-//! Random histories of the engine on a simulated clock, network and fleet: the four rules are held against each of them, and
-//! deliberately broken variants have to be caught. The same seed gives the same history.
+//! Runs the request engine through random histories on a simulated clock, network and fleet, and checks its guarantees: each
+//! request is answered once and in time, nothing is sent to a draining server, and unsafe requests run at most once.
+//! [`Fault`] injects errors that the checks must detect. The same seed gives the same history.
 
 use corkhollow_balance::interface::*;
 use corkhollow_engine::{AttemptId, Command, FinalAnswer, RequestMessage, Requests};
@@ -9,18 +10,18 @@
 
 const MS: Nanos = 1_000_000;
 const START: Nanos = 1_000_000 * MS;
-/// How many commands a history tells of.
-const TOLD: usize = 40;
-/// A server that drains gets nothing new from this long after the node was told.
+/// How many of the last commands a history keeps.
+const MAX_KEPT_COMMANDS: usize = 40;
+/// Time after a list marks a server as draining or removed in which attempts may still be sent to it.
 const DRAIN_SLACK: Nanos = 250 * MS;
-/// An answer may come this much after its request's time.
-const LATE_SLACK: Nanos = MS;
+/// How long after its deadline a request may still be answered.
+const ANSWER_MARGIN: Nanos = MS;
 
-/// What a request carries here: its client's number.
+/// A request message without content: the index of its client.
 #[derive(Clone, Debug, PartialEq)]
-struct Parcel(u32);
+struct TestMessage(u32);
 
-impl RequestMessage for Parcel {
+impl RequestMessage for TestMessage {
     fn is_body_consumed(&self) -> bool {
         false
     }
@@ -29,110 +30,112 @@
     }
 }
 
-/// What is broken on purpose.
+/// An error that is injected into a history.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub enum Fault {
-    /// Nothing.
+    /// No error.
     None,
-    /// Lists are not told.
+    /// Changes of the server list do not reach the engine.
     DrainIgnored,
-    /// One answer in a hundred is not given.
+    /// One answer in a hundred is lost.
     AnswerLost,
-    /// One answer in a hundred is given twice.
-    AnswerDoubled,
-    /// A reset is told as a refused connection: what may have run is sent again.
+    /// One answer in a hundred is sent twice.
+    #[value(name = "answer-doubled")]
+    AnswerDuplicated,
+    /// A reset is reported as a refused connection, so a request that may have run is repeated.
     UnsafeRepeated,
-    /// Timers fire a while too late.
+    /// Timers fire 20 ms late.
     TimersLate,
-    /// Attempts whose connection comes up go on as they were decided, whatever has happened since.
-    BegunUnasked,
+    /// An attempt is sent once it is connected, without asking the engine whether it still may.
+    #[value(name = "begun-unasked")]
+    SentUnchecked,
 }
 
-/// Which rule a history breaks first.
+/// The violation of a guarantee.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Broken {
-    /// When, in nanoseconds of the history's clock.
+pub struct Violation {
+    /// Simulated time of the violation.
     pub at: Nanos,
-    /// The rule, and by whom.
-    pub rule: String,
+    /// What happened, and to which request or client.
+    pub description: String,
 }
 
-impl std::fmt::Display for Broken {
+impl std::fmt::Display for Violation {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "{} ({:.3} ms after the start)", self.rule, (self.at - START) as f64 / MS as f64)
+        write!(f, "{} ({:.3} ms after the start)", self.description, (self.at - START) as f64 / MS as f64)
     }
 }
 
-/// What came of a history.
+/// The result of a history.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct History {
-    /// The first rule that it breaks.
-    pub broken: Option<Broken>,
-    /// Requests that got a server's answer.
+    /// The first violation.
+    pub violation: Option<Violation>,
+    /// Requests answered by a server.
     pub served: u32,
-    /// A digest of all commands with their times.
+    /// Digest of all commands and their times.
     pub digest: u64,
-    /// The last commands before a rule was broken, or before the end.
+    /// The last commands up to the violation, or to the end.
     pub last: Vec<String>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Step {
+enum ScheduledEvent {
     Arrive,
-    Gone(u32),
-    /// An attempt's connection has come up: it is written, and runs at its server unless that is dead.
-    Begin(AttemptKey),
-    End(AttemptKey, u8),
-    Drain(u64),
-    Back(u64),
-    Die(u64),
-    /// The node is told to end: all is answered a while later.
-    Leave,
+    ClientLeft(u32),
+    /// An attempt is connected and is sent, unless its server is dead.
+    Connected(AttemptKey),
+    Ended(AttemptKey, u8),
+    ServerDrains(u64),
+    ServerReturns(u64),
+    ServerDies(u64),
+    /// The node begins to shut down, with a deadline for all requests.
+    ShutDown,
 }
 
 type AttemptKey = (RequestId, u8);
 
 struct Client {
-    due: Nanos,
+    deadline: Nanos,
     effect: Effect,
     answers: u32,
-    runs: u32,
-    /// When what may first have run was written.
-    ran_at: Option<Nanos>,
-    gone: bool,
+    run_count: u32,
+    /// When the first attempt that may have run was sent.
+    first_run_at: Option<Nanos>,
+    has_left: bool,
 }
 
-struct Out {
+struct OpenAttempt {
     server: ServerId,
     client: u32,
-    written: bool,
+    is_sent: bool,
 }
 
-struct World {
+struct Simulation {
     rng: Pcg64Mcg,
     now: Nanos,
     fault: Fault,
-    crossings: bool,
-    requests: Requests<u32, Parcel, u32>,
-    steps: BTreeMap<(Nanos, u64), Step>,
-    order: u64,
+    races: bool,
+    requests: Requests<u32, TestMessage, u32>,
+    scheduled: BTreeMap<(Nanos, u64), ScheduledEvent>,
+    last_sequence: u64,
     clients: Vec<Client>,
     request_of: BTreeMap<RequestId, u32>,
-    out: BTreeMap<AttemptKey, Out>,
-    /// Since when a server has been told as draining or gone, and which are dead.
-    told: BTreeMap<ServerId, Nanos>,
+    open_attempts: BTreeMap<AttemptKey, OpenAttempt>,
+    /// When each server was marked as draining or removed, and which servers are dead.
+    unavailable_since: BTreeMap<ServerId, Nanos>,
     dead: BTreeSet<ServerId>,
-    /// When the node is gone.
-    ends_at: Nanos,
+    /// Deadline of the node's shutdown.
+    shutdown_deadline: Nanos,
     arrivals: u32,
     digest: u64,
-    broken: Option<Broken>,
+    violation: Option<Violation>,
     served: u32,
     last: VecDeque<String>,
 }
 
 const SERVERS: u64 = 8;
-/// For so long servers know a keyed request again.
+/// How long servers recognise a repeated keyed request.
 const WINDOW: Nanos = 500 * MS;
 const EFFECTS: [Effect; 3] = [Effect::Safe, Effect::Unsafe, Effect::Keyed];
 
@@ -144,137 +147,143 @@
         .map(|effect| Class {
             effect: *effect,
             window: WINDOW,
-            worth: 1.0 + below(rng, 9) as f64,
+            worth: 1.0 + random_below(rng, 9) as f64,
             ..class.clone()
         })
         .collect();
-    settings.second_copies = below(rng, 2) == 0;
-    settings.cancel = below(rng, 2) == 0;
-    settings.max_attempts = 1 + below(rng, 4) as u32;
+    settings.second_copies = random_below(rng, 2) == 0;
+    settings.cancel = random_below(rng, 2) == 0;
+    settings.max_attempts = 1 + random_below(rng, 4) as u32;
     settings
 }
 
-fn below(rng: &mut Pcg64Mcg, most: u64) -> u64 {
-    (u64::from(rng.next_u32()) * most) >> 32
+fn random_below(rng: &mut Pcg64Mcg, bound: u64) -> u64 {
+    (u64::from(rng.next_u32()) * bound) >> 32
 }
 
-impl World {
-    fn new(seed: u64, (fault, crossings): (Fault, bool), arrivals: u32) -> Self {
+impl Simulation {
+    fn new(seed: u64, (fault, races): (Fault, bool), arrivals: u32) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let now = START;
-        let requests = Requests::new(now, settings(&mut rng), seed).expect("sound settings");
-        let mut world = World {
+        let requests = Requests::new(now, settings(&mut rng), seed).expect("valid settings");
+        let mut simulation = Simulation {
             rng,
             now,
             fault,
-            crossings,
+            races,
             requests,
-            steps: BTreeMap::new(),
-            order: 0,
+            scheduled: BTreeMap::new(),
+            last_sequence: 0,
             clients: Vec::new(),
             request_of: BTreeMap::new(),
-            out: BTreeMap::new(),
-            told: BTreeMap::new(),
+            open_attempts: BTreeMap::new(),
+            unavailable_since: BTreeMap::new(),
             dead: BTreeSet::new(),
-            ends_at: Nanos::MAX,
+            shutdown_deadline: Nanos::MAX,
             arrivals,
             digest: 0xcbf2_9ce4_8422_2325,
-            broken: None,
+            violation: None,
             served: 0,
             last: VecDeque::new(),
         };
         let servers = (0..SERVERS).map(|k| Server::warm(ServerId(k))).collect();
-        world.step(|r, now, sink| r.on_server_list(now, ListKind::Full, servers, sink));
-        world.after(0, Step::Arrive);
-        if crossings && below(&mut world.rng, 2) == 0 {
-            let at = below(&mut world.rng, 800) * MS;
-            world.after(at, Step::Leave);
+        simulation.call_engine(|r, now, sink| r.on_server_list(now, ListKind::Full, servers, sink));
+        simulation.schedule(0, ScheduledEvent::Arrive);
+        if races && random_below(&mut simulation.rng, 2) == 0 {
+            let at = random_below(&mut simulation.rng, 800) * MS;
+            simulation.schedule(at, ScheduledEvent::ShutDown);
         }
         for _ in 0..4 {
-            let (at, server) = (below(&mut world.rng, 3_000) * MS, below(&mut world.rng, SERVERS));
-            let what = if below(&mut world.rng, 2) == 0 { Step::Drain(server) } else { Step::Die(server) };
-            world.after(at, what);
-            world.after(at + 1_500 * MS, Step::Back(server));
+            let (at, server) =
+                (random_below(&mut simulation.rng, 3_000) * MS, random_below(&mut simulation.rng, SERVERS));
+            let event = if random_below(&mut simulation.rng, 2) == 0 {
+                ScheduledEvent::ServerDrains(server)
+            } else {
+                ScheduledEvent::ServerDies(server)
+            };
+            simulation.schedule(at, event);
+            simulation.schedule(at + 1_500 * MS, ScheduledEvent::ServerReturns(server));
         }
-        world
+        simulation
     }
 
-    fn after(&mut self, gap: Nanos, step: Step) {
-        self.order += 1;
-        self.steps.insert((self.now + gap, self.order), step);
+    fn schedule(&mut self, gap: Nanos, event: ScheduledEvent) {
+        self.last_sequence += 1;
+        self.scheduled.insert((self.now + gap, self.last_sequence), event);
     }
 
-    fn breaks(&mut self, rule: String) {
+    fn record_violation(&mut self, description: String) {
         let now = self.now;
-        self.broken.get_or_insert(Broken { at: now, rule });
+        self.violation.get_or_insert(Violation { at: now, description });
     }
 
-    fn step(
+    fn call_engine(
         &mut self,
-        take: impl FnOnce(&mut Requests<u32, Parcel, u32>, Nanos, &mut Vec<Command<Parcel, u32>>),
+        call: impl FnOnce(&mut Requests<u32, TestMessage, u32>, Nanos, &mut Vec<Command<TestMessage, u32>>),
     ) {
         let mut commands = Vec::new();
-        take(&mut self.requests, self.now, &mut commands);
+        call(&mut self.requests, self.now, &mut commands);
         for command in commands {
             let line = format!("{:.3} ms {command:?}", (self.now - START) as f64 / MS as f64);
             for byte in line.bytes() {
                 self.digest = (self.digest ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
             }
-            if self.broken.is_none() {
-                self.last.truncate(TOLD - 1);
+            if self.violation.is_none() {
+                self.last.truncate(MAX_KEPT_COMMANDS - 1);
                 self.last.push_front(line);
             }
-            self.carry_out(command);
+            self.execute(command);
         }
     }
 
-    fn carry_out(&mut self, command: Command<Parcel, u32>) {
+    fn execute(&mut self, command: Command<TestMessage, u32>) {
         match command {
             Command::Send { id, server, message, .. } => {
                 let key = (id.request, id.number);
                 self.request_of.insert(id.request, message.0);
-                self.out.insert(key, Out { server, client: message.0, written: false });
-                let slow = self.crossings && below(&mut self.rng, 4) == 0;
-                let way = MS / 10 + below(&mut self.rng, if slow { 300 * MS } else { MS });
-                self.after(way, Step::Begin(key));
+                self.open_attempts.insert(key, OpenAttempt { server, client: message.0, is_sent: false });
+                let is_slow = self.races && random_below(&mut self.rng, 4) == 0;
+                let delay = MS / 10 + random_below(&mut self.rng, if is_slow { 300 * MS } else { MS });
+                self.schedule(delay, ScheduledEvent::Connected(key));
             }
-            // What is written and at work may run all the same.
+            // An attempt that was sent may run although it is abandoned.
             Command::Abandon(id) => {
                 let key = (id.request, id.number);
-                if self.out.get(&key).is_some_and(|out| !out.written) {
-                    self.out.remove(&key);
+                if self.open_attempts.get(&key).is_some_and(|attempt| !attempt.is_sent) {
+                    self.open_attempts.remove(&key);
                 }
             }
             Command::CancelUnsent(id) => {
                 let key = (id.request, id.number);
-                let unwritten = self.out.get(&key).is_some_and(|out| !out.written);
-                if unwritten && self.fault != Fault::BegunUnasked {
-                    self.end(key, 5);
+                let is_unsent = self.open_attempts.get(&key).is_some_and(|attempt| !attempt.is_sent);
+                if is_unsent && self.fault != Fault::SentUnchecked {
+                    self.end_attempt(key, 5);
                 }
             }
             Command::Answer { request, answer } => {
-                let lost = self.fault == Fault::AnswerLost && below(&mut self.rng, 100) == 0;
-                let twice = self.fault == Fault::AnswerDoubled && below(&mut self.rng, 100) == 0;
-                let times = if lost { 0 } else { 1 + u32::from(twice) };
+                let is_lost = self.fault == Fault::AnswerLost && random_below(&mut self.rng, 100) == 0;
+                let is_duplicated =
+                    self.fault == Fault::AnswerDuplicated && random_below(&mut self.rng, 100) == 0;
+                let answer_count = if is_lost { 0 } else { 1 + u32::from(is_duplicated) };
                 let client = match self.request_of.get(&request) {
                     Some(client) => *client,
-                    // Answered while it was being taken.
+                    // Answered during its submission.
                     None => self.clients.len() as u32 - 1,
                 };
                 let client = &mut self.clients[client as usize];
-                client.answers += times;
-                let (answers, late) = (client.answers, self.now > client.due + LATE_SLACK);
+                client.answers += answer_count;
+                let (answers, is_late) = (client.answers, self.now > client.deadline + ANSWER_MARGIN);
                 self.served += u32::from(matches!(answer, FinalAnswer::FromServer(_)));
                 if answers > 1 {
-                    self.breaks(format!("request {request} has {answers} answers"));
+                    self.record_violation(format!("request {request} has {answers} answers"));
                 }
-                if late {
-                    self.breaks(format!("request {request} is answered after its time"));
+                if is_late {
+                    self.record_violation(format!("request {request} is answered after its deadline"));
                 }
             }
             Command::ProposalDenied { request, denial } if !denial.is_expected() => {
-                self.breaks(format!(
-                    "request {request}: the module proposes what is denied: {}",
+                self.record_violation(format!(
+                    "request {request}: the engine denied a proposal of the balancer: {}",
                     denial.name()
                 ));
             }
@@ -287,88 +296,88 @@
     }
 
     fn arrive(&mut self) {
-        if self.now >= self.ends_at {
+        if self.now >= self.shutdown_deadline {
             return;
         }
-        let class = below(&mut self.rng, 3) as u16;
-        let patience = (100 + below(&mut self.rng, 700)) * MS;
+        let class = random_below(&mut self.rng, 3) as u16;
+        let timeout = (100 + random_below(&mut self.rng, 700)) * MS;
         let number = self.clients.len() as u32;
         let effect = EFFECTS[usize::from(class)];
         self.clients.push(Client {
-            due: (self.now + patience).min(self.ends_at),
+            deadline: (self.now + timeout).min(self.shutdown_deadline),
             effect,
             answers: 0,
-            runs: 0,
-            ran_at: None,
-            gone: false,
+            run_count: 0,
+            first_run_at: None,
+            has_left: false,
         });
-        let request = Request { class, ..Request::new(0, self.now + patience) };
+        let request = Request { class, ..Request::new(0, self.now + timeout) };
         let id = self.requests.next_id();
         self.request_of.insert(id, number);
-        self.step(|r, now, sink| {
-            let taken = r.submit(now, Some(number), request, Parcel(number), sink);
-            assert_eq!(taken, Some(id));
+        self.call_engine(|r, now, sink| {
+            let submitted = r.submit(now, Some(number), request, TestMessage(number), sink);
+            assert_eq!(submitted, Some(id));
         });
-        if below(&mut self.rng, if self.crossings { 6 } else { 30 }) == 0 {
-            let gap = below(&mut self.rng, 200) * MS;
-            self.after(gap, Step::Gone(id));
+        if random_below(&mut self.rng, if self.races { 6 } else { 30 }) == 0 {
+            let gap = random_below(&mut self.rng, 200) * MS;
+            self.schedule(gap, ScheduledEvent::ClientLeft(id));
         }
         if number + 1 < self.arrivals {
-            let gap = below(&mut self.rng, 12) * MS;
-            self.after(gap, Step::Arrive);
+            let gap = random_below(&mut self.rng, 12) * MS;
+            self.schedule(gap, ScheduledEvent::Arrive);
         }
     }
 
-    /// An attempt's connection is there. What it may still do is asked; then it is written, and its fate is drawn.
-    fn begin(&mut self, key: AttemptKey) {
-        let Some(&Out { server, client, .. }) = self.out.get(&key) else { return };
+    /// An attempt is connected: checks whether it may still be sent, sends it and draws its outcome.
+    fn on_connected(&mut self, key: AttemptKey) {
+        let Some(&OpenAttempt { server, client, .. }) = self.open_attempts.get(&key) else { return };
         let id = AttemptId { request: key.0, number: key.1 };
         if self.dead.contains(&server) {
-            return self.after(MS, Step::End(key, 1));
+            return self.schedule(MS, ScheduledEvent::Ended(key, 1));
         }
-        if self.fault != Fault::BegunUnasked && self.requests.may_begin(self.now, id).is_err() {
-            return self.end(key, 5);
+        if self.fault != Fault::SentUnchecked && self.requests.may_begin(self.now, id).is_err() {
+            return self.end_attempt(key, 5);
         }
-        self.out.entry(key).and_modify(|out| out.written = true);
-        if self.told.get(&server).is_some_and(|told| self.now > told + DRAIN_SLACK) {
-            self.breaks(format!("request {} goes to a server that drains", key.0));
+        self.open_attempts.entry(key).and_modify(|attempt| attempt.is_sent = true);
+        if self.unavailable_since.get(&server).is_some_and(|since| self.now > since + DRAIN_SLACK) {
+            self.record_violation(format!("request {} is sent to a draining or removed server", key.0));
         }
         let now = self.now;
-        let Client { due, effect, answers, gone, ran_at, .. } = self.clients[client as usize];
-        if answers > 0 || gone || now > due + LATE_SLACK {
-            self.breaks(format!("request {} goes on after its end", key.0));
+        let Client { deadline, effect, answers, has_left, first_run_at, .. } = self.clients[client as usize];
+        if answers > 0 || has_left || now > deadline + ANSWER_MARGIN {
+            self.record_violation(format!("request {} is sent after its end", key.0));
         }
-        if effect == Effect::Keyed && ran_at.is_some_and(|at| now > at + WINDOW) {
-            self.breaks(format!("request {} goes to servers that have forgotten it", key.0));
+        if effect == Effect::Keyed && first_run_at.is_some_and(|at| now > at + WINDOW) {
+            self.record_violation(format!("request {} is repeated after the idempotency window", key.0));
         }
-        let fate = below(&mut self.rng, 20);
-        // 3: turned away, 4: the connection never came up. All others run.
-        if fate != 3 && fate != 4 {
+        let outcome = random_below(&mut self.rng, 20);
+        // 3: rejected as full, 4: the connection failed. All others run.
+        if outcome != 3 && outcome != 4 {
             let client = &mut self.clients[client as usize];
-            client.runs += 1;
-            client.ran_at.get_or_insert(now);
-            let (runs, effect) = (client.runs, client.effect);
-            if effect == Effect::Unsafe && runs > 1 {
-                self.breaks(format!("client {} has its effect {runs} times", key.0));
+            client.run_count += 1;
+            client.first_run_at.get_or_insert(now);
+            let (run_count, effect) = (client.run_count, client.effect);
+            if effect == Effect::Unsafe && run_count > 1 {
+                self.record_violation(format!("unsafe request {} may have run {run_count} times", key.0));
             }
         }
-        let (gap, ending) = match fate {
-            0 => (below(&mut self.rng, 200) * MS, 2), // reset under way
-            1 => (5 * MS, 3),                         // an error
-            2 => return,                              // silence
+        let (gap, ending) = match outcome {
+            0 => (random_below(&mut self.rng, 200) * MS, 2), // reset
+            1 => (5 * MS, 3),                                // error answer
+            2 => return,                                     // no answer
             3 => (MS, 4),
             4 => (MS, 1),
-            _ => (below(&mut self.rng, 120) * MS, 0),
+            _ => (random_below(&mut self.rng, 120) * MS, 0),
         };
-        self.after(gap, Step::End(key, ending));
+        self.schedule(gap, ScheduledEvent::Ended(key, ending));
     }
 
-    fn end(&mut self, key: AttemptKey, ending: u8) {
-        if self.out.remove(&key).is_none() {
+    fn end_attempt(&mut self, key: AttemptKey, ending: u8) {
+        if self.open_attempts.remove(&key).is_none() {
             return;
         }
         let id = AttemptId { request: key.0, number: key.1 };
-        self.step(|r, now, sink| match ending {
+        self.call_engine(|r, now, sink| match ending {
             0 => {
                 let _ = r.on_answer(now, id, key.0, sink);
             }
@@ -377,95 +386,102 @@
             1 => r.on_attempt_ended(now, id, Ending::ConnectFailed, sink),
             5 => r.on_attempt_ended(now, id, Ending::NotSent, sink),
             _ => {
-                // The head was there long before: how long the server took does not tell when the request was sent.
+                // The answer's head arrived earlier, so the server's time does not show when the request was sent.
                 r.on_answer_head(id, 5 * MS);
                 r.on_attempt_ended(now, id, Ending::Reset, sink)
             }
         });
     }
 
-    fn tell(&mut self, server: u64, phase: Phase) {
+    fn set_phase(&mut self, server: u64, phase: Phase) {
         let id = ServerId(server);
         match phase {
-            Phase::Ready => drop(self.told.remove(&id)),
-            _ => drop(self.told.entry(id).or_insert(self.now)),
+            Phase::Ready => drop(self.unavailable_since.remove(&id)),
+            _ => drop(self.unavailable_since.entry(id).or_insert(self.now)),
         }
         if self.fault != Fault::DrainIgnored {
             let entry = Server { phase, ..Server::warm(id) };
-            self.step(|r, now, sink| r.on_server_list(now, ListKind::Changes, vec![entry], sink));
+            self.call_engine(|r, now, sink| r.on_server_list(now, ListKind::Changes, vec![entry], sink));
         }
     }
 
-    /// Plays to the end.
-    fn play(mut self) -> History {
+    /// Runs the history to its end and checks that every request was answered.
+    fn run(mut self) -> History {
         loop {
-            let late = if self.fault == Fault::TimersLate { 20 * MS } else { 0 };
-            let timer = self.requests.next_timer().map(|at| at.max(self.now) + late);
-            let step = self.steps.first_key_value().map(|(key, _)| *key);
-            match (step, timer) {
+            let timer_delay = if self.fault == Fault::TimersLate { 20 * MS } else { 0 };
+            let timer = self.requests.next_timer().map(|at| at.max(self.now) + timer_delay);
+            let event = self.scheduled.first_key_value().map(|(key, _)| *key);
+            match (event, timer) {
                 (Some(key), timer) if timer.is_none_or(|t| key.0 <= t) => {
-                    let step = self.steps.remove(&key).expect("it is first");
+                    let event = self.scheduled.remove(&key).expect("the first event");
                     self.now = key.0;
-                    self.take(step);
+                    self.handle(event);
                 }
                 (_, Some(at)) => {
                     self.now = at;
-                    self.step(|r, now, sink| r.fire_timers(now, sink));
+                    self.call_engine(|r, now, sink| r.fire_timers(now, sink));
                 }
                 _ => break,
             }
         }
         if !self.requests.is_empty() {
             let left = self.requests.len();
-            self.breaks(format!("{left} requests are never over"));
+            self.record_violation(format!("{left} requests never end"));
         }
-        if let Some(k) = self.clients.iter().position(|c| c.answers == 0 && !c.gone) {
-            self.breaks(format!("client {k} has no answer"));
+        if let Some(k) = self.clients.iter().position(|c| c.answers == 0 && !c.has_left) {
+            self.record_violation(format!("client {k} has no answer"));
         }
         let last = self.last.into_iter().rev().collect();
-        History { broken: self.broken, served: self.served, digest: self.digest, last }
+        History { violation: self.violation, served: self.served, digest: self.digest, last }
     }
 
-    fn take(&mut self, step: Step) {
-        match step {
-            Step::Arrive => self.arrive(),
-            Step::Gone(request) => {
+    fn handle(&mut self, event: ScheduledEvent) {
+        match event {
+            ScheduledEvent::Arrive => self.arrive(),
+            ScheduledEvent::ClientLeft(request) => {
                 let client = &mut self.clients[self.request_of[&request] as usize];
                 if client.answers == 0 {
-                    client.gone = true;
-                    self.step(|r, now, sink| r.on_client_left(now, request, sink));
+                    client.has_left = true;
+                    self.call_engine(|r, now, sink| r.on_client_left(now, request, sink));
                 }
             }
-            Step::Begin(key) => self.begin(key),
-            Step::End(key, 2) if self.fault == Fault::UnsafeRepeated => self.end(key, 1),
-            Step::End(key, ending) => self.end(key, ending),
-            Step::Leave => {
-                self.ends_at = self.now + (100 + below(&mut self.rng, 700)) * MS;
-                let ends_at = self.ends_at;
-                self.clients.iter_mut().for_each(|client| client.due = client.due.min(ends_at));
-                self.requests.set_shutdown_deadline(ends_at);
+            ScheduledEvent::Connected(key) => self.on_connected(key),
+            ScheduledEvent::Ended(key, 2) if self.fault == Fault::UnsafeRepeated => self.end_attempt(key, 1),
+            ScheduledEvent::Ended(key, ending) => self.end_attempt(key, ending),
+            ScheduledEvent::ShutDown => {
+                self.shutdown_deadline = self.now + (100 + random_below(&mut self.rng, 700)) * MS;
+                let shutdown_deadline = self.shutdown_deadline;
+                self.clients
+                    .iter_mut()
+                    .for_each(|client| client.deadline = client.deadline.min(shutdown_deadline));
+                self.requests.set_shutdown_deadline(shutdown_deadline);
             }
-            Step::Drain(server) => self.tell(server, Phase::Draining),
-            Step::Die(server) => {
+            ScheduledEvent::ServerDrains(server) => self.set_phase(server, Phase::Draining),
+            ScheduledEvent::ServerDies(server) => {
                 self.dead.insert(ServerId(server));
-                self.tell(server, Phase::Removed);
+                self.set_phase(server, Phase::Removed);
             }
-            Step::Back(server) => {
+            ScheduledEvent::ServerReturns(server) => {
                 self.dead.remove(&ServerId(server));
-                self.tell(server, Phase::Ready);
+                self.set_phase(server, Phase::Ready);
             }
         }
     }
 }
 
-/// Plays the history of a seed with this many requests. With crossings, a quarter of the connections are slow to come up
-/// and a sixth of the clients leave.
-pub fn play(seed: u64, fault: Fault, crossings: bool, requests: u32) -> History {
-    World::new(seed, (fault, crossings), requests).play()
+/// Runs the history of a seed with this many requests. With `races`, a quarter of the connections are slow to open and a
+/// sixth of the clients disconnect early.
+pub fn run_history(seed: u64, fault: Fault, races: bool, requests: u32) -> History {
+    Simulation::new(seed, (fault, races), requests).run()
 }
 
-/// The least number of requests, up to this many, with which a seed's history breaks a rule, and that history.
-pub fn shortest(seed: u64, fault: Fault, crossings: bool, requests: u32) -> Option<(u32, History)> {
-    let mut histories = (1..=requests).map(|few| (few, play(seed, fault, crossings, few)));
-    histories.find(|(_, history)| history.broken.is_some())
+/// The lowest number of requests, up to `requests`, at which the history of a seed has a violation, and that history.
+pub fn find_shortest_violation(
+    seed: u64,
+    fault: Fault,
+    races: bool,
+    requests: u32,
+) -> Option<(u32, History)> {
+    let mut histories = (1..=requests).map(|count| (count, run_history(seed, fault, races, count)));
+    histories.find(|(_, history)| history.violation.is_some())
 }
--- a/crates/laboratory/tests/histories.rs
+++ b/crates/laboratory/tests/histories.rs
@@ -1,48 +1,58 @@
-//! No history breaks a rule, and the rules see what is broken on purpose.
+//! Random histories of the engine have no violation, and injected errors are detected.
 
-use corkhollow_laboratory::histories::{play, shortest, Fault};
+use corkhollow_laboratory::histories::{find_shortest_violation, run_history, Fault};
 
 const REQUESTS: u32 = 150;
 
 #[test]
-fn no_history_breaks_a_rule() {
-    for crossings in [false, true] {
+fn histories_without_faults_have_no_violation() {
+    for races in [false, true] {
         let mut served = 0;
         for seed in 0..2_000 {
-            let history = play(seed, Fault::None, crossings, REQUESTS);
-            assert!(history.broken.is_none(), "{:?}", shortest(seed, Fault::None, crossings, REQUESTS));
+            let history = run_history(seed, Fault::None, races, REQUESTS);
+            assert!(
+                history.violation.is_none(),
+                "{:?}",
+                find_shortest_violation(seed, Fault::None, races, REQUESTS)
+            );
             served += history.served;
         }
-        assert!(crossings || served > 2_000 * REQUESTS / 3, "{served} served: the histories show little");
-        assert!(served > 2_000 * REQUESTS / 5, "{served} served, with crossings: the histories show little");
+        assert!(races || served > 2_000 * REQUESTS / 3, "only {served} requests served");
+        assert!(served > 2_000 * REQUESTS / 5, "only {served} requests served, races: {races}");
     }
 }
 
 #[test]
-fn what_is_broken_on_purpose_is_caught() {
-    for (fault, word) in [
-        (Fault::DrainIgnored, "drains"),
+fn injected_faults_are_detected() {
+    for (fault, expected) in [
+        (Fault::DrainIgnored, "sent to a draining or removed server"),
         (Fault::AnswerLost, "no answer"),
-        (Fault::AnswerDoubled, "2 answers"),
-        (Fault::UnsafeRepeated, "its effect"),
-        (Fault::TimersLate, "after its time"),
-        (Fault::BegunUnasked, "after its end"),
+        (Fault::AnswerDuplicated, "2 answers"),
+        (Fault::UnsafeRepeated, "unsafe request"),
+        (Fault::TimersLate, "after its deadline"),
+        (Fault::SentUnchecked, "after its end"),
     ] {
-        let crossings = fault == Fault::BegunUnasked;
-        let play = |seed| play(seed, fault, crossings, REQUESTS);
-        let caught: Vec<_> = (0..200).filter(|seed| play(*seed).broken.is_some()).collect();
-        assert!(caught.len() >= 20, "{fault:?} is caught in {} of 200 histories", caught.len());
-        let named = |seed: &u64| play(*seed).broken.is_some_and(|b| b.rule.contains(word));
-        assert!(caught.iter().filter(|seed| named(seed)).count() >= 20, "{fault:?} is taken for another");
-        let (requests, short) = shortest(caught[0], fault, crossings, REQUESTS).expect("it breaks a rule");
-        assert!(requests <= REQUESTS && short.broken.is_some() && !short.last.is_empty());
+        let races = fault == Fault::SentUnchecked;
+        let run_history = |seed| run_history(seed, fault, races, REQUESTS);
+        let detected: Vec<_> = (0..200).filter(|seed| run_history(*seed).violation.is_some()).collect();
+        assert!(detected.len() >= 20, "{fault:?} is detected in {} of 200 histories", detected.len());
+        let is_expected_violation = |seed: &u64| {
+            run_history(*seed).violation.is_some_and(|violation| violation.description.contains(expected))
+        };
+        assert!(
+            detected.iter().filter(|seed| is_expected_violation(seed)).count() >= 20,
+            "{fault:?} is detected as another violation"
+        );
+        let (requests, shortest) =
+            find_shortest_violation(detected[0], fault, races, REQUESTS).expect("a violation");
+        assert!(requests <= REQUESTS && shortest.violation.is_some() && !shortest.last.is_empty());
     }
 }
 
 #[test]
 fn the_same_seed_gives_the_same_history() {
-    let digests: Vec<_> = (0..20).map(|seed| play(seed, Fault::None, true, REQUESTS).digest).collect();
-    let again: Vec<_> = (0..20).map(|seed| play(seed, Fault::None, true, REQUESTS).digest).collect();
+    let digests: Vec<_> = (0..20).map(|seed| run_history(seed, Fault::None, true, REQUESTS).digest).collect();
+    let again: Vec<_> = (0..20).map(|seed| run_history(seed, Fault::None, true, REQUESTS).digest).collect();
     assert_eq!(digests, again);
-    assert!(digests.windows(2).all(|pair| pair[0] != pair[1]), "seeds do not tell histories apart");
+    assert!(digests.windows(2).all(|pair| pair[0] != pair[1]), "different seeds gave the same history");
 }
