--- a/crates/laboratory/src/lib.rs
+++ b/crates/laboratory/src/lib.rs
@@ -1,9 +1,10 @@
-//! Simulations on a clock of their own, seeded: the same seed gives the same run.
+//! Deterministic simulations on a simulated clock: the same seed gives the same run.
 //!
-//! [`fleet`] plays many nodes' decisions over one fleet of servers whose queues are all known, [`cold`] servers of it that start
-//! cold; [`histories`] plays one node's
-//! engine through random failures and holds the rules against what it does; [`membership`] plays many nodes that keep one view
-//! of each other over a network that fails them; [`scale`] writes configurations of the size that is coming.
+//! - [`fleet`]: many nodes balance requests over the same servers.
+//! - [`cold`]: the same with servers that start cold (slow start).
+//! - [`histories`]: the request engine of one node under random failures, checked against its guarantees.
+//! - [`membership`]: the membership protocol of many nodes over a faulty network.
+//! - [`scale`]: generated configurations of the planned size, or of a fraction of it.
 
 pub mod cold;
 pub mod fleet;
--- a/crates/laboratory/src/membership.rs
+++ b/crates/laboratory/src/membership.rs
@@ -1,5 +1,5 @@
-//! Many nodes keep one view over a network that fails them: simulated clock and network, the production state machine, the
-//! scripts that real processes are played with too.
+//! Simulates the membership protocol of many nodes over a faulty network. Clock and network are simulated; the state machine is
+//! the one that the gateway runs, and the fault scripts also work with real processes.
 
 use corkhollow_faults::{Action, Millis, Network, Script};
 use corkhollow_fleet::{Config, Event, Extensions, MemberState, Nanos, Node, NodeStatus, Outbox, Timing};
@@ -10,37 +10,37 @@
 use std::net::SocketAddr;
 
 const MS: Nanos = 1_000_000;
-/// How often it is looked whether all have one view.
-const LOOK: Nanos = 50 * MS;
-/// One that stood still, or that somebody could not reach, is not wrongly held dead before it had this long to object.
-const AMENDS: Nanos = 10_000 * MS;
+/// Interval at which the nodes' views are compared.
+const CONVERGENCE_CHECK_INTERVAL: Nanos = 50 * MS;
+/// Time in which a node can refute a suspicion after a stall or a partition; only later is its death counted as false.
+const REFUTATION_TIME: Nanos = 10_000 * MS;
 
-/// What is played.
+/// The parameters of a run.
 #[derive(Clone, Debug)]
-pub struct Setting {
-    /// Names there may be.
+pub struct SimulationConfig {
+    /// The greatest number of nodes.
     pub nodes: usize,
-    /// Those that run from the start, each beginning at a time of its own within `start_within`.
+    /// The number of nodes that start at the beginning, each at a random time within `start_within`.
     pub running: usize,
-    /// In milliseconds.
+    /// The time within which the first nodes start, in milliseconds.
     pub start_within: Millis,
-    /// Nodes that the others know from the start.
+    /// The nodes whose addresses all nodes are given.
     pub seeds: Vec<usize>,
-    /// Settles the rest.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// The nodes' times.
+    /// The nodes' protocol timing.
     pub timing: Timing,
-    /// Their datagrams, in bytes.
-    pub datagram: usize,
-    /// What they do beside plain SWIM.
-    pub additions: Extensions,
-    /// Nodes come to their timers late by up to so much, in milliseconds: a machine short of processor time.
-    pub late: Millis,
+    /// The largest datagram, in bytes.
+    pub max_datagram_bytes: usize,
+    /// The extensions of SWIM that are enabled.
+    pub extensions: Extensions,
+    /// The greatest random delay of timers, in milliseconds, as on a machine short of processor time.
+    pub max_timer_delay: Millis,
 }
 
-impl Default for Setting {
+impl Default for SimulationConfig {
     fn default() -> Self {
-        Setting {
+        SimulationConfig {
             nodes: 60,
             running: 60,
             start_within: 1_000,
@@ -51,87 +51,87 @@
                 probe_timeout: 200 * MS,
                 suspicion_timeout: 2_500 * MS,
             },
-            datagram: 1_200,
-            additions: Extensions::default(),
-            late: 0,
+            max_datagram_bytes: 1_200,
+            extensions: Extensions::default(),
+            max_timer_delay: 0,
         }
     }
 }
 
-/// How it went.
+/// The result of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
-    /// From the last act on, in milliseconds, until all that run have one view that is right, and keep it; none where they
-    /// never had.
-    pub settled: Option<Millis>,
-    /// From the last act on, until all that run know who is there, though suspicions may be under way for which views differ.
-    pub known: Option<Millis>,
-    /// How often a node gave one up that ran, was heard by it, and had had time to object to all before.
+    /// Time from the last action until all running nodes have the same correct view and keep it; none if they never do.
+    pub converged_after: Option<Millis>,
+    /// Time from the last action until all running nodes know which nodes run, though open suspicions may still differ.
+    pub members_known_after: Option<Millis>,
+    /// How often a node declared another one dead that was running, reachable and had had time to refute earlier suspicions.
     pub false_deaths: usize,
-    /// How often a node held one for suspect that ran and that nothing had kept from answering for long.
-    pub false_alarms: usize,
-    /// The longest that one was so held for dead, in milliseconds.
-    pub longest_false: Millis,
-    /// Bytes that a node sent a second, on average, after the last act.
-    pub bytes: f64,
-    /// Datagrams that it sent a second.
-    pub datagrams: f64,
-    /// Changes of state that all nodes saw in all.
-    pub changes: u64,
-    /// What was done and what the nodes said, by time, up to a bound.
+    /// How often a node suspected another one that was running, reachable and had not stalled within the last 2 s.
+    pub false_suspicions: usize,
+    /// The longest time that a running node was falsely held dead, in milliseconds.
+    pub longest_false_death: Millis,
+    /// Mean bytes sent per node and second, after the last action.
+    pub bytes_per_second: f64,
+    /// Mean datagrams sent per node and second, after the last action.
+    pub datagrams_per_second: f64,
+    /// The sum of all nodes' observed changes of member states.
+    pub state_changes: u64,
+    /// Actions of the script and events of the nodes in order of time, up to a bound.
     pub timeline: Vec<String>,
 }
 
-enum Due {
+enum ScheduledEvent {
     Tick(usize, u64),
     Arrival(usize, Vec<u8>),
-    Act(usize),
-    GoOn(usize, u32),
-    Begin(usize),
+    ScriptAction(usize),
+    Resume(usize, u32),
+    Start(usize),
 }
 
 #[derive(Default)]
 struct Slot {
     node: Option<Node>,
-    /// Told apart from what was due to an earlier process in its place.
-    life: u32,
-    /// Nodes' clocks have nothing in common.
-    ahead: Nanos,
-    /// The one timer that counts.
-    turn: u64,
-    waiting: Vec<Vec<u8>>,
-    stalled: bool,
-    /// When it last stood still or began.
-    shaken: Nanos,
+    /// Counts the processes of this slot, so that events scheduled for an earlier one are ignored.
+    process_number: u32,
+    /// Offset of the node's own clock; nodes' clocks are not synchronised.
+    clock_offset: Nanos,
+    /// The tick that is valid; earlier scheduled ticks are ignored.
+    valid_tick: u64,
+    queued: Vec<Vec<u8>>,
+    is_stalled: bool,
+    /// When the node started or last resumed from a stall.
+    disturbed_at: Nanos,
     incarnation: u64,
 }
 
-struct Play {
-    setting: Setting,
+struct Simulation {
+    config: SimulationConfig,
     now: Nanos,
     slots: Vec<Slot>,
     queue: BinaryHeap<(Reverse<Nanos>, Reverse<u64>, usize)>,
-    dues: BTreeMap<usize, Due>,
-    count: u64,
+    events: BTreeMap<usize, ScheduledEvent>,
+    event_count: u64,
     network: Network,
-    /// When some direction was last cut.
-    cut_until: Nanos,
-    parted: bool,
+    /// When a link was last blocked.
+    last_blocked_at: Nanos,
+    /// Whether a partition or blocked link is in effect.
+    has_blocked_links: bool,
     rng: Pcg64Mcg,
-    /// By observer and subject, since when it is held dead wrongly.
-    wrongs: BTreeMap<(usize, usize), Nanos>,
+    /// By observer and subject, since when the subject is falsely held dead.
+    false_deaths_since: BTreeMap<(usize, usize), Nanos>,
     outcome: Outcome,
+    /// Datagrams and bytes sent.
     sent: (u64, u64),
 }
 
-/// The most lines of a timeline.
-const LINES: usize = 4_000;
+const MAX_TIMELINE_LINES: usize = 4_000;
 
 fn address(node: usize) -> SocketAddr {
     SocketAddr::from(([10, 0, (node / 250) as u8, (node % 250) as u8 + 1], 7946))
 }
 
-fn number(address: SocketAddr) -> usize {
+fn node_index(address: SocketAddr) -> usize {
     match address {
         SocketAddr::V4(v4) => usize::from(v4.ip().octets()[2]) * 250 + usize::from(v4.ip().octets()[3]) - 1,
         SocketAddr::V6(_) => usize::MAX,
@@ -142,286 +142,303 @@
     format!("n{node:04}")
 }
 
-/// Plays a script, and then on for so many milliseconds.
+/// Runs a script, and then continues for `then` milliseconds.
 ///
 /// # Panics
-/// Where an incarnation goes back.
-pub fn play(setting: &Setting, script: &Script, then: Millis) -> Outcome {
-    let mut rng = Pcg64Mcg::seed_from_u64(setting.seed);
-    let mut play = Play {
+/// An incarnation decreases.
+pub fn simulate(config: &SimulationConfig, script: &Script, then: Millis) -> Outcome {
+    let mut rng = Pcg64Mcg::seed_from_u64(config.seed);
+    let mut simulation = Simulation {
         now: 0,
-        slots: (0..setting.nodes).map(|_| Slot::default()).collect(),
+        slots: (0..config.nodes).map(|_| Slot::default()).collect(),
         queue: BinaryHeap::new(),
-        dues: BTreeMap::new(),
-        count: 0,
-        network: Network::new(setting.seed ^ 0x5eed),
-        cut_until: 0,
-        parted: false,
-        wrongs: BTreeMap::new(),
+        events: BTreeMap::new(),
+        event_count: 0,
+        network: Network::new(config.seed ^ 0x5eed),
+        last_blocked_at: 0,
+        has_blocked_links: false,
+        false_deaths_since: BTreeMap::new(),
         outcome: Outcome::default(),
         sent: (0, 0),
-        setting: setting.clone(),
+        config: config.clone(),
         rng: Pcg64Mcg::seed_from_u64(rng.next_u64()),
     };
-    for node in 0..setting.running {
-        let at = rng.next_u64() % (setting.start_within.max(1) * MS);
-        play.due(at, Due::Begin(node));
+    for node in 0..config.running {
+        let at = rng.next_u64() % (config.start_within.max(1) * MS);
+        simulation.schedule(at, ScheduledEvent::Start(node));
     }
-    for (k, (time, _)) in script.actions().iter().enumerate() {
-        play.due(time * MS, Due::Act(k));
+    for (index, (time, _)) in script.actions().iter().enumerate() {
+        simulation.schedule(time * MS, ScheduledEvent::ScriptAction(index));
     }
-    let over = script.end().max(setting.start_within) * MS;
-    play.run(script, over, over + then * MS);
-    play.outcome
+    let script_end = script.end().max(config.start_within) * MS;
+    simulation.run(script, script_end, script_end + then * MS);
+    simulation.outcome
 }
 
-impl Play {
-    fn due(&mut self, at: Nanos, what: Due) {
-        self.count += 1;
-        let key = self.count as usize;
-        self.dues.insert(key, what);
-        self.queue.push((Reverse(at), Reverse(self.count), key));
+impl Simulation {
+    fn schedule(&mut self, at: Nanos, event: ScheduledEvent) {
+        self.event_count += 1;
+        let event_id = self.event_count as usize;
+        self.events.insert(event_id, event);
+        self.queue.push((Reverse(at), Reverse(self.event_count), event_id));
     }
 
-    fn run(&mut self, script: &Script, over: Nanos, end: Nanos) {
-        let mut look = 0;
-        let mut settled = None;
-        let mut known = None;
-        let mut before = self.sent;
-        while let Some((Reverse(at), _, key)) = self.queue.pop() {
+    fn run(&mut self, script: &Script, script_end: Nanos, end: Nanos) {
+        let mut next_check = 0;
+        let mut converged = None;
+        let mut members_known = None;
+        let mut sent_before = self.sent;
+        while let Some((Reverse(at), _, event_id)) = self.queue.pop() {
             if at > end {
                 break;
             }
-            while look <= at {
-                self.now = look;
-                if look <= over {
-                    before = self.sent;
+            while next_check <= at {
+                self.now = next_check;
+                if next_check <= script_end {
+                    sent_before = self.sent;
                 }
-                match look >= over && self.agreed() {
-                    true => settled = settled.or(Some(look)),
-                    false => settled = None,
+                match next_check >= script_end && self.has_converged() {
+                    true => converged = converged.or(Some(next_check)),
+                    false => converged = None,
                 }
-                match look >= over && self.all_known() {
-                    true => known = known.or(Some(look)),
-                    false => known = None,
+                match next_check >= script_end && self.all_members_known() {
+                    true => members_known = members_known.or(Some(next_check)),
+                    false => members_known = None,
                 }
-                look += LOOK;
+                next_check += CONVERGENCE_CHECK_INTERVAL;
             }
             self.now = at;
-            match self.dues.remove(&key) {
-                Some(Due::Tick(node, turn)) if self.slots[node].turn == turn => self.tick(node),
-                Some(Due::Arrival(node, bytes)) => self.arrive(node, bytes),
-                Some(Due::Act(k)) => self.act(&script.actions()[k].1),
-                Some(Due::GoOn(node, life)) if self.slots[node].life == life => self.go_on(node),
-                Some(Due::Begin(node)) => self.begin(node),
+            match self.events.remove(&event_id) {
+                Some(ScheduledEvent::Tick(node, valid_tick)) if self.slots[node].valid_tick == valid_tick => {
+                    self.tick(node)
+                }
+                Some(ScheduledEvent::Arrival(node, bytes)) => self.deliver(node, bytes),
+                Some(ScheduledEvent::ScriptAction(index)) => self.run_action(&script.actions()[index].1),
+                Some(ScheduledEvent::Resume(node, process_number))
+                    if self.slots[node].process_number == process_number =>
+                {
+                    self.resume(node)
+                }
+                Some(ScheduledEvent::Start(node)) => self.start_node(node),
                 _ => {}
             }
         }
-        let seconds = (end - over) as f64 / 1e9 * self.setting.running.max(1) as f64;
-        self.outcome.bytes = (self.sent.1 - before.1) as f64 / seconds;
-        self.outcome.datagrams = (self.sent.0 - before.0) as f64 / seconds;
-        self.outcome.settled = settled.map(|at| at.saturating_sub(over) / MS);
-        self.outcome.known = known.map(|at| at.saturating_sub(over) / MS);
-        let open: Vec<_> = self.wrongs.keys().copied().collect();
-        open.into_iter().for_each(|pair| self.amend(pair));
+        let seconds = (end - script_end) as f64 / 1e9 * self.config.running.max(1) as f64;
+        self.outcome.bytes_per_second = (self.sent.1 - sent_before.1) as f64 / seconds;
+        self.outcome.datagrams_per_second = (self.sent.0 - sent_before.0) as f64 / seconds;
+        self.outcome.converged_after = converged.map(|at| at.saturating_sub(script_end) / MS);
+        self.outcome.members_known_after = members_known.map(|at| at.saturating_sub(script_end) / MS);
+        let unresolved: Vec<_> = self.false_deaths_since.keys().copied().collect();
+        unresolved.into_iter().for_each(|observer_and_subject| self.end_false_death(observer_and_subject));
     }
 
-    /// Whether all that run have one view, and it is right.
-    fn agreed(&self) -> bool {
+    /// Whether all running nodes have the same correct view.
+    fn has_converged(&self) -> bool {
         let running = || self.slots.iter().filter_map(|slot| slot.node.as_ref());
-        let count = running().count();
+        let running_count = running().count();
         let mut views =
             running().map(|node| (node.status(), node.other_member_count() + 1, node.view_digest()));
         let first = views.next();
-        first.is_none_or(|(standing, size, view)| {
-            standing == NodeStatus::Member
-                && size == count
-                && views.all(|other| other == (standing, size, view))
+        first.is_none_or(|(status, size, view)| {
+            status == NodeStatus::Member
+                && size == running_count
+                && views.all(|other| other == (status, size, view))
         })
     }
 
-    fn all_known(&self) -> bool {
+    fn all_members_known(&self) -> bool {
         let running = || self.slots.iter().filter_map(|slot| slot.node.as_ref());
-        let count = running().count();
-        let runs = |address: &SocketAddr| self.slots.get(number(*address)).is_some_and(|s| s.node.is_some());
-        // Counts first: they tell most that do not know, and cost nothing.
-        running().all(|node| node.status() == NodeStatus::Member && node.other_member_count() + 1 == count)
+        let running_count = running().count();
+        let runs =
+            |address: &SocketAddr| self.slots.get(node_index(*address)).is_some_and(|s| s.node.is_some());
+        // Compares the counts first, as that is cheap.
+        running()
+            .all(|node| node.status() == NodeStatus::Member && node.other_member_count() + 1 == running_count)
             && running().all(|node| node.handover_state().1.iter().all(runs))
     }
 
-    fn tell(&mut self, line: impl FnOnce() -> String) {
-        if self.outcome.timeline.len() < LINES {
+    fn log(&mut self, line: impl FnOnce() -> String) {
+        if self.outcome.timeline.len() < MAX_TIMELINE_LINES {
             let line = format!("{:>8} {}", self.now / MS, line());
             self.outcome.timeline.push(line);
         }
     }
 
-    fn begin(&mut self, node: usize) {
-        let ahead = self.rng.next_u64() % (20 * 3_600_000 * MS);
+    fn start_node(&mut self, node: usize) {
+        let clock_offset = self.rng.next_u64() % (20 * 3_600_000 * MS);
         let seed = self.rng.next_u64();
-        let setting = &self.setting;
+        let simulation_config = &self.config;
         let config = Config {
             fleet: "lab".to_owned(),
             name: name(node),
             zone: String::new(),
             address: address(node),
-            seeds: setting.seeds.iter().map(|seed| address(*seed)).collect(),
+            seeds: simulation_config.seeds.iter().map(|seed| address(*seed)).collect(),
             key: None,
-            timing: setting.timing,
-            max_datagram_bytes: setting.datagram,
-            extensions: setting.additions,
+            timing: simulation_config.timing,
+            max_datagram_bytes: simulation_config.max_datagram_bytes,
+            extensions: simulation_config.extensions,
             initial_incarnation: 1,
         };
         let slot = &mut self.slots[node];
-        *slot = Slot { life: slot.life + 1, ahead, shaken: self.now, ..Slot::default() };
-        slot.node = Some(Node::new(config, self.now + ahead, seed));
+        *slot = Slot {
+            process_number: slot.process_number + 1,
+            clock_offset,
+            disturbed_at: self.now,
+            ..Slot::default()
+        };
+        slot.node = Some(Node::new(config, self.now + clock_offset, seed));
         self.tick(node);
     }
 
-    fn act(&mut self, act: &Action) {
-        self.tell(|| act.to_string());
-        if Script::apply_to_network(act, &mut self.network, self.setting.nodes) {
-            let was = self.parted;
-            self.parted = match act {
+    fn run_action(&mut self, action: &Action) {
+        self.log(|| action.to_string());
+        if Script::apply_to_network(action, &mut self.network, self.config.nodes) {
+            let had_blocked_links = self.has_blocked_links;
+            self.has_blocked_links = match action {
                 Action::Partition(_) | Action::BlockLink(..) => true,
                 Action::Heal => false,
-                _ => was,
+                _ => had_blocked_links,
             };
-            if was || self.parted {
-                self.cut_until = self.now;
+            if had_blocked_links || self.has_blocked_links {
+                self.last_blocked_at = self.now;
             }
             return;
         }
-        match *act {
-            Action::Start(node) => self.begin(node),
+        match *action {
+            Action::Start(node) => self.start_node(node),
             Action::Kill(node) => {
-                self.slots[node] = Slot { life: self.slots[node].life + 1, ..Slot::default() }
+                self.slots[node] =
+                    Slot { process_number: self.slots[node].process_number + 1, ..Slot::default() }
             }
             Action::Leave(node) => {
-                let now = self.now + self.slots[node].ahead;
-                if let Some(leaving) = self.slots[node].node.as_mut() {
-                    leaving.leave(now);
-                    let out = leaving.take_outbox();
-                    self.carry_out(node, out);
+                let now = self.now + self.slots[node].clock_offset;
+                if let Some(state_machine) = self.slots[node].node.as_mut() {
+                    state_machine.leave(now);
+                    let out = state_machine.take_outbox();
+                    self.flush_outbox(node, out);
                 }
-                self.slots[node] = Slot { life: self.slots[node].life + 1, ..Slot::default() };
+                self.slots[node] =
+                    Slot { process_number: self.slots[node].process_number + 1, ..Slot::default() };
             }
-            Action::Stall(node, lasts) if self.slots[node].node.is_some() => {
-                self.slots[node].stalled = true;
-                let life = self.slots[node].life;
-                self.due(self.now + lasts * MS, Due::GoOn(node, life));
+            Action::Stall(node, duration) if self.slots[node].node.is_some() => {
+                self.slots[node].is_stalled = true;
+                let process_number = self.slots[node].process_number;
+                self.schedule(self.now + duration * MS, ScheduledEvent::Resume(node, process_number));
             }
             _ => {}
         }
     }
 
-    fn go_on(&mut self, node: usize) {
+    fn resume(&mut self, node: usize) {
         let slot = &mut self.slots[node];
-        slot.stalled = false;
-        slot.shaken = self.now;
-        // What came meanwhile waited in its socket.
-        for bytes in std::mem::take(&mut slot.waiting) {
-            self.arrive(node, bytes);
+        slot.is_stalled = false;
+        slot.disturbed_at = self.now;
+        // Datagrams that arrived meanwhile were queued in the socket.
+        for bytes in std::mem::take(&mut slot.queued) {
+            self.deliver(node, bytes);
         }
         self.tick(node);
     }
 
     fn tick(&mut self, node: usize) {
         let slot = &mut self.slots[node];
-        let Some(machine) = slot.node.as_mut().filter(|_| !slot.stalled) else { return };
-        let now = self.now + slot.ahead;
-        if now >= machine.next_tick_at() || slot.incarnation == 0 {
-            machine.tick(now);
+        let Some(state_machine) = slot.node.as_mut().filter(|_| !slot.is_stalled) else { return };
+        let now = self.now + slot.clock_offset;
+        if now >= state_machine.next_tick_at() || slot.incarnation == 0 {
+            state_machine.tick(now);
         }
-        let next = machine.next_tick_at().saturating_sub(slot.ahead);
-        let out = machine.take_outbox();
-        self.carry_out(node, out);
-        self.wake(node, next.max(self.now + MS));
+        let next = state_machine.next_tick_at().saturating_sub(slot.clock_offset);
+        let out = state_machine.take_outbox();
+        self.flush_outbox(node, out);
+        self.schedule_tick(node, next.max(self.now + MS));
     }
 
-    fn wake(&mut self, node: usize, at: Nanos) {
-        let late = self.rng.next_u64() % (self.setting.late * MS + 1);
-        self.count += 1;
-        let turn = self.count;
-        self.slots[node].turn = turn;
-        self.due(at.saturating_add(late), Due::Tick(node, turn));
+    fn schedule_tick(&mut self, node: usize, at: Nanos) {
+        let delay = self.rng.next_u64() % (self.config.max_timer_delay * MS + 1);
+        self.event_count += 1;
+        let valid_tick = self.event_count;
+        self.slots[node].valid_tick = valid_tick;
+        self.schedule(at.saturating_add(delay), ScheduledEvent::Tick(node, valid_tick));
     }
 
-    fn arrive(&mut self, node: usize, bytes: Vec<u8>) {
+    fn deliver(&mut self, node: usize, bytes: Vec<u8>) {
         let slot = &mut self.slots[node];
-        let Some(machine) = slot.node.as_mut() else { return };
-        if slot.stalled {
-            // A socket holds only so much.
-            if slot.waiting.len() < 256 {
-                slot.waiting.push(bytes);
+        let Some(state_machine) = slot.node.as_mut() else { return };
+        if slot.is_stalled {
+            // A socket's buffer is limited.
+            if slot.queued.len() < 256 {
+                slot.queued.push(bytes);
             }
             return;
         }
-        let before = machine.next_tick_at();
-        let _ = machine.handle(self.now + slot.ahead, &bytes);
-        let sooner = machine.next_tick_at() < before;
-        let out = machine.take_outbox();
-        let next = machine.next_tick_at().saturating_sub(slot.ahead);
-        self.carry_out(node, out);
-        if sooner {
-            self.wake(node, next.max(self.now));
+        let tick_before = state_machine.next_tick_at();
+        let _ = state_machine.handle(self.now + slot.clock_offset, &bytes);
+        let is_sooner = state_machine.next_tick_at() < tick_before;
+        let out = state_machine.take_outbox();
+        let next = state_machine.next_tick_at().saturating_sub(slot.clock_offset);
+        self.flush_outbox(node, out);
+        if is_sooner {
+            self.schedule_tick(node, next.max(self.now));
         }
     }
 
-    fn carry_out(&mut self, node: usize, out: Outbox) {
+    fn flush_outbox(&mut self, node: usize, out: Outbox) {
         for (to, bytes) in out.datagrams {
-            assert!(bytes.len() <= self.setting.datagram, "a datagram of {} bytes", bytes.len());
+            assert!(bytes.len() <= self.config.max_datagram_bytes, "a datagram of {} bytes", bytes.len());
             self.sent.0 += 1;
             self.sent.1 += bytes.len() as u64;
-            let to = number(to);
+            let to = node_index(to);
             for time in self.network.delivery_times(node, to) {
-                // No network is quicker than a tenth of a millisecond.
-                self.due(self.now + time * MS + MS / 10, Due::Arrival(to, bytes.clone()));
+                // Delivery takes at least 0.1 ms.
+                self.schedule(self.now + time * MS + MS / 10, ScheduledEvent::Arrival(to, bytes.clone()));
             }
         }
         let slot = &mut self.slots[node];
         let incarnation = slot.node.as_ref().map_or(0, |node| node.handover_state().0);
-        assert!(incarnation >= slot.incarnation, "an incarnation went back");
+        assert!(incarnation >= slot.incarnation, "an incarnation decreased");
         slot.incarnation = incarnation;
         for event in out.events {
-            self.hear(node, &event);
-            self.tell(|| format!("{}: {event:?}", name(node)));
+            self.check_claim(node, &event);
+            self.log(|| format!("{}: {event:?}", name(node)));
         }
     }
 
-    /// Holds what a node says of another against what is so.
-    fn hear(&mut self, observer: usize, event: &Event) {
+    /// Compares the state that a node reports for another one with its true state, and counts false alarms and deaths.
+    fn check_claim(&mut self, observer: usize, event: &Event) {
         let Event::StateChanged { name, state, .. } = event else { return };
         let subject = name[1..].parse::<usize>().unwrap_or(usize::MAX);
-        self.outcome.changes += 1;
-        let pair = (observer, subject);
+        self.outcome.state_changes += 1;
+        let observer_and_subject = (observer, subject);
         if *state == MemberState::Suspect {
-            let awake = |node: usize| {
+            let is_awake = |node: usize| {
                 self.slots.get(node).is_some_and(|slot| {
-                    slot.node.is_some() && !slot.stalled && self.now > slot.shaken + 2_000 * MS
+                    slot.node.is_some() && !slot.is_stalled && self.now > slot.disturbed_at + 2_000 * MS
                 })
             };
-            let heard = !self.parted && (self.cut_until == 0 || self.now > self.cut_until + AMENDS);
-            self.outcome.false_alarms += usize::from(awake(subject) && heard);
+            let is_reachable = !self.has_blocked_links
+                && (self.last_blocked_at == 0 || self.now > self.last_blocked_at + REFUTATION_TIME);
+            self.outcome.false_suspicions += usize::from(is_awake(subject) && is_reachable);
         }
         if *state != MemberState::Dead {
-            return self.amend(pair);
+            return self.end_false_death(observer_and_subject);
         }
-        let well = |node: usize| {
-            self.slots
-                .get(node)
-                .is_some_and(|slot| slot.node.is_some() && !slot.stalled && self.now > slot.shaken + AMENDS)
+        let is_well = |node: usize| {
+            self.slots.get(node).is_some_and(|slot| {
+                slot.node.is_some() && !slot.is_stalled && self.now > slot.disturbed_at + REFUTATION_TIME
+            })
         };
-        let heard = !self.parted && (self.cut_until == 0 || self.now > self.cut_until + AMENDS);
-        if well(subject) && well(observer) && heard {
+        let is_reachable = !self.has_blocked_links
+            && (self.last_blocked_at == 0 || self.now > self.last_blocked_at + REFUTATION_TIME);
+        if is_well(subject) && is_well(observer) && is_reachable {
             self.outcome.false_deaths += 1;
-            self.wrongs.insert(pair, self.now);
+            self.false_deaths_since.insert(observer_and_subject, self.now);
         }
     }
 
-    fn amend(&mut self, pair: (usize, usize)) {
-        if let Some(since) = self.wrongs.remove(&pair) {
-            self.outcome.longest_false = self.outcome.longest_false.max((self.now - since) / MS);
+    fn end_false_death(&mut self, observer_and_subject: (usize, usize)) {
+        if let Some(since) = self.false_deaths_since.remove(&observer_and_subject) {
+            self.outcome.longest_false_death = self.outcome.longest_false_death.max((self.now - since) / MS);
         }
     }
 }
