--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -66,7 +66,7 @@
 enum Command {
     Leave(oneshot::Sender<()>),
     HandOver,
-    Drain(bool),
+    SetDraining(bool),
     Reconfigure(Box<Config>),
 }
 
@@ -94,7 +94,7 @@
         let node = Node::new(config, 0, seed);
         let (published, view) = watch::channel(current_view(&node, 0));
         let (commands, command_receiver) = mpsc::unbounded_channel();
-        let member = Member {
+        let node_thread = NodeThread {
             node,
             started_at,
             published,
@@ -102,7 +102,7 @@
             metrics,
             log_limiter: LogLimiter::new(CHANGE_LOG_LIMIT.0, CHANGE_LOG_LIMIT.1),
         };
-        let serve = move || runtime.block_on(member.run(socket, command_receiver));
+        let serve = move || runtime.block_on(node_thread.run(socket, command_receiver));
         std::thread::Builder::new().name("fleet".to_owned()).spawn(serve)?;
         Ok(Fleet { view, commands })
     }
@@ -147,8 +147,8 @@
     }
 
     /// Announces whether the node is being drained.
-    pub fn set_draining(&self, drains: bool) {
-        let _ = self.commands.send(Command::Drain(drains));
+    pub fn set_draining(&self, is_draining: bool) {
+        let _ = self.commands.send(Command::SetDraining(is_draining));
     }
 
     /// Applies those settings that can change while the node runs.
@@ -168,7 +168,7 @@
 }
 
 /// A node with what its thread needs to run it.
-struct Member {
+struct NodeThread {
     node: Node,
     started_at: Instant,
     published: watch::Sender<View>,
@@ -177,7 +177,7 @@
     log_limiter: LogLimiter,
 }
 
-impl Member {
+impl NodeThread {
     fn now(&self) -> Nanos {
         self.started_at.elapsed().as_nanos() as Nanos
     }
@@ -212,14 +212,14 @@
                     Err(_) => {}
                 }
             }
-            let mut leave_acknowledge = None;
+            let mut leave_acknowledgement = None;
             match command {
                 Some(Command::Leave(acknowledge)) => {
                     self.node.leave(self.now());
-                    leave_acknowledge = Some(acknowledge);
+                    leave_acknowledgement = Some(acknowledge);
                 }
                 Some(Command::HandOver) => return,
-                Some(Command::Drain(drains)) => self.node.set_draining(self.now(), drains),
+                Some(Command::SetDraining(is_draining)) => self.node.set_draining(self.now(), is_draining),
                 Some(Command::Reconfigure(config)) => self.node.reconfigure(self.now(), &config),
                 None => {}
             }
@@ -227,7 +227,7 @@
                 self.node.tick(self.now());
             }
             self.flush_outbox(&socket);
-            if let Some(acknowledge) = leave_acknowledge {
+            if let Some(acknowledge) = leave_acknowledgement {
                 self.publish(true);
                 let _ = acknowledge.send(());
                 return;
@@ -236,6 +236,7 @@
         }
     }
 
+    /// Sends the datagrams and logs the events that the node has produced.
     fn flush_outbox(&mut self, socket: &tokio::net::UdpSocket) {
         let Outbox { datagrams, events } = self.node.take_outbox();
         for (to, bytes) in datagrams {
@@ -248,6 +249,7 @@
         }
     }
 
+    /// Publishes the view and updates the metrics: at once with `force`, otherwise within the intervals above.
     fn publish(&mut self, force: bool) {
         let age = self.published_at.elapsed();
         let has_changed = || {
--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -77,9 +77,7 @@
             reused = upstreams.with_servers(|servers| servers.checkout(server, started_at));
         }
     }
-    let Some(address) = upstreams.with_servers(|servers| servers.address(server)) else {
-        return Err(Ending::NotSent);
-    };
+    let Some(address) = upstreams.with_servers(|s| s.address(server)) else { return Err(Ending::NotSent) };
     loop {
         let idle_for = reused.as_ref().map(|idle| started_at.saturating_sub(idle.idle_since));
         let (mut connection, opened_at) = match reused.take() {
