--- a/crates/proxy/src/upstream/discovery.rs
+++ b/crates/proxy/src/upstream/discovery.rs
@@ -49,7 +49,7 @@
 /// A full list with an older version is accepted only once discovery has sent older lists this many times in
 /// a row. It may have lost its version counter, but a single stale replica is more likely, and its list would
 /// bring drained servers back.
-const MIN_OLDER_LISTS: u32 = 4;
+const MIN_OLDER_LISTS_TO_ACCEPT: u32 = 4;
 
 /// Waits until the configured address of discovery changes.
 async fn address_changed(address: &mut watch::Receiver<SocketAddr>) {
@@ -154,7 +154,8 @@
             self.opened_at = None;
             let watch_ended = async {
                 let error = self.watch().await;
-                // An agent that refuses connections is called many times a second: log failure 1, 2, 4, 8, ...
+                // An agent that refuses connections is called many times a second: log only the first,
+                // second, fourth, ... failure.
                 failures_in_a_row = if self.opened_at.is_some() { 1 } else { failures_in_a_row + 1 };
                 if failures_in_a_row.is_power_of_two() {
                     log(format_args!("discovery: {error}"));
@@ -244,7 +245,8 @@
                 Ok(None) => return Ok(()),
                 Ok(Some(frame)) => {
                     let Ok(data) = frame?.into_data() else { continue };
-                    // White space is_mid_list a list is a heartbeat after a truncated list, not its continuation.
+                    // White space in the middle of a list is a heartbeat after a truncated list, not its
+                    // continuation.
                     if !reader.is_mid_list() || !data.trim_ascii().is_empty() {
                         (last_data_at, checked) = (Instant::now(), false);
                     }
@@ -268,7 +270,7 @@
     fn accept(&mut self, list: HostList) -> Result<(), WatchError> {
         if list.seq < self.seq && !self.has_no_list {
             self.older_in_a_row += 1;
-            if !list.whole || self.older_in_a_row < MIN_OLDER_LISTS {
+            if !list.whole || self.older_in_a_row < MIN_OLDER_LISTS_TO_ACCEPT {
                 return Err(WatchError::OlderList(list.seq, self.seq));
             }
         }
--- a/crates/proxy/src/upstream/idle_lifetime.rs
+++ b/crates/proxy/src/upstream/idle_lifetime.rs
@@ -5,9 +5,9 @@
 /// All counts are halved at this interval, so that old evidence fades.
 const DECAY_INTERVAL: Nanos = 10_000_000_000;
 /// Connections count as lost because of their idle time only if, from some idle time on, there are at least
-/// `MIN_LOSSES` losses, their share of uses exceeds `MIN_LOSS_SHARE`, and that share exceeds the share below
-/// that idle time by the factor `MIN_LOSS_RATIO`.
-const MIN_LOSSES: f64 = 1.5;
+/// `MIN_LOST_CONNECTIONS` losses, their share of uses exceeds `MIN_LOSS_SHARE`, and that share exceeds the
+/// share below that idle time by the factor `MIN_LOSS_RATIO`.
+const MIN_LOST_CONNECTIONS: f64 = 1.5;
 const MIN_LOSS_SHARE: f64 = 0.1;
 const MIN_LOSS_RATIO: f64 = 2.0;
 
@@ -68,7 +68,7 @@
         let (below, above) = (sum(&self.buckets[..k]), sum(&self.buckets[k..]));
         let share = above.1 / above.0;
         self.buckets[k].1 > 0.0
-            && above.1 >= MIN_LOSSES
+            && above.1 >= MIN_LOST_CONNECTIONS
             && share > MIN_LOSS_SHARE
             && share > MIN_LOSS_RATIO * below.1 / below.0
     }
