--- a/crates/bench/benches/fleet.rs
+++ b/crates/bench/benches/fleet.rs
@@ -50,12 +50,12 @@
 fn cold(in_a_fleet: bool) -> (Vec<usize>, Vec<usize>) {
     let work = |_: usize, _: &Message| {
         std::thread::sleep(Duration::from_millis(4));
-        ok("fine")
+        ok_reply("fine")
     };
     let warm: Vec<_> = (0..SERVERS).map(|_| Servers::new(1, work)).collect();
     let cold = Servers::new(1, work);
-    let dials: Vec<_> = warm.iter().map(|server| server.dials[0]).collect();
-    let folder = Folder::new(if in_a_fleet { "cold-fleet" } else { "cold-alone" });
+    let dials: Vec<_> = warm.iter().map(|server| server.addresses[0]).collect();
+    let folder = TempFolder::new(if in_a_fleet { "cold-fleet" } else { "cold-alone" });
     let list = folder.0.join("servers.toml");
     let write = |dials: &[SocketAddr]| {
         let servers: String = dials.iter().map(|d| format!("[[servers]]\naddress = \"{d}\"\n")).collect();
@@ -86,8 +86,8 @@
                 while !over.load(SeqCst) {
                     let stream = std::net::TcpStream::connect(address).ok();
                     let _ = stream.and_then(|mut stream| {
-                        std::io::Write::write_all(&mut stream, &get("/", "")).ok()?;
-                        read(&mut stream)
+                        std::io::Write::write_all(&mut stream, &get_request("/", "")).ok()?;
+                        read_message(&mut stream)
                     });
                     std::thread::sleep(Duration::from_millis(5));
                 }
@@ -95,18 +95,19 @@
         })
         .collect();
     std::thread::sleep(Duration::from_secs(6));
-    write(&[&dials[..], &cold.dials[..]].concat());
-    until("the cold server is known", || cold.seen() > 0);
-    let start: Vec<_> = warm.iter().map(Servers::seen).collect();
-    let mut before = cold.seen();
+    write(&[&dials[..], &cold.addresses[..]].concat());
+    wait_until("the cold server is known", || cold.request_count() > 0);
+    let start: Vec<_> = warm.iter().map(Servers::request_count).collect();
+    let mut before = cold.request_count();
     let mut halves = Vec::new();
     for _ in 0..10 {
         std::thread::sleep(Duration::from_millis(500));
-        let now = cold.seen();
+        let now = cold.request_count();
         halves.push(now - before);
         before = now;
     }
-    let mut others: Vec<_> = warm.iter().zip(start).map(|(server, before)| server.seen() - before).collect();
+    let mut others: Vec<_> =
+        warm.iter().zip(start).map(|(server, before)| server.request_count() - before).collect();
     others.sort_unstable();
     over.store(true, SeqCst);
     clients.into_iter().for_each(|client| drop(client.join()));
@@ -122,13 +123,13 @@
         Servers::new(1, move |_, _| {
             let _turn = turn.lock();
             std::thread::sleep(Duration::from_millis(4));
-            ok("fine")
+            ok_reply("fine")
         })
     };
     let servers: Vec<_> = (0..SERVERS).map(|_| server()).collect();
     let dials: String = servers
         .iter()
-        .flat_map(|server| &server.dials)
+        .flat_map(|server| &server.addresses)
         .map(|d| format!("{{ address = \"{d}\" }}, "))
         .collect();
     let site = format!(
@@ -159,8 +160,8 @@
                 while !over.load(SeqCst) {
                     let stream = std::net::TcpStream::connect(address).ok();
                     let answer = stream.and_then(|mut stream| {
-                        std::io::Write::write_all(&mut stream, &get("/", header)).ok()?;
-                        read(&mut stream)
+                        std::io::Write::write_all(&mut stream, &get_request("/", header)).ok()?;
+                        read_message(&mut stream)
                     });
                     match answer.map(|m| m.status()) {
                         Some(200) => drop(served[tenant].fetch_add(1, SeqCst)),
@@ -195,8 +196,8 @@
     println!("| processes | joined: equal, said, s | crash | healed | bytes a node and second | processor, ms a node and second |");
     println!("| --- | --- | --- | --- | --- | --- |");
     for count in counts {
-        let servers = Servers::new(2, |_, _| ok("fine"));
-        let dials: String = servers.dials.iter().map(|d| format!("{{ address = \"{d}\" }}, ")).collect();
+        let servers = Servers::new(2, |_, _| ok_reply("fine"));
+        let dials: String = servers.addresses.iter().map(|d| format!("{{ address = \"{d}\" }}, ")).collect();
         let site = format!(
             "[[listener]]\nname = \"web\"\naddress = \"127.0.0.1:0\"\n[[pool]]\nname = \"boxes\"\n\
              servers = [{dials}]\n[[route]]\nname = \"all\"\npool = \"boxes\"\n"
--- a/crates/bench/benches/memory.rs
+++ b/crates/bench/benches/memory.rs
@@ -1,7 +1,7 @@
 //! The program's memory: while one long body passes each way, and while thousands of clients stand idle.
 //! `--bytes N` sets the length of the bodies (1 GB), `--clients N` the number of clients (5,000).
 
-use corkhollow_test_support::{raw, read, response, Node};
+use corkhollow_test_support::{read_message, response, spawn_raw_server, Node};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::process::Command;
@@ -16,7 +16,7 @@
 
 /// Takes all of a body, or sends one of this length, by the method that it is asked with.
 fn server(long: u64) -> SocketAddr {
-    raw(move |mut stream| {
+    spawn_raw_server(move |mut stream| {
         let mut head = Vec::new();
         let mut byte = [0];
         while stream.read(&mut byte).is_ok_and(|n| n == 1) {
@@ -51,7 +51,7 @@
 
 fn ask(stream: &mut TcpStream) {
     stream.write_all(b"GET /short HTTP/1.1\r\nHost: bench.example.org\r\n\r\n").expect("it takes requests");
-    assert_eq!(read(stream).expect("an answer").status(), 200);
+    assert_eq!(read_message(stream).expect("an answer").status(), 200);
 }
 
 /// Passes one body each way; what memory grew by at most, in bytes, and how long it took, in seconds.
@@ -83,7 +83,7 @@
         }
     }
     if up {
-        let answer = read(&mut client).expect("an answer");
+        let answer = read_message(&mut client).expect("an answer");
         assert_eq!(answer.body, long.to_string().into_bytes(), "all of it came");
     }
     (most.saturating_sub(before), start.elapsed().as_secs_f64())
--- a/crates/bench/benches/operations.rs
+++ b/crates/bench/benches/operations.rs
@@ -21,7 +21,7 @@
 /// A server that takes this long for an answer of 64 bytes.
 fn server(takes: Duration, runs: &Runs) -> SocketAddr {
     let runs = runs.clone();
-    raw(move |stream| {
+    spawn_raw_server(move |stream| {
         let mut reader = BufReader::new(&stream);
         loop {
             let (mut line, mut once, mut id, mut length) = (String::new(), false, String::new(), 0);
@@ -101,12 +101,12 @@
             return;
         }
         let begun = Instant::now();
-        let request = if k % 2 == 0 { get("/safe/1", "") } else { post("/once/1", b"") };
+        let request = if k % 2 == 0 { get_request("/safe/1", "") } else { post_request("/once/1", b"") };
         let connection = kept.take().map_or_else(|| TcpStream::connect(address), Ok);
         let answer = connection.ok().and_then(|mut stream| {
             stream.set_read_timeout(Some(Duration::from_secs(5))).ok()?;
             stream.write_all(&request).ok()?;
-            Some((read(&mut stream)?, stream))
+            Some((read_message(&mut stream)?, stream))
         });
         match answer {
             None => drop(seen.turned_back.fetch_add(1, SeqCst)),
@@ -175,10 +175,10 @@
         sleep(300 * MS);
         over.store(true, SeqCst);
         load.stop();
-        until("the node is empty", || node.figure("gw_client_connections") == Some(0.0));
+        wait_until("the node is empty", || node.figure("gw_client_connections") == Some(0.0));
         line(&format!("{clients} clients, stopped after 300 ms"), &times([begun.elapsed()].into_iter()));
         assert_eq!(node.call("POST", "/-/resume").map(|m| m.status()), Some(200));
-        until("it serves again", || is_ready(&node));
+        wait_until("it serves again", || is_ready(&node));
     }
 }
 
@@ -194,14 +194,14 @@
     };
     let shared = folder("shared");
     let mut node = Node::handed(&socket, &shared, discovery.address, &Options::default());
-    until("the first is ready", || is_ready(&node));
+    wait_until("the first is ready", || is_ready(&node));
     let load = Load::start(address, 16, 5 * MS);
     sleep(500 * MS);
     let (mut to_ready, mut to_end, mut changes) = (Vec::new(), Vec::new(), Vec::new());
     for _ in 0..count {
         let begun = Instant::now();
         let new = Node::handed(&socket, &shared, discovery.address, &Options::default());
-        until("the next is ready", || is_ready(&new));
+        wait_until("the next is ready", || is_ready(&new));
         to_ready.push(begun.elapsed());
         node.signal("-TERM");
         let told = Instant::now();
@@ -221,7 +221,7 @@
     for k in 0..5 {
         let folder = folder(&format!("cold-{k}"));
         let mut node = Node::handed(&socket, &folder, discovery.address, &Options::default());
-        until("it is ready", || is_ready(&node));
+        wait_until("it is ready", || is_ready(&node));
         let (load, begun) = (Load::start(address, 16, 5 * MS), Instant::now());
         sleep(1000 * MS);
         let seen = load.stop();
@@ -308,8 +308,8 @@
                 for _ in 0..4 {
                     scope.spawn(|| {
                         let mut stream = TcpStream::connect(address).expect("a connection");
-                        stream.write_all(&post("/long", &body)).expect("it takes the body");
-                        assert_eq!(read(&mut stream).expect("an answer").status(), 200);
+                        stream.write_all(&post_request("/long", &body)).expect("it takes the body");
+                        assert_eq!(read_message(&mut stream).expect("an answer").status(), 200);
                     });
                 }
             });
--- a/crates/bench/benches/scale/load.rs
+++ b/crates/bench/benches/scale/load.rs
@@ -1,6 +1,6 @@
 //! Clients that ask without a pause to speak of, and what they waited for.
 
-use corkhollow_test_support::read;
+use corkhollow_test_support::read_message;
 use hdrhistogram::Histogram;
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
@@ -32,7 +32,7 @@
     pub fn ask(&mut self) -> (Duration, u16) {
         let begun = Instant::now();
         let sent = self.stream.write_all(&self.request).is_ok();
-        let status = if sent { read(&mut self.stream).map_or(0, |m| m.status()) } else { 0 };
+        let status = if sent { read_message(&mut self.stream).map_or(0, |m| m.status()) } else { 0 };
         (begun.elapsed(), status)
     }
 }
--- a/crates/corkhollow/tests/attempts.rs
+++ b/crates/corkhollow/tests/attempts.rs
@@ -13,9 +13,9 @@
 fn a_second_answer_is_nobodys() {
     let rests = Arc::new(Mutex::new(Vec::new()));
     let (number, rested) = (AtomicUsize::new(0), rests.clone());
-    let dial = raw(move |mut stream| {
+    let dial = spawn_raw_server(move |mut stream| {
         let mut answered: Option<Instant> = None;
-        while let Some(message) = read(&mut stream).filter(|m| m.whole) {
+        while let Some(message) = read_message(&mut stream).filter(|m| m.is_complete) {
             rested.lock().unwrap().extend(answered.map(|at| at.elapsed()));
             // From before the answer goes: however long this thread is kept waiting, that makes the rest no shorter.
             answered = Some(Instant::now());
@@ -29,8 +29,8 @@
     let mut client = node.connect();
     for k in 0..60 {
         let body = format!("body of {k}").into_bytes();
-        client.write_all(&post("/once/1", &body)).unwrap();
-        let answer = read(&mut client).expect("an answer");
+        client.write_all(&post_request("/once/1", &body)).unwrap();
+        let answer = read_message(&mut client).expect("an answer");
         assert_eq!((answer.status(), answer.body), (200, body));
     }
     let rests = rests.lock().unwrap();
@@ -44,8 +44,8 @@
 fn the_first_second_answer_that_a_process_meets_is_nobodys() {
     for _ in 0..5 {
         let number = AtomicUsize::new(0);
-        let dial = raw(move |mut stream| {
-            while let Some(message) = read(&mut stream).filter(|m| m.whole) {
+        let dial = spawn_raw_server(move |mut stream| {
+            while let Some(message) = read_message(&mut stream).filter(|m| m.is_complete) {
                 let answer = response("200 OK", "", &message.body);
                 let _ = stream.write_all(&answer);
                 if number.fetch_add(1, SeqCst) == 0 {
@@ -59,8 +59,8 @@
         node.ready();
         let mut client = node.connect();
         for body in [&b"the first"[..], b"the second", b"the third"] {
-            client.write_all(&post("/once/1", body)).unwrap();
-            let answer = read(&mut client).expect("an answer");
+            client.write_all(&post_request("/once/1", body)).unwrap();
+            let answer = read_message(&mut client).expect("an answer");
             assert_eq!((answer.status(), &answer.body[..]), (200, body));
         }
     }
@@ -81,10 +81,10 @@
                 std::thread::sleep(Duration::from_millis(1));
             }
             sees.fetch_add(usize::from(!closes.load(SeqCst)), SeqCst);
-            return ok("fine");
+            return ok_reply("fine");
         }
         let closes = closes.clone();
-        Reply::Do(Box::new(move |stream| {
+        Reply::Custom(Box::new(move |stream| {
             let _ = stream.write_all(b"HTTP/1.1 500 No\r\nContent-Length: 100\r\n\r\nthe rest never comes");
             let _ = stream.read(&mut [0]);
             closes.store(true, SeqCst);
@@ -103,7 +103,7 @@
     let (open, opens) = std::sync::mpsc::channel::<()>();
     let (tell, told) = std::sync::mpsc::channel();
     let opens = Mutex::new(opens);
-    let dial = raw(move |mut stream| {
+    let dial = spawn_raw_server(move |mut stream| {
         let _ = opens.lock().unwrap().recv();
         let mut all = Vec::new();
         let _ = stream.read_to_end(&mut all);
@@ -112,7 +112,7 @@
     let discovery = Discovery::new(vec![list(1, true, &[host("s-0", dial, "active")])], true);
     let node = Node::start(discovery.address, &Options::default());
     node.ready();
-    let request = String::from_utf8(post("/once/1", &vec![b'x'; length])).unwrap();
+    let request = String::from_utf8(post_request("/once/1", &vec![b'x'; length])).unwrap();
     let request = request.replace("X-Timeout-Ms: 2500", "X-Timeout-Ms: 900");
     assert_eq!(node.raw(request.as_bytes()).unwrap().status(), 504);
     open.send(()).unwrap();
@@ -131,7 +131,7 @@
         let _ = breaks.lock().unwrap().recv();
         Reply::Reset
     });
-    let discovery = Discovery::new(vec![first.list(1)], true);
+    let discovery = Discovery::new(vec![first.list_json(1)], true);
     let text = config(discovery.address, &Options::default())
         .replace("\"effect\":\"pure\"", "\"effect\":\"token\"")
         .replace("\"windowNs\":1000000000", "\"windowNs\":600000000")
@@ -139,18 +139,18 @@
     let node = Node::of(&text);
     node.ready();
     let mut client = node.connect();
-    client.write_all(&post("/safe/1", b"body")).unwrap();
-    until("the request is under way", || first.seen() == 1);
-    let second = Full::new();
-    discovery.say(list(2, false, &[host("s-1", second.dial, "active")]));
-    until("the list is taken in", || node.figure("gw_discovered") == Some(2.0));
+    client.write_all(&post_request("/safe/1", b"body")).unwrap();
+    wait_until("the request is under way", || first.request_count() == 1);
+    let second = FullBacklogServer::new();
+    discovery.say(list(2, false, &[host("s-1", second.address, "active")]));
+    wait_until("the list is taken in", || node.figure("gw_discovered") == Some(2.0));
     break_off.send(()).unwrap();
-    until("it is tried again", || node.figure("gw_retries{pool=\"platform\"}") == Some(1.0));
-    let seen = second.open(Duration::from_millis(1700));
+    wait_until("it is tried again", || node.figure("gw_retries{pool=\"platform\"}") == Some(1.0));
+    let seen = second.accept_and_collect(Duration::from_millis(1700));
     assert!(seen.is_empty(), "{}", String::from_utf8_lossy(&seen));
     let denied = "gw_denied{at=\"begin\",pool=\"platform\",reason=\"window-over\"}";
-    until("that is counted with its reason", || node.figure(denied) == Some(1.0));
+    wait_until("that is counted with its reason", || node.figure(denied) == Some(1.0));
     // All servers would know it again, as far as they do: refusing it is harmless, serving it is not.
-    assert!(matches!(read(&mut client).unwrap().status(), 502..=504));
-    assert_eq!(first.seen(), 1);
+    assert!(matches!(read_message(&mut client).unwrap().status(), 502..=504));
+    assert_eq!(first.request_count(), 1);
 }
--- a/crates/corkhollow/tests/backlog.rs
+++ b/crates/corkhollow/tests/backlog.rs
@@ -19,9 +19,9 @@
         let passed = sent.lock().unwrap().map_or(Duration::ZERO, |at| at.elapsed());
         let timeout = message.header("x-timeout-ms").unwrap().parse().map(Duration::from_millis).unwrap();
         announces.lock().unwrap().push((passed, timeout, message.body.clone()));
-        ok("fine")
+        ok_reply("fine")
     });
-    let discovery = Discovery::new(vec![servers.list(1)], true);
+    let discovery = Discovery::new(vec![servers.list_json(1)], true);
     let node = Node::start(discovery.address, &Options { sockets: 64, ..Options::default() });
     node.ready();
     // An eighth more than the places for clients is kept for those that are only answered 503.
@@ -34,9 +34,9 @@
         })
         .collect();
     let all_held = || node.figure("gw_client_connections") == Some(stopped.len() as f64);
-    until("they hold all places", all_held);
+    wait_until("they hold all places", all_held);
     let ask = |body: &[u8], patience: &str| {
-        let request = String::from_utf8(post("/once/1", body)).unwrap();
+        let request = String::from_utf8(post_request("/once/1", body)).unwrap();
         let mut client = node.connect();
         client.write_all(request.replace("X-Timeout-Ms: 2500", patience).as_bytes()).unwrap();
         client
@@ -44,13 +44,13 @@
     *sent_at.lock().unwrap() = Some(Instant::now());
     let mut short = ask(b"short", "X-Timeout-Ms: 1000");
     let mut kept = ask(b"long", "X-Timeout-Ms: 2900");
-    let short = read(&mut short).expect("an answer").status();
+    let short = read_message(&mut short).expect("an answer").status();
     assert!([503, 504].contains(&short), "its time was over: {short}");
-    let long = read(&mut kept).expect("an answer").status();
+    let long = read_message(&mut kept).expect("an answer").status();
     assert!([200, 503, 504].contains(&long), "{long}");
     // Only the first request of a connection has waited with it.
-    kept.write_all(&post("/once/2", b"next")).unwrap();
-    assert_eq!(read(&mut kept).expect("an answer").status(), 200);
+    kept.write_all(&post_request("/once/2", b"next")).unwrap();
+    assert_eq!(read_message(&mut kept).expect("an answer").status(), 200);
     for (passed, timeout, body) in announced.lock().unwrap().iter() {
         if body == b"next" {
             assert!(*timeout > Duration::from_millis(2_400), "{timeout:?} of 2.5 s");
--- a/crates/corkhollow/tests/ci.rs
+++ b/crates/corkhollow/tests/ci.rs
@@ -1,6 +1,6 @@
 //! What CI passes over: just the failures that KNOWN-RED.txt lists, and only while they are failures.
 
-use corkhollow_test_support::Folder;
+use corkhollow_test_support::TempFolder;
 use std::process::Command;
 
 /// A run of two targets' tests, as cargo prints it with `--no-fail-fast`.
@@ -35,7 +35,7 @@
 
 /// Whether CI passes, and what it prints.
 fn verdict(name: &str, list: &str, (log, status): (String, i32)) -> (bool, String) {
-    let folder = Folder::new(&format!("known-red-{name}"));
+    let folder = TempFolder::new(&format!("known-red-{name}"));
     let (red, printed) = (folder.0.join("KNOWN-RED.txt"), folder.0.join("log"));
     std::fs::write(&red, list).unwrap();
     std::fs::write(&printed, log).unwrap();
--- a/crates/corkhollow/tests/customers.rs
+++ b/crates/corkhollow/tests/customers.rs
@@ -12,13 +12,13 @@
 /// over, however long clients would wait.
 #[test]
 fn a_server_is_back_soon_whatever_the_deadlines() {
-    let late = Full::new();
-    let discovery = Discovery::new(vec![list(1, true, &[host("s-0", late.dial, "active")])], true);
+    let late = FullBacklogServer::new();
+    let discovery = Discovery::new(vec![list(1, true, &[host("s-0", late.address, "active")])], true);
     let node = Node::of(&long(discovery.address));
     node.ready();
     assert_eq!(node.post("/once/1", b"").unwrap().status(), 503, "nobody else could have it");
     let failed = Instant::now();
     late.serve("fine");
-    until("it is tried again", || node.post("/once/1", b"").unwrap().status() == 200);
+    wait_until("it is tried again", || node.post("/once/1", b"").unwrap().status() == 200);
     assert!(failed.elapsed() < Duration::from_secs(8), "{:?}", failed.elapsed());
 }
--- a/crates/corkhollow/tests/demo.rs
+++ b/crates/corkhollow/tests/demo.rs
@@ -1,6 +1,6 @@
 //! The first minute: the demo serves, a server drains and one dies, and it ends by itself, leaving nothing behind.
 
-use corkhollow_test_support::until;
+use corkhollow_test_support::wait_until;
 use std::io::{BufRead, BufReader, Read};
 use std::net::{SocketAddr, TcpStream};
 use std::os::unix::process::CommandExt;
@@ -92,7 +92,7 @@
     let mut demo = Demo::start();
     demo.child.kill().unwrap();
     demo.child.wait().unwrap();
-    until("its program has ended", || TcpStream::connect(demo.address).is_err());
+    wait_until("its program has ended", || TcpStream::connect(demo.address).is_err());
 }
 
 /// Ctrl-C goes to all of a terminal's processes: the program under the demo must not end before the clients' requests.
--- a/crates/corkhollow/tests/deploy.rs
+++ b/crates/corkhollow/tests/deploy.rs
@@ -105,12 +105,12 @@
     let servers = Servers::new(2, move |_, m| match m.head.contains("/safe/slow") {
         true => {
             let _ = gate.lock().unwrap().recv();
-            ok("slow")
+            ok_reply("slow")
         }
-        false => ok("fine"),
+        false => ok_reply("fine"),
     });
-    let discovery = Discovery::new(vec![servers.list(1)], true);
-    let folder = Folder::new(&format!("deploy-{name}"));
+    let discovery = Discovery::new(vec![servers.list_json(1)], true);
+    let folder = TempFolder::new(&format!("deploy-{name}"));
     let (_, arguments) = started_by(&told("run")).unwrap();
     let line = format!("exec \"$0\" {}", arguments.join(" "));
     let mut node = Node::deployed(&line, &folder.0, &config(discovery.address, &Options::default()));
@@ -122,9 +122,9 @@
     }
     let mut open: Vec<_> = (0..4).map(|_| node.connect()).collect();
     for client in &mut open {
-        client.write_all(&get("/safe/slow", "X-Timeout-Ms: 2900\r\n")).unwrap();
+        client.write_all(&get_request("/safe/slow", "X-Timeout-Ms: 2900\r\n")).unwrap();
     }
-    until("they are under way", || node.figure("gw_outstanding") == Some(4.0));
+    wait_until("they are under way", || node.figure("gw_outstanding") == Some(4.0));
     let mut had = beyond(node.id(), &folder.0);
     // What this process was started with, a log's file say, goes on to its children.
     let inherited = beyond(std::process::id(), &folder.0);
@@ -134,7 +134,8 @@
     for _ in 0..4 {
         let _ = go.send(());
     }
-    let answered = open.iter_mut().filter_map(read).filter(|a| [200, 503].contains(&a.status())).count();
+    let answered =
+        open.iter_mut().filter_map(read_message).filter(|a| [200, 503].contains(&a.status())).count();
     (had, answered, node.exit().success())
 }
 
@@ -204,7 +205,7 @@
 
 #[test]
 fn children_unix_sockets_and_files_are_found() {
-    let folder = Folder::new("deploy-planted");
+    let folder = TempFolder::new("deploy-planted");
     // A shell that stays and starts another program.
     let mut shell = Command::new("/bin/sh")
         .args(["-c", "sleep 60 & wait"])
@@ -213,13 +214,13 @@
         .stderr(Stdio::null())
         .spawn()
         .unwrap();
-    until("it has a child", || !beyond(shell.id(), &folder.0).children.is_empty());
+    wait_until("it has a child", || !beyond(shell.id(), &folder.0).children.is_empty());
     for child in beyond(shell.id(), &folder.0).children {
         assert!(Command::new("kill").arg(child).status().unwrap().success());
     }
     shell.wait().unwrap();
     // This process stands for one with a Unix socket and a file elsewhere.
-    let elsewhere = Folder::new("deploy-elsewhere");
+    let elsewhere = TempFolder::new("deploy-elsewhere");
     let path = elsewhere.0.join("socket");
     let _socket = std::os::unix::net::UnixListener::bind(&path).unwrap();
     let _file = std::fs::File::create(elsewhere.0.join("file")).unwrap();
--- a/crates/corkhollow/tests/fleet.rs
+++ b/crates/corkhollow/tests/fleet.rs
@@ -26,13 +26,13 @@
 }
 
 fn rig(count: usize, seeds: &[usize], more: &str) -> (Rig, Servers) {
-    let servers = Servers::new(3, |_, _| ok("fine"));
-    let text = site(&servers.dials);
+    let servers = Servers::new(3, |_, _| ok_reply("fine"));
+    let text = site(&servers.addresses);
     (Rig::new(count, 7, seeds, &format!("{TIMES}\n{more}"), move |_| text.clone()), servers)
 }
 
 fn away(rig: &Rig, name: &str, state: &str) {
-    until(&format!("{name} is {state} everywhere"), || {
+    wait_until(&format!("{name} is {state} everywhere"), || {
         rig.views().iter().flatten().all(|fleet| fleet.member(name).is_some_and(|m| m.state == state))
     });
 }
@@ -66,7 +66,7 @@
                     let open: Vec<_> = open.lock().unwrap().iter().flatten().copied().collect();
                     let Some(address) = open.get(turn % open.len().max(1)) else { continue };
                     let writes = turn % 3 == 0;
-                    let request = if writes { post("/w", b"x") } else { get("/r", "") };
+                    let request = if writes { post_request("/w", b"x") } else { get_request("/r", "") };
                     asked.fetch_add(1, SeqCst);
                     match ask(*address, &request) {
                         Some(200) => {}
@@ -99,14 +99,14 @@
     let mut stream = std::net::TcpStream::connect(address).ok()?;
     stream.set_read_timeout(Some(Duration::from_secs(20))).ok()?;
     stream.write_all(request).ok()?;
-    read(&mut stream).filter(|m| m.whole).map(|m| m.status())
+    read_message(&mut stream).filter(|m| m.is_complete).map(|m| m.status())
 }
 
 /// Joins, a crash, a process that stands still, a cut in two, its healing, and a restart of all one by one, under load: all have
 /// the same view after each, each request has one answer, and nothing unsafe runs twice.
 #[test]
 fn a_fleet_lives_through_what_befalls_it() {
-    let servers = Servers::new(3, |_, _| ok("fine"));
+    let servers = Servers::new(3, |_, _| ok_reply("fine"));
     // One of the servers is reached by a slow link, one by a link that cuts every ninth connection before an answer.
     let late = Ways {
         back: corkhollow_test_support::Way {
@@ -116,13 +116,13 @@
         },
         ..Ways::default()
     };
-    let slow = Link::new(servers.dials[0], 1, move |_| late);
+    let slow = Link::new(servers.addresses[0], 1, move |_| late);
     let cut = Ways {
         back: corkhollow_test_support::Way { end: Some((0, End::Cut)), ..Default::default() },
         ..Ways::default()
     };
-    let lossy = Link::new(servers.dials[1], 2, move |n| if n % 9 == 8 { cut } else { Ways::default() });
-    let text = site(&[slow.address, lossy.address, servers.dials[2]]);
+    let lossy = Link::new(servers.addresses[1], 2, move |n| if n % 9 == 8 { cut } else { Ways::default() });
+    let text = site(&[slow.address, lossy.address, servers.addresses[2]]);
     let mut rig = Rig::new(7, 7, &[0, 1], TIMES, move |_| text.clone());
     rig.start_all(0..6);
     rig.settles("joined", SOON);
@@ -149,7 +149,7 @@
     );
     clients.open(&rig, None);
     rig.act(&Action::Partition(vec![vec![0, 2, 4, 6], vec![1, 3, 5]]));
-    until("each side counts its own", || {
+    wait_until("each side counts its own", || {
         let sizes: Vec<_> = rig.views().iter().flatten().map(|fleet| fleet.size).collect();
         sizes == [4, 3, 4, 3, 4, 3, 4]
     });
@@ -201,15 +201,15 @@
     let drains = |told: bool| {
         rig.views().iter().flatten().all(|fleet| fleet.member("n2").is_some_and(|m| m.drains == told))
     };
-    until("all know that it drains", || drains(true));
+    wait_until("all know that it drains", || drains(true));
     assert_eq!(rig.node(2).call("POST", "/-/resume").unwrap().status(), 200);
-    until("all know that it resumes", || drains(false));
+    wait_until("all know that it resumes", || drains(false));
     rig.act(&Action::Leave(2));
     away(&rig, "n2", "left");
     assert_eq!(rig.said("n2 is suspect"), 0);
     rig.settles("left", SOON);
     for figure in ["gw_fleet_members{state=\"alive\"}", "gw_fleet_size"] {
-        until(figure, || rig.node(0).figure(figure) == Some(2.0));
+        wait_until(figure, || rig.node(0).figure(figure) == Some(2.0));
     }
     assert_eq!(rig.node(0).figure("gw_fleet_members{state=\"left\"}"), Some(1.0));
     assert!(rig.node(0).figure("gw_fleet_datagrams{kind=\"ping\",way=\"out\"}").unwrap() > 0.0);
@@ -260,7 +260,7 @@
 /// Garbage, cut and replayed datagrams by the thousand, and another fleet's: counted by their reason, and requests go on.
 #[test]
 fn a_flood_of_garbage_harms_nobody() {
-    let key = Folder::new("fleet-key");
+    let key = TempFolder::new("fleet-key");
     let path = key.0.join("key");
     std::fs::write(&path, "ab".repeat(32)).unwrap();
     let (mut rig, _servers) = rig(3, &[0], &format!("key_file = \"{}\"", path.display()));
@@ -277,7 +277,7 @@
         rig.node(0).get("/r", "").is_some_and(|m| m.status() == 200)
     });
     assert_eq!(served.count(), 40);
-    until("it is counted", || rig.node(0).figure("gw_fleet_refused{reason=\"garbled\"}") > Some(100.0));
+    wait_until("it is counted", || rig.node(0).figure("gw_fleet_refused{reason=\"garbled\"}") > Some(100.0));
     rig.settles("unharmed", SOON);
     assert_eq!(rig.said(" is dead"), 0);
 }
@@ -303,7 +303,7 @@
     {
         assert_ne!(text, file);
         node.reload(&text);
-        until(key, || node.figure("gw_sighup_rejected") == Some(k as f64 + 1.0));
+        wait_until(key, || node.figure("gw_sighup_rejected") == Some(k as f64 + 1.0));
         node.says(key, 1);
     }
     node.reload(&file.replace("probe_every = \"250ms\"", "probe_every = \"300ms\""));
@@ -315,14 +315,14 @@
 /// A process that comes to another's place takes over its name and its address: nobody holds it for gone, or for a double.
 #[test]
 fn a_successor_keeps_its_place() {
-    let servers = Servers::new(2, |_, _| ok("fine"));
-    let text = site(&servers.dials);
+    let servers = Servers::new(2, |_, _| ok_reply("fine"));
+    let text = site(&servers.addresses);
     let mut rig = Rig::new(1, 1, &[0], TIMES, {
         let text = text.clone();
         move |_| text.clone()
     });
     rig.start(0);
-    let folder = Folder::new("fleet-successor");
+    let folder = TempFolder::new("fleet-successor");
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let free = UdpSocket::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     let file = text.replace("127.0.0.1:0", &listener.local_addr().unwrap().to_string());
@@ -336,15 +336,15 @@
         let fleet = Fleet::of(rig.node(0));
         fleet.is_some_and(|fleet| fleet.size == 2 && fleet.member("x").is_some_and(seen))
     };
-    until("the first is there", || other(|m| m.state == "alive"));
+    wait_until("the first is there", || other(|m| m.state == "alive"));
     let second = run();
     second.says("counts as number 1 of 2", 1);
     assert_eq!(second.call("GET", "/-/fleet").unwrap().status(), 404, "the place is the first's");
-    until("it takes clients", || second.call("GET", "/-/ready").is_some_and(|m| m.status() == 200));
+    wait_until("it takes clients", || second.call("GET", "/-/ready").is_some_and(|m| m.status() == 200));
     first.signal("-TERM");
     assert!(first.exit().success());
-    until("the second has its place", || other(|m| m.state == "alive" && m.incarnation > 1));
-    until("it says so", || Fleet::of(&second).is_some_and(|fleet| fleet.size == 2 && fleet.settled));
+    wait_until("the second has its place", || other(|m| m.state == "alive" && m.incarnation > 1));
+    wait_until("it says so", || Fleet::of(&second).is_some_and(|fleet| fleet.size == 2 && fleet.settled));
     let said = rig.timeline();
     assert!(!said.iter().any(|line| line.contains("x is left") || line.contains("x is dead")), "{said:#?}");
 }
@@ -353,7 +353,7 @@
 /// What was overheard before, and is sent again, changes nothing under either key.
 #[test]
 fn a_key_is_changed_while_the_fleet_runs() {
-    let folder = Folder::new("fleet-new-key");
+    let folder = TempFolder::new("fleet-new-key");
     let path = folder.0.join("key");
     std::fs::write(&path, "ab".repeat(32)).unwrap();
     let (mut rig, _servers) = rig(3, &[0], &format!("key_file = \"{}\"", path.display()));
@@ -368,12 +368,12 @@
     let knows = |k: usize, name: &str, state: &str| {
         Fleet::of(rig.node(k)).is_some_and(|f| f.member(name).is_some_and(|m| m.state == state))
     };
-    until("it has joined", || (0..2).all(|k| knows(k, "n2", "alive")));
+    wait_until("it has joined", || (0..2).all(|k| knows(k, "n2", "alive")));
     let mut bytes = [0; 1500];
     let (size, _) = overhears.recv_from(&mut bytes).unwrap();
     third.signal("-TERM");
     assert!(third.exit().success());
-    until("it has left", || (0..2).all(|k| knows(k, "n2", "left")));
+    wait_until("it has left", || (0..2).all(|k| knows(k, "n2", "left")));
     let replay = || {
         for _ in 0..300 {
             overhears.send_to(&bytes[..size], rig.address(0)).unwrap();
@@ -385,17 +385,17 @@
     };
     // Who asks to join is told who is there, and is nobody for that.
     let joins = "gw_fleet_datagrams{kind=\"join\",way=\"in\"}";
-    until("replays are read", || rig.node(0).figure(joins) > Some(100.0));
+    wait_until("replays are read", || rig.node(0).figure(joins) > Some(100.0));
     assert!((0..2).all(|k| knows(k, "n2", "left")));
     // Another key for the first alone.
     std::fs::write(&path, "cd".repeat(32)).unwrap();
     rig.node(0).reload(&rig.file(0, "n0"));
-    until("it is refused", || refused(1, "key") > 0.0);
-    until("it is given up", || knows(1, "n0", "dead"));
+    wait_until("it is refused", || refused(1, "key") > 0.0);
+    wait_until("it is given up", || knows(1, "n0", "dead"));
     assert!((0..2).all(|k| rig.node(k).get("/r", "").is_some_and(|m| m.status() == 200)));
     let before = refused(0, "key");
     replay();
-    until("they are under another key", || refused(0, "key") > before);
+    wait_until("they are under another key", || refused(0, "key") > before);
     rig.node(1).reload(&rig.file(1, "n1"));
     rig.settles("both have it", SOON);
 }
@@ -406,14 +406,14 @@
     if UdpSocket::bind("[::1]:0").is_err() {
         return;
     }
-    let servers = Servers::new(1, |_, _| ok("fine"));
+    let servers = Servers::new(1, |_, _| ok_reply("fine"));
     let address: Arc<Mutex<Option<SocketAddr>>> = Arc::default();
     let node = |name: &str, seeds: &str| {
         let heard = address.clone();
         let text = format!(
             "[operator]\nlisten = \"127.0.0.1:0\"\n[fleet]\nname = \"six\"\nnode = \"{name}\"\n\
              listen = \"[::1]:0\"\nseeds = [{seeds}]\n{TIMES}\n{}",
-            site(&servers.dials)
+            site(&servers.addresses)
         );
         Node::site_heard(&text, move |line| {
             if let Some((_, at)) = line.split_once("hears datagrams at ") {
@@ -422,10 +422,10 @@
         })
     };
     let first = node("n0", "");
-    until("it says where it hears", || address.lock().unwrap().is_some());
+    wait_until("it says where it hears", || address.lock().unwrap().is_some());
     let seed = format!("\"{}\"", address.lock().unwrap().unwrap());
     let nodes = [first, node("n1", &seed)];
-    until("both have met", || {
+    wait_until("both have met", || {
         nodes
             .iter()
             .all(|n| Fleet::of(n).is_some_and(|f| f.size == 2 && f.settled && f.member("n1").is_some()))
--- a/crates/corkhollow/tests/golden.rs
+++ b/crates/corkhollow/tests/golden.rs
@@ -53,22 +53,24 @@
 /// A successor of another version looks for these files.
 #[test]
 fn processes_on_one_socket_share_files_of_the_same_names() {
-    let servers = Servers::new(1, |_, _| ok("fine"));
-    let discovery = Discovery::new(vec![servers.list(1)], true);
-    let folder = Folder::new("golden");
+    let servers = Servers::new(1, |_, _| ok_reply("fine"));
+    let discovery = Discovery::new(vec![servers.list_json(1)], true);
+    let folder = TempFolder::new("golden");
     let socket = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = socket.local_addr().unwrap();
     let start = || Node::handed(&socket, &folder.0, discovery.address, &Options::default());
     let old = start();
-    until("the first process is ready", || old.call("GET", "/-/ready").is_some_and(|m| m.status() == 200));
+    wait_until("the first process is ready", || {
+        old.call("GET", "/-/ready").is_some_and(|m| m.status() == 200)
+    });
     let new = start();
     let names = [
         format!("corkhollow-knowledge-{address}"),
         format!("corkhollow-serving-{address}"),
         format!("corkhollow-successor-{address}"),
     ];
-    until("the shared files are there", || names.iter().all(|name| folder.0.join(name).exists()));
-    until("the hand-over is written", || {
+    wait_until("the shared files are there", || names.iter().all(|name| folder.0.join(name).exists()));
+    wait_until("the hand-over is written", || {
         std::fs::read(folder.0.join(&names[0]))
             .is_ok_and(|bytes| bytes.starts_with(b"corkhollow-handover 1\n"))
     });
--- a/crates/corkhollow/tests/leaving.rs
+++ b/crates/corkhollow/tests/leaving.rs
@@ -27,7 +27,7 @@
 
 fn outstanding(node: &Node, count: usize) {
     let what = format!("{count} requests are under way");
-    until(&what, || node.figure("gw_outstanding") == Some(count as f64));
+    wait_until(&what, || node.figure("gw_outstanding") == Some(count as f64));
 }
 
 /// The ways in which a client leaves: what it still sends, and whether with a reset.
@@ -42,19 +42,19 @@
 
 fn leave(mut client: TcpStream, bytes: usize, resets: bool) {
     // Requests of its own would be served if it did not leave.
-    let more: Vec<u8> = std::iter::repeat_with(|| get("/safe/2", "")).flatten().take(bytes).collect();
+    let more: Vec<u8> = std::iter::repeat_with(|| get_request("/safe/2", "")).flatten().take(bytes).collect();
     client.write_all(&more).unwrap();
     if resets {
-        reset(client);
+        reset_connection(client);
     }
 }
 
 #[test]
 fn nothing_is_sent_for_a_client_that_left_in_a_connect() {
     for (way, bytes, resets) in WAYS {
-        for request in [post("/once/1", b"body"), get("/safe/1", "")] {
-            let server = Full::new();
-            let (node, _discovery) = before(server.dial, 1);
+        for request in [post_request("/once/1", b"body"), get_request("/safe/1", "")] {
+            let server = FullBacklogServer::new();
+            let (node, _discovery) = before(server.address, 1);
             let mut client = node.connect();
             client.write_all(&request).unwrap();
             outstanding(&node, 1);
@@ -68,8 +68,8 @@
             outstanding(&node, 1);
             drop(again);
             outstanding(&node, 0);
-            until("no connection is held", || node.figure("gw_server_connections") == Some(0.0));
-            let seen = server.open(COMES);
+            wait_until("no connection is held", || node.figure("gw_server_connections") == Some(0.0));
+            let seen = server.accept_and_collect(COMES);
             assert!(seen.is_empty(), "{way}: {}", String::from_utf8_lossy(&seen));
         }
     }
@@ -80,17 +80,17 @@
 #[test]
 fn nothing_whole_is_sent_for_a_client_that_left_behind_a_long_body() {
     let play = |resets: bool| {
-        let server = Full::new();
-        let discovery = Discovery::new(vec![list(1, true, &[host("s-0", server.dial, "active")])], true);
+        let server = FullBacklogServer::new();
+        let discovery = Discovery::new(vec![list(1, true, &[host("s-0", server.address, "active")])], true);
         // A sixteenth of the memory, 1 MiB, is kept of a body.
         let node = Node::of(&patient(discovery.address).replace("\"memory_mb\":192", "\"memory_mb\":16"));
         node.ready();
-        let request = post("/once/1", &[b'x'; 1_200_000]);
+        let request = post_request("/once/1", &[b'x'; 1_200_000]);
         let mut client = node.connect();
         client.write_all(&request).unwrap();
-        until("its connection is coming up", || node.figure("gw_server_connections") == Some(1.0));
+        wait_until("its connection is coming up", || node.figure("gw_server_connections") == Some(1.0));
         leave(client, 0, resets);
-        let seen = server.open(COMES);
+        let seen = server.accept_and_collect(COMES);
         outstanding(&node, 0);
         // The request goes on with the same length.
         assert!(seen.len() < request.len(), "resets: {resets}: all {} bytes are sent on", seen.len());
@@ -105,13 +105,13 @@
 
 #[test]
 fn nor_for_two_hundred_at_once() {
-    let server = Full::new();
-    let (node, _discovery) = before(server.dial, 200);
+    let server = FullBacklogServer::new();
+    let (node, _discovery) = before(server.address, 200);
     let mut clients: Vec<_> = (0..200).map(|_| node.connect()).collect();
     for client in &mut clients {
-        client.write_all(&post("/once/1", b"body")).unwrap();
+        client.write_all(&post_request("/once/1", b"body")).unwrap();
     }
-    until("they wait", || node.figure("gw_outstanding").is_some_and(|n| n > 150.0));
+    wait_until("they wait", || node.figure("gw_outstanding").is_some_and(|n| n > 150.0));
     let left = Instant::now();
     for (k, client) in clients.into_iter().enumerate() {
         let (_, bytes, resets) = WAYS[k % WAYS.len()];
@@ -119,46 +119,46 @@
     }
     outstanding(&node, 0);
     assert!(left.elapsed() < Duration::from_millis(1500), "over {:?} later", left.elapsed());
-    until("no connection is held", || node.figure("gw_server_connections") == Some(0.0));
-    let seen = server.open(COMES);
+    wait_until("no connection is held", || node.figure("gw_server_connections") == Some(0.0));
+    let seen = server.accept_and_collect(COMES);
     assert!(seen.is_empty(), "{}", String::from_utf8_lossy(&seen));
 }
 
 /// A close right behind the last byte: the request is there with the end of its client.
 #[test]
 fn a_client_that_leaves_with_its_last_byte_is_gone() {
-    let server = Full::new();
-    let (node, _discovery) = before(server.dial, 50);
+    let server = FullBacklogServer::new();
+    let (node, _discovery) = before(server.address, 50);
     for k in 0..40 {
         let mut client = node.connect();
-        client.write_all(&post("/once/1", b"body")).unwrap();
+        client.write_all(&post_request("/once/1", b"body")).unwrap();
         if k % 2 == 0 {
-            reset(client);
+            reset_connection(client);
         }
     }
     outstanding(&node, 0);
-    assert!(server.open(COMES).is_empty());
+    assert!(server.accept_and_collect(COMES).is_empty());
 }
 
 /// A request that has been answered by its second copy is over: the first, whose connection is still coming up, is not
 /// written any more, nor the other way round.
 #[test]
 fn no_copy_is_sent_behind_the_answer() {
-    let server = Full::new();
+    let server = FullBacklogServer::new();
     let quick = Servers::new(1, |_, _| {
         std::thread::sleep(Duration::from_millis(700));
-        ok("fine")
+        ok_reply("fine")
     });
-    let hosts = [host("s-0", server.dial, "active"), host("s-1", quick.dials[0], "active")];
+    let hosts = [host("s-0", server.address, "active"), host("s-1", quick.addresses[0], "active")];
     let discovery = Discovery::new(vec![list(1, true, &hosts)], true);
     let text = patient(discovery.address).replace("\"secondCopies\":false", "\"secondCopies\":true");
     let node = Node::of(&text);
     node.ready();
     assert_eq!(node.get("/safe/1", "").unwrap().body, b"fine");
     assert_eq!(node.figure("gw_hedges{pool=\"platform\"}"), Some(1.0));
-    let seen = server.open(COMES);
+    let seen = server.accept_and_collect(COMES);
     assert!(seen.is_empty(), "{}", String::from_utf8_lossy(&seen));
-    assert_eq!(quick.seen(), 1);
+    assert_eq!(quick.request_count(), 1);
 }
 
 /// A client that leaves before a retry: the first server's error comes, and nobody else gets the request.
@@ -170,40 +170,40 @@
         let servers = Servers::new(2, move |n, _| {
             if n == 0 {
                 let _ = wait.lock().unwrap().recv();
-                return Reply::Say(response("500 No", "", b""));
+                return Reply::Send(response("500 No", "", b""));
             }
-            ok("fine")
+            ok_reply("fine")
         });
-        let discovery = Discovery::new(vec![servers.list(1)], true);
+        let discovery = Discovery::new(vec![servers.list_json(1)], true);
         let node = Node::of(&patient(discovery.address));
         node.ready();
         let mut client = node.connect();
-        client.write_all(&get("/safe/1", "")).unwrap();
-        until("the request is under way", || servers.seen() == 1);
+        client.write_all(&get_request("/safe/1", "")).unwrap();
+        wait_until("the request is under way", || servers.request_count() == 1);
         leave(client, bytes, resets);
         outstanding(&node, 0);
         error.send(()).unwrap();
         // One that comes behind it is served; whatever was to be tried again has been by then.
         assert_eq!(node.post("/once/1", b"").unwrap().body, b"fine", "{way}");
-        assert_eq!(servers.seen(), 2, "{way}");
+        assert_eq!(servers.request_count(), 2, "{way}");
     }
 }
 
 /// What was decided before a list is carried out after it: a server that drains by then does not get the request.
 #[test]
 fn a_connection_that_comes_up_after_the_drain_is_not_used() {
-    let server = Full::new();
-    let other = Servers::new(1, |_, _| ok("other"));
-    let (node, discovery) = before(server.dial, 1);
+    let server = FullBacklogServer::new();
+    let other = Servers::new(1, |_, _| ok_reply("other"));
+    let (node, discovery) = before(server.address, 1);
     let mut client = node.connect();
-    client.write_all(&post("/once/1", b"body")).unwrap();
+    client.write_all(&post_request("/once/1", b"body")).unwrap();
     outstanding(&node, 1);
-    let hosts = [host("s-0", server.dial, "leaving"), host("s-1", other.dials[0], "active")];
+    let hosts = [host("s-0", server.address, "leaving"), host("s-1", other.addresses[0], "active")];
     discovery.say(list(2, false, &hosts));
-    until("the list is taken in", || node.figure("gw_discovered") == Some(2.0));
-    let seen = server.open(COMES);
+    wait_until("the list is taken in", || node.figure("gw_discovered") == Some(2.0));
+    let seen = server.accept_and_collect(COMES);
     assert!(seen.is_empty(), "{}", String::from_utf8_lossy(&seen));
-    assert_eq!(read(&mut client).unwrap().body, b"other");
+    assert_eq!(read_message(&mut client).unwrap().body, b"other");
 }
 
 /// A client that leaves while its request waits for a place in a pool: the place goes to the next one, and the server never
@@ -214,9 +214,9 @@
     let gate = std::sync::Mutex::new(gate);
     let servers = Servers::new(1, move |_, _| {
         let _ = gate.lock().unwrap().recv();
-        ok("fine")
+        ok_reply("fine")
     });
-    let dial = servers.dials[0];
+    let dial = servers.addresses[0];
     let node = Node::site(&format!(
         "[operator]\nlisten = \"127.0.0.1:0\"\n[[listener]]\nname = \"web\"\naddress = \"127.0.0.1:0\"\n\
          [[pool]]\nname = \"boxes\"\nservers = [{{ address = \"{dial}\" }}]\nmax_connections = 1\nmax_waiting = 4\n\
@@ -224,11 +224,11 @@
     ));
     let ask = |path: &str| {
         let mut client = node.connect();
-        client.write_all(&post(path, b"body")).unwrap();
+        client.write_all(&post_request(path, b"body")).unwrap();
         client
     };
     let mut first = ask("/first");
-    until("the first is under way", || servers.seen() == 1);
+    wait_until("the first is under way", || servers.request_count() == 1);
     let left = ask("/left");
     outstanding(&node, 2);
     drop(left);
@@ -237,7 +237,7 @@
     outstanding(&node, 2);
     drop(go);
     for client in [&mut first, &mut next] {
-        assert_eq!(read(client).unwrap().body, b"fine");
+        assert_eq!(read_message(client).unwrap().body, b"fine");
     }
     let requests = servers.requests.lock().unwrap();
     assert!(requests.iter().all(|m| !m.head.contains("/left")), "{requests:?}");
--- a/crates/corkhollow/tests/link.rs
+++ b/crates/corkhollow/tests/link.rs
@@ -25,9 +25,9 @@
 /// A late link is waited for, and its time is part of the request's.
 #[test]
 fn a_late_link_is_waited_for() {
-    let servers = Servers::new(1, |_, m| ok(&m.head.len().to_string()));
+    let servers = Servers::new(1, |_, m| ok_reply(&m.head.len().to_string()));
     let way = Way { delay: 60 * MS, jitter: 10 * MS, ..Way::default() };
-    let link = Link::new(servers.dials[0], 1, move |_| Ways { there: way, back: way });
+    let link = Link::new(servers.addresses[0], 1, move |_| Ways { there: way, back: way });
     let node = site(&[link.address], "10s", "");
     for _ in 0..3 {
         let start = Instant::now();
@@ -41,7 +41,7 @@
 #[test]
 fn a_cut_anywhere_runs_nothing_twice() {
     for place in 0..14 {
-        let servers = Servers::new(2, |_, _| ok("0123456789"));
+        let servers = Servers::new(2, |_, _| ok_reply("0123456789"));
         let cut = move |n: usize| match (n, place) {
             (0, 0..7) => {
                 Ways { there: Way { end: Some((place * 30, End::Cut)), ..Way::default() }, ..Ways::default() }
@@ -49,18 +49,21 @@
             (0, _) => back(Way { end: Some(((place - 7) * 7, End::Cut)), ..Way::default() }),
             _ => Ways::default(),
         };
-        let first = Link::new(servers.dials[0], 1, cut);
-        let second = Link::new(servers.dials[1], 2, cut);
+        let first = Link::new(servers.addresses[0], 1, cut);
+        let second = Link::new(servers.addresses[1], 2, cut);
         let node = site(&[first.address, second.address], "10s", "");
         let answer = node.post("/", b"abcdefghij").unwrap();
-        let whole = answer.status() == 200 && answer.whole && answer.body == b"0123456789";
-        assert!(whole || matches!(answer.status(), 502 | 503) || !answer.whole, "place {place}: {answer:?}");
-        assert!(servers.seen() <= 1, "place {place}: ran {} times", servers.seen());
-        let before = servers.seen();
+        let whole = answer.status() == 200 && answer.is_complete && answer.body == b"0123456789";
+        assert!(
+            whole || matches!(answer.status(), 502 | 503) || !answer.is_complete,
+            "place {place}: {answer:?}"
+        );
+        assert!(servers.request_count() <= 1, "place {place}: ran {} times", servers.request_count());
+        let before = servers.request_count();
         let answer = node.get("/", "").unwrap();
         // What was cut behind an answer's head had gone to the client by then.
         assert!(answer.status() == 200, "place {place}: {answer:?}");
-        assert!(servers.seen() > before);
+        assert!(servers.request_count() > before);
     }
 }
 
@@ -68,8 +71,8 @@
 /// not ends in time, and when the link is back so is the server.
 #[test]
 fn a_half_open_link_costs_no_safe_request() {
-    let servers = [Servers::new(1, |_, _| ok("fine")), Servers::new(1, |_, _| ok("fine"))];
-    let links = servers.each_ref().map(|s| Link::plain(s.dials[0]));
+    let servers = [Servers::new(1, |_, _| ok_reply("fine")), Servers::new(1, |_, _| ok_reply("fine"))];
+    let links = servers.each_ref().map(|s| Link::plain(s.addresses[0]));
     let node = site(&[links[0].address, links[1].address], "4s", "");
     let burst = |method: &str, path: &str| {
         let ask = |_| {
@@ -77,7 +80,7 @@
             let mut stream = node.connect();
             std::thread::spawn(move || {
                 stream.write_all(request.as_bytes()).unwrap();
-                read(&mut stream).expect("one answer").status()
+                read_message(&mut stream).expect("one answer").status()
             })
         };
         let all: Vec<_> = (0..16).map(ask).collect();
@@ -87,36 +90,38 @@
     for _ in 0..48 {
         assert!(burst("GET", "/").iter().all(|s| *s == 200));
     }
-    assert!(servers.iter().all(|s| s.seen() > 0), "both have connections now");
+    assert!(servers.iter().all(|s| s.request_count() > 0), "both have connections now");
     links[0].set(State::Silent);
-    let (start, before) = (Instant::now(), servers[0].seen());
+    let (start, before) = (Instant::now(), servers[0].request_count());
     let seen = burst("GET", "/silent");
     assert!(seen.iter().all(|s| *s == 200), "{seen:?}");
     let seen = burst("POST", "/silent");
     assert!(seen.iter().all(|s| matches!(s, 200 | 502..=504)), "{seen:?}");
     assert!(start.elapsed() < Duration::from_secs(15), "{:?}", start.elapsed());
-    assert_eq!(servers[0].seen(), before, "nothing reaches it");
+    assert_eq!(servers[0].request_count(), before, "nothing reaches it");
     links[0].set(State::Up);
     let reached = || servers[0].requests.lock().unwrap().iter().any(|m| m.head.contains("/again"));
-    until("it is used again", || {
+    wait_until("it is used again", || {
         burst("GET", "/again");
         reached()
     });
     links[1].set(State::Cut);
-    until("the first serves alone", || burst("GET", "/alone").iter().all(|s| *s == 200));
+    wait_until("the first serves alone", || burst("GET", "/alone").iter().all(|s| *s == 200));
 }
 
 /// A link that loses bytes spoils what it carries, and that only.
 #[test]
 fn a_lossy_link_spoils_its_own_only() {
-    let servers = Servers::new(2, |_, _| ok(&"0123456789".repeat(20)));
-    let lossy = Link::new(servers.dials[0], 3, |_| back(Way { loss: 0.02, ..Way::default() }));
-    let node = site(&[lossy.address, servers.dials[1]], "2s", "[limits]\nstall_timeout = \"1s\"");
+    let servers = Servers::new(2, |_, _| ok_reply(&"0123456789".repeat(20)));
+    let lossy = Link::new(servers.addresses[0], 3, |_| back(Way { loss: 0.02, ..Way::default() }));
+    let node = site(&[lossy.address, servers.addresses[1]], "2s", "[limits]\nstall_timeout = \"1s\"");
     let mut good = 0;
     for _ in 0..12 {
         // A status line or a length may be spoilt so that it still can be read; what is shown for whole is long enough.
         match node.get("/", "") {
-            Some(answer) if answer.status() == 200 && answer.whole && answer.body.len() == 200 => good += 1,
+            Some(answer) if answer.status() == 200 && answer.is_complete && answer.body.len() == 200 => {
+                good += 1
+            }
             Some(answer) => assert!(answer.status() >= 200, "{answer:?}"),
             None => {}
         }
@@ -128,10 +133,10 @@
 #[test]
 fn one_byte_a_second_harms_nobody_else() {
     let servers = Servers::new(1, |_, m| match m.head.contains("/slow") {
-        true => ok("ab"),
-        false => ok("fine"),
+        true => ok_reply("ab"),
+        false => ok_reply("fine"),
     });
-    let node = site(&servers.dials, "5s", "[limits]\nheader_timeout = \"1s\"");
+    let node = site(&servers.addresses, "5s", "[limits]\nheader_timeout = \"1s\"");
     let crawl = Way { pace: Some(1), ..Way::default() };
     let to = node.address;
     let slow_client = Link::new(to, 1, move |_| Ways { there: crawl, ..Ways::default() });
@@ -147,7 +152,7 @@
         assert_eq!(node.get("/", "").unwrap().status(), 200);
     }
     assert!(start.elapsed() < Duration::from_secs(5), "{:?}", start.elapsed());
-    assert_eq!(read(&mut reader).unwrap().body, b"ab");
+    assert_eq!(read_message(&mut reader).unwrap().body, b"ab");
     let mut rest = Vec::new();
     let _ = head.read_to_end(&mut rest);
     assert!(rest.is_empty(), "a head of 27 s is cut off: {}", String::from_utf8_lossy(&rest));
@@ -158,16 +163,16 @@
 #[test]
 fn a_crawling_answer_passes_as_it_comes() {
     let servers = Servers::new(1, |_, m| match m.head.contains("/slow") {
-        true => Reply::Do(Box::new(|stream| {
+        true => Reply::Custom(Box::new(|stream| {
             let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 4\r\n\r\n");
             for _ in 0..4 {
                 let _ = stream.write_all(b"x");
                 std::thread::sleep(Duration::from_secs(1));
             }
         })),
-        false => ok("fine"),
+        false => ok_reply("fine"),
     });
-    let node = site(&servers.dials, "2s", "[limits]\nstall_timeout = \"2s\"");
+    let node = site(&servers.addresses, "2s", "[limits]\nstall_timeout = \"2s\"");
     let mut stream = node.connect();
     stream.write_all(b"GET /slow HTTP/1.1\r\nHost: a\r\n\r\n").unwrap();
     let mut first = vec![0; 4096];
--- a/crates/corkhollow/tests/lists.rs
+++ b/crates/corkhollow/tests/lists.rs
@@ -18,7 +18,7 @@
 
 impl Change {
     fn new() -> Self {
-        Change { old: Servers::new(1, |_, _| ok("old")), new: Servers::new(1, |_, _| ok("new")) }
+        Change { old: Servers::new(1, |_, _| ok_reply("old")), new: Servers::new(1, |_, _| ok_reply("new")) }
     }
 
     /// A node on this configuration that watches, and has been told of the old one.
@@ -32,11 +32,12 @@
     }
 
     fn before(&self) -> String {
-        self.old.list(1) + "\n"
+        self.old.list_json(1) + "\n"
     }
 
     fn after(&self, seq: u64, whole: bool) -> String {
-        let hosts = [host("s-0", self.old.dials[0], "leaving"), host("s-1", self.new.dials[0], "active")];
+        let hosts =
+            [host("s-0", self.old.addresses[0], "leaving"), host("s-1", self.new.addresses[0], "active")];
         list(seq, whole, &hosts) + "\n"
     }
 }
@@ -65,10 +66,10 @@
     let cut = second.find("s-1").unwrap() + 2;
     watch.say(&format!("{first}\n\n{}", &second[..cut]));
     watch.say(&second[cut..]);
-    until("the list is taken in", || served_by(&node, "new"));
-    let seen = change.old.seen();
+    wait_until("the list is taken in", || served_by(&node, "new"));
+    let seen = change.old.request_count();
     assert!((0..20).all(|_| served_by(&node, "new")));
-    assert_eq!(change.old.seen(), seen);
+    assert_eq!(change.old.request_count(), seen);
     assert!(agent.call_within(Duration::from_millis(300)).is_none(), "one watch does");
 }
 
@@ -99,7 +100,7 @@
         assert!(begun.elapsed() < Duration::from_secs(20), "the node waits for the rest for ever");
     };
     watch.watch(list);
-    until("the list is taken in", || served_by(&node, "new"));
+    wait_until("the list is taken in", || served_by(&node, "new"));
 }
 
 /// While discovery is down the agent is silent, and what it gets when that is over counts as told at once. It answers calls
@@ -114,7 +115,7 @@
     let mut watch = agent.newest(&mut silent);
     let waited = asked.elapsed();
     watch.watch(&change.after(2, false));
-    until("the list is taken in", || served_by(&node, "new"));
+    wait_until("the list is taken in", || served_by(&node, "new"));
     assert!(waited < Duration::from_millis(1200), "the next call came {waited:?} after a silent one");
 }
 
@@ -132,7 +133,7 @@
     watch = agent.call();
     let waited = failed.elapsed();
     watch.watch(&change.after(2, false));
-    until("the list is taken in", || served_by(&node, "new"));
+    wait_until("the list is taken in", || served_by(&node, "new"));
     assert!(waited < Duration::from_millis(400), "the next call came after {waited:?}");
 }
 
@@ -148,7 +149,7 @@
     let mut next = agent.call();
     assert!(silent.elapsed() < Duration::from_millis(3700), "{:?}", silent.elapsed());
     next.watch(&change.after(2, false));
-    until("the list is taken in", || served_by(&node, "new"));
+    wait_until("the list is taken in", || served_by(&node, "new"));
 }
 
 /// Calls that fail are made again, later the second time, but never later than what they would tell counts as told.
@@ -176,12 +177,12 @@
     let node = Node::start(agent.address, &known);
     let mut watch = agent.call();
     let mut client = node.connect();
-    client.write_all(&post("/once/1", b"")).unwrap();
+    client.write_all(&post_request("/once/1", b"")).unwrap();
     // An answer may take this long and still be in time.
     std::thread::sleep(Duration::from_millis(60));
     watch.watch(&change.after(2, true));
-    assert_eq!(read(&mut client).unwrap().body, b"new");
-    assert_eq!(change.old.seen(), 0);
+    assert_eq!(read_message(&mut client).unwrap().body, b"new");
+    assert_eq!(change.old.request_count(), 0);
     // Where it stays silent, the list of the earlier life has to do.
     let agent = Agent::listen();
     let node = Node::start(agent.address, &known);
--- a/crates/corkhollow/tests/operator.rs
+++ b/crates/corkhollow/tests/operator.rs
@@ -7,15 +7,15 @@
 use std::time::{Duration, Instant};
 
 fn shows(node: &Node, figure: &str, value: f64) {
-    until(figure, || node.figure(figure) == Some(value));
+    wait_until(figure, || node.figure(figure) == Some(value));
 }
 
 #[test]
 fn requests_are_counted_by_class_and_end() {
     let servers = Servers::new(2, |_, m| match &m.body[..] {
         b"bad" => Reply::Reset,
-        b"wait" => Reply::Silence,
-        _ => ok("fine"),
+        b"wait" => Reply::NoAnswer,
+        _ => ok_reply("fine"),
     });
     let (node, _discovery) = Node::with(&servers);
     shows(&node, "gw_discovered", 2.0);
@@ -29,7 +29,7 @@
     }
     assert_eq!(node.post("/once/1", b"bad").unwrap().status(), 502);
     let mut held = node.connect();
-    held.write_all(&post("/once/1", b"wait")).unwrap();
+    held.write_all(&post_request("/once/1", b"wait")).unwrap();
     shows(&node, "gw_outstanding", 1.0);
     shows(&node, "gw_forwards", 5.0);
     shows(&node, "gw_succeeded{service=\"safe\"}", 3.0);
@@ -48,16 +48,16 @@
 fn every_way_that_a_request_ends_has_its_reason() {
     let servers = Servers::new(2, |_, m| match &m.body[..] {
         b"bad" => Reply::Reset,
-        b"wait" => Reply::Silence,
-        b"cut" => Reply::Last(
+        b"wait" => Reply::NoAnswer,
+        b"cut" => Reply::SendAndClose(
             b"HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n"
                 .iter()
                 .copied()
                 .chain([b'x'; 200_000])
                 .collect(),
         ),
-        b"error" => Reply::Say(b"HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n".to_vec()),
-        _ => ok("fine"),
+        b"error" => Reply::Send(b"HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n".to_vec()),
+        _ => ok_reply("fine"),
     });
     let (node, _discovery) = Node::with(&servers);
     shows(&node, "gw_discovered", 2.0);
@@ -68,7 +68,7 @@
     assert_eq!(node.raw(late).unwrap().status(), 504);
     assert!(node.post("/once/1", b"error").unwrap().status() >= 500);
     let mut gone = node.connect();
-    gone.write_all(&post("/once/1", b"wait")).unwrap();
+    gone.write_all(&post_request("/once/1", b"wait")).unwrap();
     shows(&node, "gw_outstanding", 1.0);
     drop(gone);
     let _ = node.post("/once/1", b"cut");
@@ -78,7 +78,7 @@
     assert_eq!(node.raw(no_id).unwrap().status(), 400);
     node.call("POST", "/-/drain");
     assert_eq!(node.post("/once/1", b"fine").unwrap().status(), 200);
-    until("all are counted", || {
+    wait_until("all are counted", || {
         let ended = ["succeeded", "declined", "aborted"];
         let ended = ended.map(|f| node.figure(&format!("gw_{f}{{service=\"once\"}}")).unwrap_or(0.0));
         ended.iter().sum::<f64>() == 8.0 && node.figure("gw_outstanding") == Some(0.0)
@@ -97,21 +97,21 @@
 /// A drained node says no, ends each connection behind its answer, lets go of the idle ones, and comes back.
 #[test]
 fn a_drain_empties_the_node_and_ends() {
-    let servers = Servers::new(1, |_, _| ok("fine"));
+    let servers = Servers::new(1, |_, _| ok_reply("fine"));
     let (node, _discovery) = Node::with(&servers);
     assert_eq!(node.call("GET", "/-/ready").unwrap().status(), 200);
     let (mut busy, mut idle) = (node.connect(), node.connect());
     for client in [&mut busy, &mut idle] {
-        client.write_all(&get("/safe/1", "")).unwrap();
-        assert_eq!(read(client).unwrap().header("connection"), None);
+        client.write_all(&get_request("/safe/1", "")).unwrap();
+        assert_eq!(read_message(client).unwrap().header("connection"), None);
     }
     let start = Instant::now();
     assert_eq!(node.call("POST", "/-/drain").unwrap().status(), 200);
     assert_eq!(node.get("/up", "").unwrap().status(), 503);
     assert_eq!(node.call("GET", "/-/ready").unwrap().status(), 503);
     // Clients that come all the same, and those that go on, are served.
-    busy.write_all(&get("/safe/1", "")).unwrap();
-    let answer = read(&mut busy).unwrap();
+    busy.write_all(&get_request("/safe/1", "")).unwrap();
+    let answer = read_message(&mut busy).unwrap();
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
     assert_eq!(node.get("/safe/1", "").unwrap().status(), 200);
     assert_eq!(idle.read(&mut [0]).unwrap(), 0, "the idle connection is not closed");
@@ -120,15 +120,15 @@
     node.ready();
     let mut kept = node.connect();
     for _ in 0..2 {
-        kept.write_all(&get("/safe/1", "")).unwrap();
-        assert_eq!(read(&mut kept).unwrap().header("connection"), None);
+        kept.write_all(&get_request("/safe/1", "")).unwrap();
+        assert_eq!(read_message(&mut kept).unwrap().header("connection"), None);
     }
 }
 
 /// Callers that say nothing, or half of it, keep nobody else from an answer, and are let go.
 #[test]
 fn silent_callers_hold_nothing_up() {
-    let servers = Servers::new(1, |_, _| ok("fine"));
+    let servers = Servers::new(1, |_, _| ok_reply("fine"));
     let (node, _discovery) = Node::with(&servers);
     let mut silent: Vec<_> = (0..60).map(|_| TcpStream::connect(node.operator.unwrap()).unwrap()).collect();
     for caller in silent.iter_mut().step_by(2) {
@@ -150,7 +150,7 @@
 
 #[test]
 fn other_calls_are_told_no() {
-    let servers = Servers::new(1, |_, _| ok("fine"));
+    let servers = Servers::new(1, |_, _| ok_reply("fine"));
     let (node, _discovery) = Node::with(&servers);
     for (method, path, status) in [
         ("GET", "/-/drain", 405),
@@ -167,26 +167,26 @@
 /// A head that does not end is told so once it is too long, and costs no more than that.
 #[test]
 fn a_head_that_is_too_long_is_told_so() {
-    let servers = Servers::new(1, |_, _| ok("fine"));
+    let servers = Servers::new(1, |_, _| ok_reply("fine"));
     let (node, _discovery) = Node::with(&servers);
     let mut caller = TcpStream::connect(node.operator.unwrap()).unwrap();
     caller.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
     let head = format!("GET /-/ready HTTP/1.1\r\nHost: a\r\nX-Long: {}\r\n\r\n", "a".repeat(20_000));
     let _ = caller.write_all(head.as_bytes());
-    assert_eq!(read(&mut caller).unwrap().status(), 431);
+    assert_eq!(read_message(&mut caller).unwrap().status(), 431);
     assert_eq!(node.call("GET", "/-/ready").unwrap().status(), 200);
 }
 
 /// A call whose length can be read in two ways, or whose body does not come, is turned down and does nothing.
 #[test]
 fn a_call_that_is_not_whole_does_nothing() {
-    let servers = Servers::new(1, |_, _| ok("fine"));
+    let servers = Servers::new(1, |_, _| ok_reply("fine"));
     let (node, _discovery) = Node::with(&servers);
     let call = |path: &str, rest: &str| {
         let mut caller = TcpStream::connect(node.operator.unwrap()).unwrap();
         caller.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
         caller.write_all(format!("POST /-/{path} HTTP/1.1\r\nHost: node\r\n{rest}").as_bytes()).unwrap();
-        read(&mut caller).map(|answer| answer.status())
+        read_message(&mut caller).map(|answer| answer.status())
     };
     let torn = [
         ("Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", 400),
@@ -214,7 +214,7 @@
 /// nothing.
 #[test]
 fn answers_come_beside_full_load_and_silent_callers() {
-    let servers = Servers::new(4, |_, _| ok("fine"));
+    let servers = Servers::new(4, |_, _| ok_reply("fine"));
     let (node, _discovery) = Node::with(&servers);
     let silent: Vec<_> = (0..300).map(|_| TcpStream::connect(node.operator.unwrap())).collect();
     let over = AtomicBool::new(false);
@@ -224,13 +224,13 @@
             scope.spawn(|| {
                 let mut client = node.connect();
                 while !over.load(SeqCst) {
-                    client.write_all(&get("/safe/1", "")).unwrap();
-                    read(&mut client).expect("a client loses an answer");
+                    client.write_all(&get_request("/safe/1", "")).unwrap();
+                    read_message(&mut client).expect("a client loses an answer");
                     served.fetch_add(1, SeqCst);
                 }
             });
         }
-        until("the load is on", || served.load(SeqCst) > 200);
+        wait_until("the load is on", || served.load(SeqCst) > 200);
         let mut slowest = Duration::ZERO;
         for k in 0..60 {
             let start = Instant::now();
@@ -249,17 +249,17 @@
 #[test]
 fn an_operators_file_has_the_address_too() {
     let servers = Servers::new(1, |_, m| match m.head.contains("/none") {
-        true => Reply::Say(response("404 Not Found", "", b"")),
-        false => ok("fine"),
+        true => Reply::Send(response("404 Not Found", "", b"")),
+        false => ok_reply("fine"),
     });
     let node = Node::site(&format!(
         "[operator]\nlisten = \"127.0.0.1:0\"\n[[listener]]\nname = \"web\"\naddress = \"127.0.0.1:0\"\n\
          [[class]]\nname = \"read\"\neffect = \"safe\"\nmethods = [\"GET\"]\n\
          [[pool]]\nname = \"boxes\"\nservers = [{{ address = \"{}\" }}]\n\
          [[route]]\nname = \"all\"\npool = \"boxes\"\n",
-        servers.dials[0]
+        servers.addresses[0]
     ));
-    until("the program is ready", || node.call("GET", "/-/ready").is_some_and(|m| m.status() == 200));
+    wait_until("the program is ready", || node.call("GET", "/-/ready").is_some_and(|m| m.status() == 200));
     assert_eq!(node.get("/some", "").unwrap().status(), 200);
     assert_eq!(node.get("/none", "").unwrap().status(), 404);
     shows(&node, "gw_succeeded{service=\"read\"}", 2.0);
@@ -271,13 +271,13 @@
 /// request was answered as it was; those of connections why they were closed.
 #[test]
 fn events_tell_the_way_of_a_request() {
-    let servers = Servers::new(2, |n, _| if n == 0 { Reply::Reset } else { ok("fine") });
+    let servers = Servers::new(2, |n, _| if n == 0 { Reply::Reset } else { ok_reply("fine") });
     let (node, _discovery) = Node::with(&servers);
-    let request = String::from_utf8(get("/safe/1", "")).unwrap();
+    let request = String::from_utf8(get_request("/safe/1", "")).unwrap();
     let id = request.split_once("X-Request-ID: ").unwrap().1.split_once('\r').unwrap().0;
     assert_eq!(node.raw(request.as_bytes()).unwrap().body, b"fine");
     let page = || String::from_utf8(node.call("GET", "/-/events").unwrap().body).unwrap();
-    until("its connection is closed", || page().contains(" closed reason=client"));
+    wait_until("its connection is closed", || page().contains(" closed reason=client"));
     let page = page();
     let taken = page.lines().find(|line| line.ends_with(&format!("taken id={id}"))).expect("it was taken");
     let subject = taken.split(' ').skip(1).take(2).collect::<Vec<_>>().join(" ");
@@ -305,8 +305,8 @@
 /// A hedge goes out half an aim behind the first attempt, which is still open: its event says so, and no retry is counted.
 #[test]
 fn events_and_metrics_tell_hedges_from_retries() {
-    let servers = Servers::new(2, |n, _| if n == 0 { Reply::Silence } else { ok("fine") });
-    let discovery = Discovery::new(vec![servers.list(1)], true);
+    let servers = Servers::new(2, |n, _| if n == 0 { Reply::NoAnswer } else { ok_reply("fine") });
+    let discovery = Discovery::new(vec![servers.list_json(1)], true);
     let text = config(discovery.address, &Options::default());
     let node = Node::of(&text.replace("\"secondCopies\":false", "\"secondCopies\":true"));
     node.ready();
@@ -321,18 +321,18 @@
 /// A process that stands still beyond a request's time answers late, and says of itself that it has.
 #[test]
 fn a_late_answer_is_counted_as_a_broken_rule() {
-    let servers = Servers::new(1, |_, _| Reply::Silence);
+    let servers = Servers::new(1, |_, _| Reply::NoAnswer);
     let (node, _discovery) = Node::with(&servers);
     shows(&node, "gw_rule_violations{rule=\"late-answer\"}", 0.0);
-    let request = String::from_utf8(post("/once/1", b"body")).unwrap();
+    let request = String::from_utf8(post_request("/once/1", b"body")).unwrap();
     let mut client = node.connect();
     client.write_all(request.replace("X-Timeout-Ms: 2500", "X-Timeout-Ms: 1000").as_bytes()).unwrap();
-    until("the request is under way", || servers.seen() == 1);
+    wait_until("the request is under way", || servers.request_count() == 1);
     node.signal("-STOP");
     // Far beyond its time and the half second in which an answer only earns nothing.
     std::thread::sleep(Duration::from_millis(2_200));
     node.signal("-CONT");
-    assert_eq!(read(&mut client).unwrap().status(), 504);
+    assert_eq!(read_message(&mut client).unwrap().status(), 504);
     shows(&node, "gw_rule_violations{rule=\"late-answer\"}", 1.0);
     shows(&node, "gw_rule_violations{rule=\"dropped-request\"}", 0.0);
 }
--- a/crates/corkhollow/tests/platform.rs
+++ b/crates/corkhollow/tests/platform.rs
@@ -7,22 +7,22 @@
 
 /// A node before two servers of which the first request's gets this, and all others an `ok`.
 fn first_gets(bad: fn() -> Reply) -> (Node, Discovery, Servers) {
-    let servers = Servers::new(2, move |n, _| if n == 0 { bad() } else { ok("fine") });
+    let servers = Servers::new(2, move |n, _| if n == 0 { bad() } else { ok_reply("fine") });
     let (node, discovery) = Node::with(&servers);
     (node, discovery, servers)
 }
 
 #[test]
 fn an_answer_comes_back_whole_and_connections_are_kept() {
-    let servers = Servers::new(1, |_, m| Reply::Say(response("200 OK", "X-Own: yes\r\n", &m.body)));
+    let servers = Servers::new(1, |_, m| Reply::Send(response("200 OK", "X-Own: yes\r\n", &m.body)));
     let (node, _discovery) = Node::with(&servers);
     let body = vec![b'x'; 40_000];
     let mut client = node.connect();
     for _ in 0..3 {
-        let request = String::from_utf8(post("/once/7?a=b", &body)).unwrap();
+        let request = String::from_utf8(post_request("/once/7?a=b", &body)).unwrap();
         let own = request.replace("X-Request-ID: ", "X-Request-ID: 9b1f03aa");
         client.write_all(own.as_bytes()).unwrap();
-        let answer = read(&mut client).unwrap();
+        let answer = read_message(&mut client).unwrap();
         assert_eq!((answer.status(), answer.header("x-own")), (200, Some("yes")));
         assert_eq!(answer.body, body);
     }
@@ -31,21 +31,25 @@
     assert!(requests[0].header("x-request-id").unwrap().starts_with("9b1f03aa"));
     let left: u64 = requests[0].header("x-timeout-ms").unwrap().parse().unwrap();
     assert!((2000..=2500).contains(&left), "{left}");
-    assert_eq!(servers.connected(), 1);
+    assert_eq!(servers.connection_count(), 1);
 }
 
 #[test]
 fn a_safe_request_goes_to_another_server() {
     let endings: [fn() -> Reply; 4] = [
-        || Reply::Say(response("500 No", "", b"")),
+        || Reply::Send(response("500 No", "", b"")),
         || Reply::Reset,
-        || Reply::Last(b"\x16\x03\x01".to_vec()),
-        || Reply::Last(b"HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\nhalf".to_vec()),
+        || Reply::SendAndClose(b"\x16\x03\x01".to_vec()),
+        || Reply::SendAndClose(b"HTTP/1.1 200 OK\r\nContent-Length: 60000\r\n\r\nhalf".to_vec()),
     ];
     for (k, ending) in endings.into_iter().enumerate() {
         let (node, _discovery, servers) = first_gets(ending);
         let answer = node.get("/safe/1", "").unwrap();
-        assert_eq!((answer.status(), &answer.body[..], servers.seen()), (200, &b"fine"[..], 2), "ending {k}");
+        assert_eq!(
+            (answer.status(), &answer.body[..], servers.request_count()),
+            (200, &b"fine"[..], 2),
+            "ending {k}"
+        );
     }
 }
 
@@ -53,16 +57,16 @@
 fn what_never_ran_is_sent_again() {
     for status in ["503 Busy", "504 Late"] {
         let servers = Servers::new(2, move |n, _| match n {
-            0 => Reply::Say(response(status, "X-Not-Processed: 1\r\n", b"")),
-            _ => ok("fine"),
+            0 => Reply::Send(response(status, "X-Not-Processed: 1\r\n", b"")),
+            _ => ok_reply("fine"),
         });
         let (node, _discovery) = Node::with(&servers);
         assert_eq!(node.post("/once/1", b"body").unwrap().status(), 200);
-        assert_eq!(servers.seen(), 2);
+        assert_eq!(servers.request_count(), 2);
     }
     // Nobody listens at some of the addresses.
-    let servers = Servers::new(1, |_, _| ok("fine"));
-    let hosts = [host("s-0", servers.dials[0], "active"), host("s-1", refusing_address(), "active")];
+    let servers = Servers::new(1, |_, _| ok_reply("fine"));
+    let hosts = [host("s-0", servers.addresses[0], "active"), host("s-1", refusing_address(), "active")];
     let discovery = Discovery::new(vec![list(1, true, &hosts)], true);
     let node = Node::start(discovery.address, &Options::default());
     node.ready();
@@ -79,11 +83,11 @@
     std::thread::spawn(move || {
         for mut stream in breaker.incoming().flatten() {
             let _ = stream.read(&mut [0; 1000]);
-            reset(stream);
+            reset_connection(stream);
         }
     });
-    let servers = Servers::new(1, |_, _| ok("fine"));
-    let hosts = [host("s-0", servers.dials[0], "active"), host("s-1", dial, "active")];
+    let servers = Servers::new(1, |_, _| ok_reply("fine"));
+    let hosts = [host("s-0", servers.addresses[0], "active"), host("s-1", dial, "active")];
     let discovery = Discovery::new(vec![list(1, true, &hosts)], true);
     let node = Node::start(discovery.address, &Options::default());
     node.ready();
@@ -92,13 +96,13 @@
     for k in 0..4 {
         assert_eq!(node.post("/once/1", &body).unwrap().status(), 200, "request {k}");
     }
-    assert_eq!(servers.seen(), 4);
+    assert_eq!(servers.request_count(), 4);
 }
 
 /// The last byte went out before the reset: the request may have run, on a new connection and on a kept one.
 #[test]
 fn a_reset_after_the_last_byte_proves_nothing() {
-    let servers = Servers::new(2, |_, m| if m.body == b"good" { ok("fine") } else { Reply::Reset });
+    let servers = Servers::new(2, |_, m| if m.body == b"good" { ok_reply("fine") } else { Reply::Reset });
     let (node, _discovery) = Node::with(&servers);
     for kept in [false, true] {
         if kept {
@@ -106,23 +110,25 @@
                 assert_eq!(node.post("/once/1", b"good").unwrap().status(), 200);
             }
         }
-        let before = servers.seen();
+        let before = servers.request_count();
         assert_eq!(node.post("/once/1", b"bad").unwrap().status(), 502, "kept: {kept}");
-        assert_eq!(servers.seen() - before, 1, "kept: {kept}");
+        assert_eq!(servers.request_count() - before, 1, "kept: {kept}");
     }
 }
 
 #[test]
 fn silence_ends_with_the_clients_time() {
-    let servers = Servers::new(2, |_, _| Reply::Silence);
+    let servers = Servers::new(2, |_, _| Reply::NoAnswer);
     let (node, _discovery) = Node::with(&servers);
-    for request in [get("/safe/1", "X-Timeout-Ms: 700\r\n"), get("/once/1", "X-Timeout-Ms: 700\r\n")] {
+    for request in
+        [get_request("/safe/1", "X-Timeout-Ms: 700\r\n"), get_request("/once/1", "X-Timeout-Ms: 700\r\n")]
+    {
         let start = Instant::now();
         assert_eq!(node.raw(&request).unwrap().status(), 504);
         let took = start.elapsed();
         assert!(took >= Duration::from_millis(699) && took < Duration::from_millis(1500), "{took:?}");
     }
-    assert_eq!(servers.seen(), 2);
+    assert_eq!(servers.request_count(), 2);
 }
 
 #[test]
@@ -130,26 +136,26 @@
     let long = |announced: usize, sent: usize| {
         let mut out = format!("HTTP/1.1 200 OK\r\nContent-Length: {announced}\r\n\r\n").into_bytes();
         out.resize(out.len() + sent, b'x');
-        Reply::Last(out)
+        Reply::SendAndClose(out)
     };
     let servers =
         Servers::new(2, move |n, _| if n == 0 { long(900_000, 900_000) } else { long(900_000, 500_000) });
     let (node, _discovery) = Node::with(&servers);
     let answer = node.get("/safe/1", "").unwrap();
-    assert_eq!((answer.status(), answer.body.len(), answer.whole), (200, 900_000, true));
+    assert_eq!((answer.status(), answer.body.len(), answer.is_complete), (200, 900_000, true));
     let cut = node.get("/safe/2", "").unwrap();
-    assert!(!cut.whole && cut.body.len() <= 500_000, "{}", cut.body.len());
+    assert!(!cut.is_complete && cut.body.len() <= 500_000, "{}", cut.body.len());
     // One without a length is no different.
     let servers = Servers::new(2, move |n, _| {
         let mut out = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n30d40\r\n".to_vec();
         out.resize(out.len() + 200_000, b'y');
         out.extend(if n == 0 { &b"\r\n0\r\n\r\n"[..] } else { b"\r\n" });
-        Reply::Last(out)
+        Reply::SendAndClose(out)
     });
     let (node, _discovery) = Node::with(&servers);
     let answer = node.get("/safe/1", "").unwrap();
-    assert_eq!((answer.body.len(), answer.whole), (200_000, true));
-    assert!(!node.get("/safe/2", "").unwrap().whole);
+    assert_eq!((answer.body.len(), answer.is_complete), (200_000, true));
+    assert!(!node.get("/safe/2", "").unwrap().is_complete);
 }
 
 /// Said to be endless, or never brought to their end: such answers are spoilt and nobody's, and their request goes
@@ -159,7 +165,7 @@
     fn say(head: &str, sent: usize) -> Reply {
         let mut out = format!("HTTP/1.1 200 OK\r\n{head}\r\n\r\n").into_bytes();
         out.resize(out.len() + sent, b'x');
-        Reply::Say(out)
+        Reply::Send(out)
     }
     let spoilt: [fn() -> Reply; 3] = [
         || say("Content-Length: 3000000000", 200_000),
@@ -171,32 +177,36 @@
         let start = Instant::now();
         let answer = node.get("/safe/1", "").unwrap();
         let fine = answer.body == b"fine";
-        assert_eq!((answer.status(), fine, servers.seen()), (200, true, 2), "answer {k}");
+        assert_eq!((answer.status(), fine, servers.request_count()), (200, true, 2), "answer {k}");
         assert!(start.elapsed() < Duration::from_millis(2500), "answer {k}: {:?}", start.elapsed());
         let (node, _discovery, servers) = first_gets(bad);
-        assert_eq!((node.post("/once/1", b"body").unwrap().status(), servers.seen()), (502, 1), "answer {k}");
+        assert_eq!(
+            (node.post("/once/1", b"body").unwrap().status(), servers.request_count()),
+            (502, 1),
+            "answer {k}"
+        );
     }
     // One that does not say how long it is, and keeps coming, is cut where the client can tell.
     let (node, _discovery, _servers) = first_gets(|| {
         let chunk = [&b"f4240\r\n"[..], &vec![b'x'; 1_000_000], b"\r\n"].concat();
-        Reply::Say(
+        Reply::Send(
             [b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".to_vec(), chunk.repeat(40)].concat(),
         )
     });
     let cut = node.get("/safe/1", "").unwrap();
-    assert!(!cut.whole && cut.body.len() <= 32 << 20, "{}", cut.body.len());
+    assert!(!cut.is_complete && cut.body.len() <= 32 << 20, "{}", cut.body.len());
 }
 
 /// A client that reads slowly says nothing of the server: the others must not be kept from it.
 #[test]
 fn a_slow_reader_does_not_make_its_server_look_hung() {
     let servers = Servers::new(1, |n, _| match n {
-        0 => Reply::Say(response("200 OK", "", &vec![b'x'; 20_000_000])),
-        _ => ok("fine"),
+        0 => Reply::Send(response("200 OK", "", &vec![b'x'; 20_000_000])),
+        _ => ok_reply("fine"),
     });
     let (node, _discovery) = Node::with(&servers);
     let mut slow = node.connect();
-    slow.write_all(&get("/safe/1", "")).unwrap();
+    slow.write_all(&get_request("/safe/1", "")).unwrap();
     let mut begun = [0; 100];
     slow.read_exact(&mut begun).unwrap();
     // Longer than the module would wait for an answer.
@@ -212,33 +222,33 @@
 #[test]
 fn a_rejected_request_costs_no_server() {
     let servers = Servers::new(3, |_, m| match m.head.contains("bad") {
-        true => Reply::Say(response("400 Bad Request", "", b"")),
-        false => ok("fine"),
+        true => Reply::Send(response("400 Bad Request", "", b"")),
+        false => ok_reply("fine"),
     });
     let (node, _discovery) = Node::with(&servers);
     for k in 0..6 {
         assert_eq!(node.get("/safe/bad", "").unwrap().status(), 502, "bad request {k}");
         assert_eq!(node.post("/once/1", b"body").unwrap().status(), 200, "good request {k}");
-        assert_eq!(servers.seen(), 2 * (k + 1));
+        assert_eq!(servers.request_count(), 2 * (k + 1));
     }
 }
 
 /// A server may close a kept connection at any time: it must not be kept, nor the next request lost to it.
 #[test]
 fn a_closed_kept_connection_costs_nothing() {
-    let servers = Servers::new(1, |_, _| Reply::Last(response("200 OK", "", b"fine")));
+    let servers = Servers::new(1, |_, _| Reply::SendAndClose(response("200 OK", "", b"fine")));
     let (node, _discovery) = Node::with(&servers);
     for k in 0..3 {
         assert_eq!(node.post("/once/1", b"body").unwrap().status(), 200, "request {k}");
-        until("the node has seen the close", || servers.closed.load(SeqCst) == k + 1);
+        wait_until("the node has seen the close", || servers.closed_by_node.load(SeqCst) == k + 1);
     }
-    assert_eq!((servers.seen(), servers.connected()), (3, 3));
+    assert_eq!((servers.request_count(), servers.connection_count()), (3, 3));
 }
 
 #[test]
 fn kept_connections_are_closed_before_the_server_would() {
-    let servers = Servers::new(1, |_, _| ok("fine"));
-    let discovery = Discovery::new(vec![servers.list(1)], true);
+    let servers = Servers::new(1, |_, _| ok_reply("fine"));
+    let discovery = Discovery::new(vec![servers.list_json(1)], true);
     let node = Node::start(discovery.address, &Options { idle_ms: 200, ..Options::default() });
     node.ready();
     let fresh = || {
@@ -247,39 +257,39 @@
         start.elapsed()
     };
     fresh();
-    let before = servers.connected();
+    let before = servers.connection_count();
     std::thread::sleep(Duration::from_millis(150));
     fresh();
-    assert_eq!((before, servers.connected()), (1, 2));
+    assert_eq!((before, servers.connection_count()), (1, 2));
 }
 
 #[test]
 fn nothing_new_goes_to_a_server_that_drains() {
-    let servers = Servers::new(2, |_, _| ok("fine"));
+    let servers = Servers::new(2, |_, _| ok_reply("fine"));
     let (node, discovery) = Node::with(&servers);
-    let other = Servers::new(1, |_, _| ok("other"));
+    let other = Servers::new(1, |_, _| ok_reply("other"));
     let mut hosts: Vec<_> =
-        (0..2).map(|k| host(&format!("s-{k}"), servers.dials[k], ["leaving", "left"][k])).collect();
-    hosts.push(host("s-2", other.dials[0], "active"));
+        (0..2).map(|k| host(&format!("s-{k}"), servers.addresses[k], ["leaving", "left"][k])).collect();
+    hosts.push(host("s-2", other.addresses[0], "active"));
     assert_eq!(node.post("/once/1", b"").unwrap().status(), 200);
     discovery.say(list(2, false, &hosts));
-    until("the list is taken in", || node.post("/once/1", b"").unwrap().body == b"other");
-    let before = servers.seen();
+    wait_until("the list is taken in", || node.post("/once/1", b"").unwrap().body == b"other");
+    let before = servers.request_count();
     for _ in 0..20 {
         assert_eq!(node.post("/once/1", b"").unwrap().body, b"other");
     }
-    assert_eq!(servers.seen(), before);
+    assert_eq!(servers.request_count(), before);
 }
 
 #[test]
 fn nonsense_from_discovery_keeps_the_old_list() {
-    let servers = Servers::new(1, |_, _| ok("fine"));
+    let servers = Servers::new(1, |_, _| ok_reply("fine"));
     for nonsense in ["{\"seq\":2,\"whole\":true,\"hosts\":[{}]}", "\u{1}\u{2}", "[]", "{\"seq\":2,\"who"] {
-        let discovery = Discovery::new(vec![servers.list(1)], true);
+        let discovery = Discovery::new(vec![servers.list_json(1)], true);
         let node = Node::start(discovery.address, &Options::default());
         node.ready();
         discovery.say(nonsense.to_owned());
-        until("the watch is opened again", || discovery.watched() == 2);
+        wait_until("the watch is opened again", || discovery.watched() == 2);
         assert_eq!(node.post("/once/1", b"").unwrap().status(), 200);
     }
 }
@@ -287,35 +297,39 @@
 /// An older list is a stale copy: it would bring back a server that has been told to drain.
 #[test]
 fn an_older_list_is_not_taken() {
-    let servers = Servers::new(1, |_, _| ok("old"));
-    let other = Servers::new(1, |_, _| ok("new"));
-    let new =
-        list(9, true, &[host("s-0", servers.dials[0], "leaving"), host("s-1", other.dials[0], "active")]);
-    let discovery = Discovery::new(vec![new.clone(), servers.list(3), new], true);
+    let servers = Servers::new(1, |_, _| ok_reply("old"));
+    let other = Servers::new(1, |_, _| ok_reply("new"));
+    let new = list(
+        9,
+        true,
+        &[host("s-0", servers.addresses[0], "leaving"), host("s-1", other.addresses[0], "active")],
+    );
+    let discovery = Discovery::new(vec![new.clone(), servers.list_json(3), new], true);
     let node = Node::start(discovery.address, &Options::default());
     node.ready();
     discovery.say("broken".into());
-    until("the stale copy has been refused", || discovery.watched() == 3);
+    wait_until("the stale copy has been refused", || discovery.watched() == 3);
     for _ in 0..10 {
         assert_eq!(node.post("/once/1", b"").unwrap().body, b"new");
     }
-    assert_eq!(servers.seen(), 0);
+    assert_eq!(servers.request_count(), 0);
 }
 
 /// A watch without heartbeats hangs; what it would have told comes on the next one.
 #[test]
 fn a_silent_watch_is_opened_again() {
-    let servers = Servers::new(1, |_, _| ok("fine"));
-    let discovery = Discovery::new(vec![servers.list(1)], false);
+    let servers = Servers::new(1, |_, _| ok_reply("fine"));
+    let discovery = Discovery::new(vec![servers.list_json(1)], false);
     let node = Node::start(discovery.address, &Options::default());
     node.ready();
-    until("the watch is opened again", || discovery.watched() == 2);
+    wait_until("the watch is opened again", || discovery.watched() == 2);
 }
 
 #[test]
 fn a_restarted_node_serves_by_its_own_list() {
-    let servers = Servers::new(1, |_, _| ok("fine"));
-    let node = Node::start(refusing_address(), &Options { known: servers.list(1), ..Options::default() });
+    let servers = Servers::new(1, |_, _| ok_reply("fine"));
+    let node =
+        Node::start(refusing_address(), &Options { known: servers.list_json(1), ..Options::default() });
     node.ready();
     assert_eq!(node.post("/once/1", b"").unwrap().status(), 200);
 }
@@ -324,10 +338,10 @@
 /// What it cannot read it does not take over.
 #[test]
 fn a_reload_moves_to_another_discovery() {
-    let old = Servers::new(1, |_, _| ok("old"));
+    let old = Servers::new(1, |_, _| ok_reply("old"));
     let (node, first) = Node::with(&old);
-    let new = Servers::new(1, |_, _| ok("new"));
-    let hosts = [host("s-0", old.dials[0], "leaving"), host("s-1", new.dials[0], "active")];
+    let new = Servers::new(1, |_, _| ok_reply("new"));
+    let hosts = [host("s-0", old.addresses[0], "leaving"), host("s-1", new.addresses[0], "active")];
     let second = Discovery::new(vec![list(2, false, &hosts)], true);
     for (k, bad) in ["{", "{}"].into_iter().enumerate() {
         node.reload(bad);
@@ -338,10 +352,14 @@
         node.reload(&config(second.address, &Options::default()));
         node.says("reloaded: discovery at", k + 1);
     }
-    until("the new list is taken in", || node.post("/once/1", b"").unwrap().body == b"new");
+    wait_until("the new list is taken in", || node.post("/once/1", b"").unwrap().body == b"new");
     assert_eq!((first.watched(), second.watched()), (1, 1), "the same address again changes nothing");
-    second.say(list(3, false, &[host("s-0", old.dials[0], "active"), host("s-1", new.dials[0], "left")]));
-    until("the new watch is followed", || node.post("/once/1", b"").unwrap().body == b"old");
+    second.say(list(
+        3,
+        false,
+        &[host("s-0", old.addresses[0], "active"), host("s-1", new.addresses[0], "left")],
+    ));
+    wait_until("the new watch is followed", || node.post("/once/1", b"").unwrap().body == b"old");
 }
 
 /// What was taken is finished, what comes late is still taken, and then the node ends by itself.
@@ -349,20 +367,20 @@
 fn a_terminated_node_finishes_what_it_has() {
     let servers = Servers::new(2, |_, _| {
         std::thread::sleep(Duration::from_millis(300));
-        ok("fine")
+        ok_reply("fine")
     });
     let (mut node, _discovery) = Node::with(&servers);
     let mut kept = node.connect();
-    kept.write_all(&get("/up", "")).unwrap();
-    assert_eq!(read(&mut kept).unwrap().status(), 200);
+    kept.write_all(&get_request("/up", "")).unwrap();
+    assert_eq!(read_message(&mut kept).unwrap().status(), 200);
     let mut early = node.connect();
-    early.write_all(&post("/once/1", b"body")).unwrap();
-    until("the request is under way", || servers.seen() == 1);
+    early.write_all(&post_request("/once/1", b"body")).unwrap();
+    wait_until("the request is under way", || servers.request_count() == 1);
     node.signal("-TERM");
-    until("the node says that it leaves", || node.get("/up", "").is_some_and(|m| m.status() == 503));
-    kept.write_all(&post("/once/2", b"body")).unwrap();
+    wait_until("the node says that it leaves", || node.get("/up", "").is_some_and(|m| m.status() == 503));
+    kept.write_all(&post_request("/once/2", b"body")).unwrap();
     for stream in [&mut early, &mut kept] {
-        let answer = read(stream).unwrap();
+        let answer = read_message(stream).unwrap();
         assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
     }
     assert_eq!(node.post("/once/3", b"late").map(|m| m.status()), Some(200));
@@ -371,7 +389,7 @@
 
 #[test]
 fn bad_requests_are_told_so() {
-    let servers = Servers::new(1, |_, _| ok("fine"));
+    let servers = Servers::new(1, |_, _| ok_reply("fine"));
     let (node, _discovery) = Node::with(&servers);
     let cases: [(&[u8], u16); 12] = [
         (b"NONSENSE\r\n\r\n", 400),
@@ -392,7 +410,7 @@
         let answer = node.raw(bytes).expect("an answer");
         assert_eq!(answer.status(), status, "{}", String::from_utf8_lossy(bytes));
     }
-    assert_eq!(servers.seen(), 0);
+    assert_eq!(servers.request_count(), 0);
     // What is only unclear is served.
     let odd = "X-Tenant-Id: stranger\r\nX-Cost: much\r\nX-Route-Key: \u{e9}\r\n";
     assert_eq!(node.get("/safe/1", odd).unwrap().status(), 200);
@@ -402,9 +420,9 @@
 /// chunked body nothing more is read.
 #[test]
 fn a_chunked_body_hides_nothing() {
-    let servers = Servers::new(1, |_, _| ok("fine"));
+    let servers = Servers::new(1, |_, _| ok_reply("fine"));
     let (node, _discovery) = Node::with(&servers);
-    let hidden = String::from_utf8(get("/safe/hidden", "")).unwrap();
+    let hidden = String::from_utf8(get_request("/safe/hidden", "")).unwrap();
     let filler = format!("X-Filler: {}\r\n", "x".repeat(1000)).repeat(4);
     let chunked = |length: &str| {
         let head = "POST /once/1 HTTP/1.1\r\nX-Request-ID: c\r\nTransfer-Encoding: chunked\r\n";
@@ -413,45 +431,45 @@
     for (length, status, seen) in [("Content-Length: 5\r\n", 400, 0), ("", 200, 1)] {
         let mut client = node.connect();
         client.write_all(chunked(length).as_bytes()).unwrap();
-        let answer = read(&mut client).unwrap();
+        let answer = read_message(&mut client).unwrap();
         assert_eq!((answer.status(), answer.header("connection")), (status, Some("close")), "{length}");
-        assert!(read(&mut client).is_none(), "nothing more is answered");
-        assert_eq!(servers.seen(), seen, "{length}");
+        assert!(read_message(&mut client).is_none(), "nothing more is answered");
+        assert_eq!(servers.request_count(), seen, "{length}");
     }
 }
 
 /// Servers would take it for a second copy. Once the first is over, its id is free again.
 #[test]
 fn an_id_in_use_is_turned_away() {
-    let servers = Servers::new(2, |n, _| if n == 0 { Reply::Silence } else { ok("fine") });
+    let servers = Servers::new(2, |n, _| if n == 0 { Reply::NoAnswer } else { ok_reply("fine") });
     let (node, _discovery) = Node::with(&servers);
-    let request = post("/once/1", b"body");
+    let request = post_request("/once/1", b"body");
     let mut first = node.connect();
     first.write_all(&request).unwrap();
-    until("the request is under way", || servers.seen() == 1);
+    wait_until("the request is under way", || servers.request_count() == 1);
     assert_eq!(node.raw(&request).unwrap().status(), 409);
     assert_eq!(node.post("/once/1", b"body").unwrap().status(), 200);
-    assert_eq!(servers.seen(), 2);
-    assert_eq!(read(&mut first).unwrap().status(), 504);
+    assert_eq!(servers.request_count(), 2);
+    assert_eq!(read_message(&mut first).unwrap().status(), 504);
     assert_eq!(node.raw(&request).unwrap().status(), 200);
     drop(first);
     // So it is when the client left.
-    let servers = Servers::new(2, |n, _| if n == 0 { Reply::Silence } else { ok("fine") });
+    let servers = Servers::new(2, |n, _| if n == 0 { Reply::NoAnswer } else { ok_reply("fine") });
     let (node, _discovery) = Node::with(&servers);
     let mut first = node.connect();
     first.write_all(&request).unwrap();
-    until("the request is under way", || servers.seen() == 1);
+    wait_until("the request is under way", || servers.request_count() == 1);
     drop(first);
-    until("the id is free", || node.raw(&request).unwrap().status() == 200);
+    wait_until("the id is free", || node.raw(&request).unwrap().status() == 200);
 }
 
 #[test]
 fn a_client_that_leaves_is_forgotten() {
-    let servers = Servers::new(1, |n, _| if n == 0 { Reply::Silence } else { ok("fine") });
+    let servers = Servers::new(1, |n, _| if n == 0 { Reply::NoAnswer } else { ok_reply("fine") });
     let (node, _discovery) = Node::with(&servers);
     let mut client = node.connect();
-    client.write_all(&get("/safe/1", "")).unwrap();
-    until("the request is under way", || servers.seen() == 1);
+    client.write_all(&get_request("/safe/1", "")).unwrap();
+    wait_until("the request is under way", || servers.request_count() == 1);
     drop(client);
     assert_eq!(node.get("/safe/2", "").map(|m| m.status()), Some(200));
 }
@@ -459,15 +477,15 @@
 /// Clients that keep their connections must not keep others out: the longest idle one gives its place up.
 #[test]
 fn idle_clients_make_room() {
-    let servers = Servers::new(1, |_, _| ok("fine"));
-    let discovery = Discovery::new(vec![servers.list(1)], true);
+    let servers = Servers::new(1, |_, _| ok_reply("fine"));
+    let discovery = Discovery::new(vec![servers.list_json(1)], true);
     let node = Node::start(discovery.address, &Options { sockets: 64, ..Options::default() });
     node.ready();
     let mut kept = Vec::new();
     for k in 0..60 {
         let mut client = node.connect();
-        client.write_all(&post("/once/1", b"body")).unwrap();
-        let answer = read(&mut client).unwrap_or_else(|| panic!("client {k} got no answer"));
+        client.write_all(&post_request("/once/1", b"body")).unwrap();
+        let answer = read_message(&mut client).unwrap_or_else(|| panic!("client {k} got no answer"));
         assert_eq!((answer.status(), answer.header("connection")), (200, None), "client {k}");
         kept.push(client);
     }
@@ -477,39 +495,39 @@
 /// A head that never ends must not hold its descriptor.
 #[test]
 fn a_head_that_stands_still_is_cut_off() {
-    let servers = Servers::new(1, |_, _| ok("fine"));
+    let servers = Servers::new(1, |_, _| ok_reply("fine"));
     let (node, _discovery) = Node::with(&servers);
     let mut client = node.connect();
     client.write_all(b"POST /once/1 HTTP/1.1\r\nHost: a\r\n").unwrap();
     let start = Instant::now();
-    assert!(read(&mut client).is_none_or(|m| m.status() == 408));
+    assert!(read_message(&mut client).is_none_or(|m| m.status() == 408));
     assert!(start.elapsed() < Duration::from_secs(10), "{:?}", start.elapsed());
 }
 
 /// Nor must a client that says nothing at all, or stops in the middle of its body.
 #[test]
 fn a_silent_client_is_let_go() {
-    let servers = Servers::new(1, |_, _| ok("fine"));
+    let servers = Servers::new(1, |_, _| ok_reply("fine"));
     let (node, _discovery) = Node::with(&servers);
     let start = Instant::now();
     let silent: Vec<_> = (0..20).map(|_| node.connect()).collect();
     let mut half = node.connect();
-    let request = post("/once/1", &[b'x'; 100]);
+    let request = post_request("/once/1", &[b'x'; 100]);
     half.write_all(&request[..request.len() - 50]).unwrap();
-    assert_eq!(read(&mut half).unwrap().status(), 408);
-    assert!(silent.into_iter().all(|mut client| read(&mut client).is_none()));
+    assert_eq!(read_message(&mut half).unwrap().status(), 408);
+    assert!(silent.into_iter().all(|mut client| read_message(&mut client).is_none()));
     assert!(start.elapsed() < Duration::from_secs(10), "{:?}", start.elapsed());
-    assert_eq!(servers.seen(), 0);
+    assert_eq!(servers.request_count(), 0);
 }
 
 /// At a planned restart nothing waits for clients that have nothing under way.
 #[test]
 fn a_terminated_node_closes_idle_connections() {
-    let servers = Servers::new(1, |_, _| ok("fine"));
+    let servers = Servers::new(1, |_, _| ok_reply("fine"));
     let (mut node, _discovery) = Node::with(&servers);
     let mut kept = node.connect();
-    kept.write_all(&post("/once/1", b"body")).unwrap();
-    assert_eq!(read(&mut kept).unwrap().status(), 200);
+    kept.write_all(&post_request("/once/1", b"body")).unwrap();
+    assert_eq!(read_message(&mut kept).unwrap().status(), 200);
     let start = Instant::now();
     node.signal("-TERM");
     assert!(node.exit().success());
@@ -519,15 +537,15 @@
 
 #[test]
 fn bodies_without_room_go_on_as_they_come() {
-    let servers = Servers::new(1, |_, _| ok("fine"));
-    let discovery = Discovery::new(vec![servers.list(1)], true);
+    let servers = Servers::new(1, |_, _| ok_reply("fine"));
+    let discovery = Discovery::new(vec![servers.list_json(1)], true);
     let node = Node::start(discovery.address, &Options { memory_mb: 16, ..Options::default() });
     node.ready();
     for length in [30_000_000, 2_000_000] {
         assert_eq!(node.post("/once/1", &vec![b'x'; length]).unwrap().status(), 200, "{length} bytes");
     }
     assert!(node.peak_memory() < 16 << 20, "{}", node.peak_memory());
-    assert_eq!(servers.seen(), 2);
+    assert_eq!(servers.request_count(), 2);
 }
 
 #[test]
@@ -552,14 +570,14 @@
 #[test]
 fn slow_bodies_do_not_make_the_fleet_look_busy() {
     let servers = Servers::new(12, |n, _| match n {
-        0..12 => Reply::Do(Box::new(|stream| {
+        0..12 => Reply::Custom(Box::new(|stream| {
             let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\n");
             for _ in 0..6 {
                 std::thread::sleep(Duration::from_millis(170));
                 let _ = stream.write_all(b"x");
             }
         })),
-        _ => ok("fine"),
+        _ => ok_reply("fine"),
     });
     let (node, _discovery) = Node::with(&servers);
     std::thread::scope(|scope| {
@@ -576,8 +594,8 @@
 #[test]
 fn many_long_bodies_pass_in_little_memory() {
     let servers =
-        Servers::new(12, |_, m| Reply::Say(response("200 OK", "", m.body.len().to_string().as_bytes())));
-    let discovery = Discovery::new(vec![servers.list(1)], true);
+        Servers::new(12, |_, m| Reply::Send(response("200 OK", "", m.body.len().to_string().as_bytes())));
+    let discovery = Discovery::new(vec![servers.list_json(1)], true);
     let node = Node::start(discovery.address, &Options { memory_mb: 48, ..Options::default() });
     node.ready();
     std::thread::scope(|scope| {
@@ -586,18 +604,18 @@
             scope.spawn(move || {
                 let length = 6_000_000 + k;
                 let mut client = node.connect();
-                for piece in post("/once/1", &vec![b'x'; length]).chunks(1 << 20) {
+                for piece in post_request("/once/1", &vec![b'x'; length]).chunks(1 << 20) {
                     client.write_all(piece).unwrap();
                     std::thread::sleep(Duration::from_millis(60));
                 }
-                let answer = read(&mut client).expect("an answer");
+                let answer = read_message(&mut client).expect("an answer");
                 assert_eq!((answer.status(), answer.body), (200, length.to_string().into_bytes()));
             });
         }
     });
     assert!(node.peak_memory() < 40 << 20, "{}", node.peak_memory());
-    assert_eq!(servers.seen(), 10);
-    until("all are counted", || node.figure("gw_succeeded{service=\"once\"}") == Some(10.0));
+    assert_eq!(servers.request_count(), 10);
+    wait_until("all are counted", || node.figure("gw_succeeded{service=\"once\"}") == Some(10.0));
     assert_eq!(node.figure("gw_outstanding"), Some(0.0));
 }
 
@@ -605,28 +623,28 @@
 /// body that has gone in part is not there for another attempt: it has not run, and the client may come again.
 #[test]
 fn a_long_body_that_fails_on_its_way_is_answered_at_its_end() {
-    let bad = raw(|mut stream| {
+    let bad = spawn_raw_server(|mut stream| {
         let mut some = vec![0; 200_000];
         let _ = stream.read_exact(&mut some);
-        reset(stream);
+        reset_connection(stream);
     });
     for dial in [refusing_address(), bad] {
         let discovery = Discovery::new(vec![list(1, true, &[host("s-0", dial, "active")])], true);
         let node = Node::start(discovery.address, &Options { memory_mb: 48, ..Options::default() });
         node.ready();
         let mut client = node.connect();
-        for piece in post("/once/1", &vec![b'x'; 8_000_000]).chunks(1 << 20) {
+        for piece in post_request("/once/1", &vec![b'x'; 8_000_000]).chunks(1 << 20) {
             client.write_all(piece).expect("the node reads on");
             std::thread::sleep(Duration::from_millis(5));
         }
-        assert_eq!(read(&mut client).expect("an answer").status(), 503);
+        assert_eq!(read_message(&mut client).expect("an answer").status(), 503);
     }
 }
 
 #[test]
 fn a_body_of_32_mib_passes_and_a_longer_one_does_not() {
     let servers =
-        Servers::new(1, |_, m| Reply::Say(response("200 OK", "", m.body.len().to_string().as_bytes())));
+        Servers::new(1, |_, m| Reply::Send(response("200 OK", "", m.body.len().to_string().as_bytes())));
     let (node, _discovery) = Node::with(&servers);
     let most = 32 << 20;
     assert_eq!(node.post("/once/1", &vec![b'x'; most]).unwrap().body, most.to_string().as_bytes());
@@ -637,6 +655,6 @@
                 .as_bytes(),
         )
         .unwrap();
-    assert_eq!(read(&mut client).unwrap().status(), 413);
-    assert_eq!(servers.seen(), 1);
+    assert_eq!(read_message(&mut client).unwrap().status(), 413);
+    assert_eq!(servers.request_count(), 1);
 }
--- a/crates/corkhollow/tests/reload.rs
+++ b/crates/corkhollow/tests/reload.rs
@@ -59,11 +59,11 @@
             // Whoever comes first finds the gate shut; what comes again is served.
             if !*gate.0 .0.lock().unwrap() {
                 gate.wait();
-                return Reply::Say(response("503 Busy", "", b""));
+                return Reply::Send(response("503 Busy", "", b""));
             }
         } else if asked("/stream") {
             let gate = gate.clone();
-            return Reply::Do(Box::new(move |stream| {
+            return Reply::Custom(Box::new(move |stream| {
                 let _ = stream
                     .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 400000\r\nConnection: close\r\n\r\n");
                 let _ = stream.write_all(&[b'x'; 200_000]);
@@ -71,7 +71,7 @@
                 let _ = stream.write_all(&[b'y'; 200_000]);
             }));
         }
-        ok(name)
+        ok_reply(name)
     })
 }
 
@@ -111,7 +111,7 @@
     let play = |(what, next): (&str, &str)| {
         let gate = Gate::default();
         let (one, two) = (held(&gate, "one"), held(&gate, "two"));
-        let text = site(&one.dials, &two.dials);
+        let text = site(&one.addresses, &two.addresses);
         let node = Node::site(&text);
         let send = |request: &[u8]| {
             let mut client = node.connect();
@@ -124,16 +124,16 @@
         let mut streams = send(&asked("GET /1/stream", ""));
         let mut first = [0; 1];
         streams.read_exact(&mut first).unwrap();
-        until("all are under way", || one.seen() == 4);
+        wait_until("all are under way", || one.request_count() == 4);
         node.reload(&changed(what, &text));
         node.says("reloaded: ", 1);
         let now = node.raw(&asked("GET /1/now", "X-Tenant: t1\r\n")).unwrap();
         assert_eq!(now.body, next.as_bytes(), "{what}: who comes behind goes by the new file");
         gate.open();
-        assert_eq!(read(&mut waits).expect("an answer").body, b"one", "{what}");
-        assert_eq!(read(&mut fails).expect("an answer").status(), 200, "{what}: it is tried again");
+        assert_eq!(read_message(&mut waits).expect("an answer").body, b"one", "{what}");
+        assert_eq!(read_message(&mut fails).expect("an answer").status(), 200, "{what}: it is tried again");
         assert_eq!(
-            read(&mut unsafe_fails).expect("an answer").status(),
+            read_message(&mut unsafe_fails).expect("an answer").status(),
             503,
             "{what}: it is not tried again"
         );
@@ -219,8 +219,8 @@
 /// takes, where each would wait for all of it if the thread that serves did it. Only what differs is touched; the log and the figures tell what that was.
 #[test]
 fn requests_go_on_while_a_file_is_compiled() {
-    let servers = Servers::new(2, |_, _| ok("fine"));
-    let text = large(&servers.dials, 12_000, "old");
+    let servers = Servers::new(2, |_, _| ok_reply("fine"));
+    let text = large(&servers.addresses, 12_000, "old");
     let node = Node::site(&text);
     let over = AtomicBool::new(false);
     std::thread::scope(|all| {
@@ -230,7 +230,7 @@
             while !over.load(SeqCst) {
                 let begun = Instant::now();
                 stream.write_all(&asked("GET /part-7/x", "")).unwrap();
-                assert_eq!(read(&mut stream).expect("an answer").status(), 200);
+                assert_eq!(read_message(&mut stream).expect("an answer").status(), 200);
                 longest = longest.max(begun.elapsed());
             }
             longest
@@ -257,7 +257,7 @@
 
     // One tenant, one server, one weight; and back to what was there before.
     let new = text.replace("\"old\"", "\"new\"");
-    let dial = servers.dials[0];
+    let dial = servers.addresses[0];
     let first = |text: &str, from: &str, to: &str| text.replacen(from, to, 1);
     for (k, (changed, words)) in [
         (new.replacen("rate = 5.0", "rate = 6.0", 1), "; tenants: 1 changed; pools touched: 0;"),
@@ -292,8 +292,8 @@
 /// Twenty files in a second: the last is in force in the end, no request is lost, and not all are compiled one after another.
 #[test]
 fn of_many_files_the_last_is_in_force() {
-    let servers = Servers::new(2, |_, _| ok("fine"));
-    let text = large(&servers.dials, 2_000, "w0");
+    let servers = Servers::new(2, |_, _| ok_reply("fine"));
+    let text = large(&servers.addresses, 2_000, "w0");
     let node = Node::site(&text);
     let over = AtomicBool::new(false);
     std::thread::scope(|all| {
@@ -301,14 +301,14 @@
             let mut stream = node.connect();
             while !over.load(SeqCst) {
                 stream.write_all(&asked("GET /part-7/x", "")).unwrap();
-                assert_eq!(read(&mut stream).expect("an answer").status(), 200);
+                assert_eq!(read_message(&mut stream).expect("an answer").status(), 200);
             }
         });
         for k in 1..=20 {
             replace(&node, &text.replace("\"w0\"", &format!("\"w{k}\"")));
             std::thread::sleep(Duration::from_millis(20));
         }
-        until("the last is in force", || word(&node) == "w20");
+        wait_until("the last is in force", || word(&node) == "w20");
         over.store(true, SeqCst);
         client.join().unwrap();
     });
@@ -324,8 +324,8 @@
 /// Files that never stop coming do not keep all of them out.
 #[test]
 fn files_that_go_on_coming_are_taken_in_between() {
-    let servers = Servers::new(1, |_, _| ok("fine"));
-    let text = large(&servers.dials, 3_000, "w0");
+    let servers = Servers::new(1, |_, _| ok_reply("fine"));
+    let text = large(&servers.addresses, 3_000, "w0");
     let node = Node::site(&text);
     let over = AtomicBool::new(false);
     std::thread::scope(|all| {
@@ -348,8 +348,8 @@
 /// A broken file right behind a good one is turned down, in one line; the good one stays in force, and so does what comes next.
 #[test]
 fn a_broken_file_behind_a_good_one_changes_nothing() {
-    let servers = Servers::new(1, |_, _| ok("fine"));
-    let text = large(&servers.dials, 200, "old");
+    let servers = Servers::new(1, |_, _| ok_reply("fine"));
+    let text = large(&servers.addresses, 200, "old");
     let node = Node::site(&text);
     node.reload(&text.replace("\"old\"", "\"good\""));
     node.says("reloaded: ", 1);
@@ -386,8 +386,8 @@
 /// A file that is written while it is read: what is in force is one of the two files or the other, never a part or a mixture.
 #[test]
 fn a_file_that_changes_while_it_is_read_is_taken_whole_or_not_at_all() {
-    let servers = Servers::new(1, |_, _| ok("fine"));
-    let files = ["aaa", "bbb"].map(|word| large(&servers.dials, 1_500, word));
+    let servers = Servers::new(1, |_, _| ok_reply("fine"));
+    let files = ["aaa", "bbb"].map(|word| large(&servers.addresses, 1_500, word));
     let node = Node::site(&files[0]);
     let over = AtomicBool::new(false);
     std::thread::scope(|all| {
@@ -416,7 +416,7 @@
     });
     // Each version that was in force is that of one of the two.
     node.reload(&files[0]);
-    until("the first is in force", || word(&node) == "aaa");
+    wait_until("the first is in force", || word(&node) == "aaa");
     let versions: std::collections::BTreeSet<_> = lines(&node, "reloaded: listeners")
         .iter()
         .map(|line| line.split("version ").nth(1).unwrap().split(' ').next().unwrap().to_owned())
@@ -427,8 +427,8 @@
 /// SIGTERM behind SIGHUP: the end does not wait for the file.
 #[test]
 fn the_end_does_not_wait_for_a_file() {
-    let servers = Servers::new(1, |_, _| ok("fine"));
-    let text = large(&servers.dials, 6_000, "old");
+    let servers = Servers::new(1, |_, _| ok_reply("fine"));
+    let text = large(&servers.addresses, 6_000, "old");
     let mut node = Node::site(&text);
     node.reload(&text);
     node.says("reloaded: ", 1);
--- a/crates/corkhollow/tests/retune.rs
+++ b/crates/corkhollow/tests/retune.rs
@@ -14,16 +14,16 @@
 }
 
 fn applied(node: &Node, count: f64) {
-    until("the file is taken", || node.figure("gw_sighup_applied") == Some(count));
+    wait_until("the file is taken", || node.figure("gw_sighup_applied") == Some(count));
 }
 
 #[test]
 fn classes_come_and_go() {
-    let servers = Servers::new(2, |_, _| ok("fine"));
+    let servers = Servers::new(2, |_, _| ok_reply("fine"));
     let (node, discovery) = Node::with(&servers);
     let mut kept = node.connect();
-    kept.write_all(&get("/safe/1", "")).unwrap();
-    assert_eq!(read(&mut kept).unwrap().status(), 200);
+    kept.write_all(&get_request("/safe/1", "")).unwrap();
+    assert_eq!(read_message(&mut kept).unwrap().status(), 200);
     assert_eq!(node.get("/extra/1", "").unwrap().status(), 404);
     // In front of the others: their places in the settings change.
     node.reload(&changed(&discovery, |classes| format!("{EXTRA},{classes}")));
@@ -39,8 +39,8 @@
     assert_eq!(node.get("/safe/1", "").unwrap().status(), 404);
     assert_eq!(node.get("/extra/1", "").unwrap().status(), 200);
     // A client's connection and what the node has of servers' outlast both.
-    kept.write_all(&get("/extra/1", "")).unwrap();
-    assert_eq!(read(&mut kept).unwrap().status(), 200);
+    kept.write_all(&get_request("/extra/1", "")).unwrap();
+    assert_eq!(read_message(&mut kept).unwrap().status(), 200);
     assert_eq!(discovery.watched(), 1, "the list was asked for anew");
 }
 
@@ -52,30 +52,30 @@
     let servers = Servers::new(2, move |n, _| match n {
         0 => {
             let heard = heard.lock().unwrap().take();
-            Reply::Do(Box::new(move |stream| {
+            Reply::Custom(Box::new(move |stream| {
                 let _ = heard.unwrap().recv();
-                reset(stream.try_clone().unwrap());
+                reset_connection(stream.try_clone().unwrap());
             }))
         }
         1 => Reply::Reset,
-        _ => ok("fine"),
+        _ => ok_reply("fine"),
     });
     let (node, discovery) = Node::with(&servers);
     let mut open = node.connect();
-    open.write_all(&post("/once/1", b"body")).unwrap();
-    until("the server has the request", || servers.seen() == 1);
+    open.write_all(&post_request("/once/1", b"body")).unwrap();
+    wait_until("the server has the request", || servers.request_count() == 1);
     node.reload(&changed(&discovery, |classes| classes.replace("side_effect", "pure")));
     applied(&node, 1.0);
     say.send(()).unwrap();
-    assert_eq!(read(&mut open).unwrap().status(), 502);
-    assert_eq!(servers.seen(), 1);
+    assert_eq!(read_message(&mut open).unwrap().status(), 502);
+    assert_eq!(servers.request_count(), 1);
     assert_eq!(node.post("/once/2", b"body").unwrap().status(), 200);
-    assert_eq!(servers.seen(), 3, "a reset of what is safe by now is followed by another attempt");
+    assert_eq!(servers.request_count(), 3, "a reset of what is safe by now is followed by another attempt");
 }
 
 #[test]
 fn a_file_that_cannot_be_used_is_turned_down_whole() {
-    let servers = Servers::new(2, |_, _| ok("fine"));
+    let servers = Servers::new(2, |_, _| ok_reply("fine"));
     let (node, discovery) = Node::with(&servers);
     let good = changed(&discovery, |classes| format!("{EXTRA},{classes}"));
     let bad = [
@@ -94,7 +94,7 @@
     for (k, text) in bad.iter().enumerate() {
         node.reload(text);
         let turned_down = (k + 1) as f64;
-        until("the file is turned down", || node.figure("gw_sighup_rejected") == Some(turned_down));
+        wait_until("the file is turned down", || node.figure("gw_sighup_rejected") == Some(turned_down));
         assert_eq!(node.get("/extra/1", "").unwrap().status(), 404, "file {k}");
         assert_eq!(node.get("/safe/1", "").unwrap().status(), 200, "file {k}");
     }
@@ -107,15 +107,15 @@
 /// Other times for connections to servers are taken over by the pool that is there, with its connections.
 #[test]
 fn a_pool_outlives_other_times_for_its_connections() {
-    let servers = Servers::new(1, |_, _| ok("fine"));
+    let servers = Servers::new(1, |_, _| ok_reply("fine"));
     let (node, discovery) = Node::with(&servers);
     assert_eq!(node.get("/safe/1", "").unwrap().status(), 200);
-    let connected = servers.connected();
+    let connected = servers.connection_count();
     let told = config(discovery.address, &Options { idle_ms: 60_000, ..Options::default() });
     node.reload(&told.replace("\"connectTimeoutNs\":120000000", "\"connectTimeoutNs\":250000000"));
     applied(&node, 1.0);
     assert_eq!(node.get("/safe/1", "").unwrap().status(), 200);
-    assert_eq!((servers.connected(), discovery.watched()), (connected, 1), "the pool was begun anew");
+    assert_eq!((servers.connection_count(), discovery.watched()), (connected, 1), "the pool was begun anew");
 }
 
 /// A quick class and one of 150 times its work, of one worth, before 20 idle servers, one caller at a time. The second was
@@ -123,11 +123,11 @@
 #[test]
 fn nothing_is_refused_beside_idle_servers() {
     let servers = Servers::new(20, |_, m| match m.head.starts_with("GET /extra/slow") {
-        true => Reply::Do(Box::new(|stream| {
+        true => Reply::Custom(Box::new(|stream| {
             std::thread::sleep(std::time::Duration::from_millis(150));
             let _ = stream.write_all(&response("200 OK", "Connection: close\r\n", b"late"));
         })),
-        false => ok("fine"),
+        false => ok_reply("fine"),
     });
     let (node, discovery) = Node::with(&servers);
     let served =
--- a/crates/corkhollow/tests/shutdown.rs
+++ b/crates/corkhollow/tests/shutdown.rs
@@ -16,8 +16,8 @@
 
 /// A node before servers that take requests and hang.
 fn before_hanging(seconds: u64, sockets: u64) -> (Node, Discovery, Servers) {
-    let servers = Servers::new(4, |_, _| Reply::Silence);
-    let discovery = Discovery::new(vec![servers.list(1)], true);
+    let servers = Servers::new(4, |_, _| Reply::NoAnswer);
+    let discovery = Discovery::new(vec![servers.list_json(1)], true);
     let node = Node::of(&lasting(discovery.address, seconds, sockets));
     node.ready();
     (node, discovery, servers)
@@ -25,13 +25,13 @@
 
 /// A request without a word on its time: its class's counts.
 fn patient(path: &str) -> Vec<u8> {
-    let request = String::from_utf8(post(path, b"body")).unwrap();
+    let request = String::from_utf8(post_request(path, b"body")).unwrap();
     request.replace("X-Timeout-Ms: 2500\r\n", "").into_bytes()
 }
 
 /// Its listening socket is closed: new clients have stopped coming.
 fn refuses(node: &Node) {
-    until("no more clients are taken", || TcpStream::connect(node.address).is_err());
+    wait_until("no more clients are taken", || TcpStream::connect(node.address).is_err());
 }
 
 #[test]
@@ -40,13 +40,13 @@
         let (mut node, _discovery, servers) = before_hanging(seconds, 1024);
         let mut client = node.connect();
         client.write_all(&patient("/once/1")).unwrap();
-        until("the request is under way", || servers.seen() == 1);
+        wait_until("the request is under way", || servers.request_count() == 1);
         let told = Instant::now();
         node.signal("-TERM");
         // Further signals change nothing.
         node.signal("-HUP");
         node.signal("-TERM");
-        let answer = read(&mut client).expect("an answer");
+        let answer = read_message(&mut client).expect("an answer");
         assert_eq!((answer.status(), answer.header("connection")), (504, Some("close")), "{seconds} s");
         assert!(node.exit().success());
         assert!(told.elapsed() < KILLED + Duration::from_millis(300), "{seconds} s: {:?}", told.elapsed());
@@ -65,7 +65,7 @@
     for client in &mut clients {
         client.write_all(&request[..20]).unwrap();
     }
-    until("they are there", || node.figure("gw_client_connections") == Some(3.0));
+    wait_until("they are there", || node.figure("gw_client_connections") == Some(3.0));
     let told = Instant::now();
     node.signal("-TERM");
     refuses(&node);
@@ -74,10 +74,10 @@
     for (k, client) in clients.iter_mut().enumerate() {
         let own = patient("/once/1");
         client.write_all(&own[20..]).unwrap();
-        until("the request is under way", || servers.seen() == k + 1);
+        wait_until("the request is under way", || servers.request_count() == k + 1);
     }
     for mut client in clients {
-        let answer = read(&mut client).expect("an answer");
+        let answer = read_message(&mut client).expect("an answer");
         assert_eq!((answer.status(), answer.header("connection")), (504, Some("close")));
     }
     assert!(node.exit().success());
@@ -90,12 +90,12 @@
 fn a_full_table_does_not_hold_up_the_end() {
     let (mut node, _discovery, servers) = before_hanging(20, 64);
     let mut clients = Vec::new();
-    while servers.seen() < 4 {
+    while servers.request_count() < 4 {
         let mut client = node.connect();
         client.write_all(&patient("/once/1")).unwrap();
         clients.push(client);
         std::thread::sleep(Duration::from_millis(5));
-        assert!(clients.len() < 200, "{} of them are sent on", servers.seen());
+        assert!(clients.len() < 200, "{} of them are sent on", servers.request_count());
     }
     // Bodies that do not come hold their places too.
     let half = patient("/once/1");
@@ -108,8 +108,8 @@
     node.signal("-TERM");
     assert!(node.exit().success());
     assert!(told.elapsed() < KILLED + Duration::from_millis(300), "{:?}", told.elapsed());
-    let answered = clients.iter_mut().filter_map(read).filter(|m| m.status() == 504).count();
-    assert_eq!(answered, servers.seen(), "of those that were sent on");
+    let answered = clients.iter_mut().filter_map(read_message).filter(|m| m.status() == 504).count();
+    assert_eq!(answered, servers.request_count(), "of those that were sent on");
 }
 
 /// SIGTERM before the node has heard of its servers, with requests there: they are answered, and it ends.
@@ -120,11 +120,11 @@
     let silent = agent.call();
     let mut clients: Vec<_> = (0..5).map(|_| node.connect()).collect();
     for client in &mut clients {
-        client.write_all(&post("/once/1", b"body")).unwrap();
+        client.write_all(&post_request("/once/1", b"body")).unwrap();
     }
     node.signal("-TERM");
     for client in &mut clients {
-        assert_eq!(read(client).expect("an answer").status(), 503);
+        assert_eq!(read_message(client).expect("an answer").status(), 503);
     }
     assert!(node.exit().success());
     drop(silent);
@@ -135,20 +135,20 @@
 fn unread_bytes_do_not_cost_the_last_answer() {
     let body = vec![b'x'; 60_000];
     let answer = response("200 OK", "", &body);
-    let servers = Servers::new(20, move |_, _| Reply::Say(answer.clone()));
+    let servers = Servers::new(20, move |_, _| Reply::Send(answer.clone()));
     let (mut node, _discovery) = Node::with(&servers);
     let mut clients: Vec<_> = (0..20).map(|_| node.connect()).collect();
     let told = Instant::now();
     node.signal("-TERM");
-    until("the node says that it leaves", || node.get("/up", "").is_some_and(|m| m.status() == 503));
+    wait_until("the node says that it leaves", || node.get("/up", "").is_some_and(|m| m.status() == 503));
     for client in &mut clients {
-        let mut bytes = post("/once/1", b"body");
-        bytes.extend(get("/safe/2", "").repeat(20));
+        let mut bytes = post_request("/once/1", b"body");
+        bytes.extend(get_request("/safe/2", "").repeat(20));
         client.write_all(&bytes).unwrap();
     }
     for client in &mut clients {
-        let answer = read(client).expect("an answer");
-        assert_eq!((answer.status(), answer.body.len(), answer.whole), (200, body.len(), true));
+        let answer = read_message(client).expect("an answer");
+        assert_eq!((answer.status(), answer.body.len(), answer.is_complete), (200, body.len(), true));
         let _ = client.read(&mut [0]);
     }
     assert!(node.exit().success());
@@ -160,24 +160,24 @@
 #[test]
 fn requests_that_are_still_coming_are_served() {
     let servers =
-        Servers::new(8, |_, m| Reply::Say(response("200 OK", "", m.body.len().to_string().as_bytes())));
-    let discovery = Discovery::new(vec![servers.list(1)], true);
+        Servers::new(8, |_, m| Reply::Send(response("200 OK", "", m.body.len().to_string().as_bytes())));
+    let discovery = Discovery::new(vec![servers.list_json(1)], true);
     let mut node = Node::start(discovery.address, &Options { memory_mb: 48, ..Options::default() });
     node.ready();
     let long = 6_000_000;
     let mut coming = Vec::new();
-    for (length, here) in [(4, 20), (4, post("/once/1", b"").len() + 2), (long, long / 2)] {
-        let request = post("/once/1", &vec![b'x'; length]);
+    for (length, here) in [(4, 20), (4, post_request("/once/1", b"").len() + 2), (long, long / 2)] {
+        let request = post_request("/once/1", &vec![b'x'; length]);
         let mut client = node.connect();
         client.write_all(&request[..here]).unwrap();
         coming.push((client, request, here, length));
     }
-    until("they are there", || node.figure("gw_client_connections") == Some(3.0));
+    wait_until("they are there", || node.figure("gw_client_connections") == Some(3.0));
     node.signal("-TERM");
-    until("the node says that it leaves", || node.get("/up", "").is_some_and(|m| m.status() == 503));
+    wait_until("the node says that it leaves", || node.get("/up", "").is_some_and(|m| m.status() == 503));
     for (mut client, request, here, length) in coming {
         client.write_all(&request[here..]).unwrap();
-        let answer = read(&mut client).expect("an answer");
+        let answer = read_message(&mut client).expect("an answer");
         assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")), "{length} bytes");
         assert_eq!(answer.body, length.to_string().into_bytes());
     }
@@ -192,15 +192,15 @@
     let gate = std::sync::Mutex::new(gate);
     let servers = Servers::new(2, move |n, _| {
         if n > 0 {
-            return ok("fine");
+            return ok_reply("fine");
         }
         let _ = gate.lock().unwrap().recv();
-        Reply::Say(response("500 No", "", b""))
+        Reply::Send(response("500 No", "", b""))
     });
     let (mut node, discovery) = Node::with(&servers);
     let mut client = node.connect();
-    client.write_all(&get("/safe/1", "")).unwrap();
-    until("the request is under way", || servers.seen() == 1);
+    client.write_all(&get_request("/safe/1", "")).unwrap();
+    wait_until("the request is under way", || servers.request_count() == 1);
     let other = config(discovery.address, &Options::default())
         .replace("\"name\":\"safe\"", "\"name\":\"sure\"")
         .replace("\"maxAttempts\":3", "\"maxAttempts\":1");
@@ -210,9 +210,9 @@
     assert_eq!(node.get("/safe/2", "").unwrap().status(), 404, "the class is gone");
     assert_eq!(node.get("/sure/2", "").unwrap().status(), 200);
     node.signal("-TERM");
-    until("the node says that it leaves", || node.get("/up", "").is_some_and(|m| m.status() == 503));
+    wait_until("the node says that it leaves", || node.get("/up", "").is_some_and(|m| m.status() == 503));
     go.send(()).unwrap();
-    assert_eq!(read(&mut client).expect("an answer").body, b"fine");
-    assert_eq!(servers.seen(), 3);
+    assert_eq!(read_message(&mut client).expect("an answer").body, b"fine");
+    assert_eq!(servers.request_count(), 3);
     assert!(node.exit().success());
 }
--- a/crates/corkhollow/tests/site/bodies.rs
+++ b/crates/corkhollow/tests/site/bodies.rs
@@ -6,15 +6,15 @@
 /// closes, and the client gets the answer also where it sends all of its body first.
 #[test]
 fn an_answer_reaches_a_client_whose_body_nobody_wants() {
-    let servers = Servers::new(1, |_, _| ok("fine"));
+    let servers = Servers::new(1, |_, _| ok_reply("fine"));
     let routes = "[[route]]\nname = \"own\"\npath_prefix = \"/own\"\nanswer = { status = 405 }";
-    let node = Node::site(&site(&servers.dials, "", "", routes));
+    let node = Node::site(&site(&servers.addresses, "", "", routes));
     let mut client = node.connect();
     for _ in 0..3 {
         let chunked = "POST /own HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n";
         client.write_all(chunked.as_bytes()).unwrap();
         client.write_all(b"5\r\nhello\r\n0\r\n\r\n").unwrap();
-        let answer = read(&mut client).unwrap();
+        let answer = read_message(&mut client).unwrap();
         assert_eq!((answer.status(), answer.header("connection")), (405, None));
     }
     for head in ["Content-Length: 6000000", "Transfer-Encoding: chunked"] {
@@ -25,7 +25,7 @@
             let sent = if head.starts_with('C') { &chunk[6..60_006] } else { &chunk[..] };
             client.write_all(sent).expect("the client is cut off in its body");
         }
-        let answer = read(&mut client).expect("the answer is lost");
+        let answer = read_message(&mut client).expect("the answer is lost");
         assert_eq!((answer.status(), answer.header("connection")), (405, Some("close")));
         half_close(&client);
         assert_eq!(client.read(&mut [0]).unwrap(), 0);
@@ -35,13 +35,13 @@
         whole(&node, asks.as_bytes()).starts_with("HTTP/1.1 405"),
         "a body is asked for that is not wanted"
     );
-    assert_eq!(servers.seen(), 0);
+    assert_eq!(servers.request_count(), 0);
 }
 
 /// The answer is there before the body is whole: it goes to the client, whose connection then ends.
 #[test]
 fn an_answer_may_come_before_the_body_is_whole() {
-    let servers = raw(|mut stream| {
+    let servers = spawn_raw_server(|mut stream| {
         let mut some = [0; 1000];
         let _ = stream.read(&mut some);
         let _ = stream.write_all(&response("413 Too Large", "Connection: close\r\n", b"enough"));
@@ -51,13 +51,13 @@
     let mut client = node.connect();
     write!(client, "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 1000000\r\n\r\n").unwrap();
     client.write_all(&vec![b'x'; 200_000]).unwrap();
-    let answer = read(&mut client).unwrap();
+    let answer = read_message(&mut client).unwrap();
     assert_eq!((answer.status(), &answer.body[..]), (413, &b"enough"[..]));
 }
 
 #[test]
 fn a_server_is_asked_before_the_body_is() {
-    let servers = raw(|mut stream| {
+    let servers = spawn_raw_server(|mut stream| {
         let mut head = Vec::new();
         let mut byte = [0];
         while !head.ends_with(b"\r\n\r\n") && stream.read(&mut byte).unwrap_or(0) == 1 {
@@ -79,13 +79,13 @@
         let mut client = node.connect();
         write!(client, "PUT {path} HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\nContent-Length: 4\r\n\r\n")
             .unwrap();
-        let interim = read(&mut client).unwrap();
+        let interim = read_message(&mut client).unwrap();
         (client, interim)
     };
     let (mut client, interim) = ask("/yes");
     assert_eq!(interim.status(), 100);
     client.write_all(b"body").unwrap();
-    let answer = read(&mut client).unwrap();
+    let answer = read_message(&mut client).unwrap();
     assert_eq!((answer.status(), &answer.body[..]), (200, &b"body"[..]));
     let (_, refused) = ask("/no");
     assert_eq!(refused.status(), 403, "without the body's having been asked for");
@@ -94,20 +94,20 @@
 #[test]
 fn interim_answers_do_not_end_a_request() {
     let servers = Servers::new(1, |n, _| match n {
-        0 => Reply::Say(
+        0 => Reply::Send(
             [b"HTTP/1.1 103 Early Hints\r\n\r\n".to_vec(), response("200 OK", "", b"fine")].concat(),
         ),
-        _ => Reply::Last(b"HTTP/1.1 102 Processing\r\n\r\n".to_vec()),
+        _ => Reply::SendAndClose(b"HTTP/1.1 102 Processing\r\n\r\n".to_vec()),
     });
-    let node = plain(&servers.dials);
+    let node = plain(&servers.addresses);
     let mut stream = node.connect();
     stream.write_all(&asked("GET / HTTP/1.1")).unwrap();
-    assert_eq!(read(&mut stream).unwrap().status(), 103);
-    let first = read(&mut stream).unwrap();
+    assert_eq!(read_message(&mut stream).unwrap().status(), 103);
+    let first = read_message(&mut stream).unwrap();
     assert_eq!((first.status(), &first.body[..]), (200, &b"fine"[..]));
     stream.write_all(&asked("POST / HTTP/1.1")).unwrap();
-    assert_eq!(read(&mut stream).unwrap().status(), 102);
-    assert_eq!(read(&mut stream).unwrap().status(), 502, "it said something, and died");
+    assert_eq!(read_message(&mut stream).unwrap().status(), 102);
+    assert_eq!(read_message(&mut stream).unwrap().status(), 502, "it said something, and died");
 }
 
 /// Interim answers are the client's (RFC 9110, 15.2), before the final one; not all of a flood, and not where the
@@ -117,11 +117,11 @@
     let servers = Servers::new(1, |_, m| {
         let count = m.header("x-count").unwrap().parse().unwrap();
         let hint = "HTTP/1.1 103 Early Hints\r\nLink: </a.css>\r\nConnection: x-gone\r\nX-Gone: 1\r\n\r\n";
-        Reply::Say(
+        Reply::Send(
             [hint.repeat(count).into_bytes(), response("200 OK", "", count.to_string().as_bytes())].concat(),
         )
     });
-    let node = plain(&servers.dials);
+    let node = plain(&servers.addresses);
     for version in ["1.1", "1.0"] {
         let ask = |count: usize, end: &str| {
             format!("GET / HTTP/{version}\r\nHost: a\r\nX-Count: {count}\r\nConnection: {end}\r\n\r\n")
@@ -150,8 +150,8 @@
     .into_iter()
     .enumerate()
     {
-        let servers = raw(move |mut stream| {
-            let _ = read(&mut stream);
+        let servers = spawn_raw_server(move |mut stream| {
+            let _ = read_message(&mut stream);
             let (head, body) = spoilt.split_once("\r\n\r\n").unwrap();
             let _ = stream.write_all(format!("{head}\r\n\r\n").as_bytes());
             std::thread::sleep(Duration::from_millis(100));
@@ -159,7 +159,7 @@
         });
         let node = plain(&[servers]);
         let answer = node.raw(&asked("POST / HTTP/1.1")).unwrap();
-        assert!(answer.status() == 200 && !answer.whole, "case {k}: {answer:?}");
+        assert!(answer.status() == 200 && !answer.is_complete, "case {k}: {answer:?}");
     }
 }
 
@@ -167,9 +167,9 @@
 fn a_client_that_leaves_in_its_body_costs_its_server_nothing() {
     let broken = Arc::new(AtomicUsize::new(0));
     let seen = broken.clone();
-    let servers = Servers::new(1, |_, _| ok("fine"));
-    let first = servers.dials[0];
-    let cut = raw(move |mut stream| {
+    let servers = Servers::new(1, |_, _| ok_reply("fine"));
+    let first = servers.addresses[0];
+    let cut = spawn_raw_server(move |mut stream| {
         let Ok(mut inner) = TcpStream::connect(first) else { return };
         let mut all = Vec::new();
         let mut chunk = [0; 4096];
@@ -180,7 +180,7 @@
                     all.extend(&chunk[..n]);
                     if all.starts_with(b"GET") && all.ends_with(b"\r\n\r\n") {
                         let _ = inner.write_all(&all);
-                        let answer = read(&mut inner).unwrap();
+                        let answer = read_message(&mut inner).unwrap();
                         let _ = stream.write_all(&response("200 OK", "", &answer.body));
                         all.clear();
                     }
@@ -197,7 +197,7 @@
         write!(client, "PUT /{k} HTTP/1.1\r\nHost: a\r\nContent-Length: 1000000\r\n\r\n").unwrap();
         client.write_all(&vec![b'x'; 300_000]).unwrap();
         drop(client);
-        until("the server sees the cut", || broken.load(SeqCst) == k + 1);
+        wait_until("the server sees the cut", || broken.load(SeqCst) == k + 1);
         assert_eq!(node.raw(&asked("GET / HTTP/1.1")).unwrap().status(), 200, "after {k}");
     }
 }
--- a/crates/corkhollow/tests/site/messages.rs
+++ b/crates/corkhollow/tests/site/messages.rs
@@ -6,9 +6,9 @@
 fn statuses_headers_and_bodies_pass() {
     let servers = Servers::new(1, |_, m| {
         let status = m.head.split(' ').nth(1).unwrap().trim_start_matches('/').replace('_', " ");
-        Reply::Say(response(&status, "X-Own: yes\r\nX-Two: 1\r\nX-Two: 2\r\nKeep-Alive: 5\r\n", &m.body))
+        Reply::Send(response(&status, "X-Own: yes\r\nX-Two: 1\r\nX-Two: 2\r\nKeep-Alive: 5\r\n", &m.body))
     });
-    let node = plain(&servers.dials);
+    let node = plain(&servers.addresses);
     for (status, method) in
         [("200_OK", "GET"), ("201_Made", "PUT"), ("404_No", "GET"), ("418_Pot", "PATCH"), ("599_X", "DELETE")]
     {
@@ -28,21 +28,21 @@
         assert_eq!(request.header("x-request-id").map(str::len), Some(16));
         assert_eq!((request.header("x-timeout-ms"), request.header("via")), (None, None));
     }
-    assert_eq!(servers.connected(), 1);
+    assert_eq!(servers.connection_count(), 1);
 }
 
 /// Answers without a body by definition keep the length that they announce.
 #[test]
 fn answers_without_a_body_end_with_their_head() {
     let servers = Servers::new(1, |n, _| {
-        Reply::Say(match n {
+        Reply::Send(match n {
             0 => b"HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n".to_vec(),
             1 => b"HTTP/1.1 204 No Content\r\n\r\n".to_vec(),
             2 => b"HTTP/1.1 304 Not Modified\r\nContent-Length: 77\r\nETag: \"x\"\r\n\r\n".to_vec(),
             _ => response("200 OK", "", b"last"),
         })
     });
-    let node = plain(&servers.dials);
+    let node = plain(&servers.addresses);
     let all = whole(
         &node,
         b"HEAD / HTTP/1.1\r\nHost: a\r\n\r\nGET / HTTP/1.1\r\nHost: a\r\n\r\nGET / HTTP/1.1\r\nHost: a\r\n\r\n\
@@ -54,13 +54,13 @@
     assert!(heads[1].starts_with("HTTP/1.1 204") && !heads[1].contains("content-length"), "{all}");
     assert!(heads[2].starts_with("HTTP/1.1 304") && heads[2].contains("etag: \"x\""), "{all}");
     assert!(heads[3].starts_with("HTTP/1.1 200") && heads[4] == "last", "{all}");
-    assert_eq!(servers.connected(), 1, "each answer's end was found");
+    assert_eq!(servers.connection_count(), 1, "each answer's end was found");
 }
 
 #[test]
 fn targets_and_versions_are_read_as_the_rfc_has_them() {
-    let servers = Servers::new(1, |_, m| Reply::Say(response("200 OK", "", m.head.as_bytes())));
-    let node = plain(&servers.dials);
+    let servers = Servers::new(1, |_, m| Reply::Send(response("200 OK", "", m.head.as_bytes())));
+    let node = plain(&servers.addresses);
     for (request, line, host) in [
         ("GET http://b.org:99/x?y HTTP/1.1\r\nHost: a.org\r\n", "GET /x?y HTTP/1.1", "b.org:99"),
         ("OPTIONS * HTTP/1.1\r\nHost: a.org\r\n", "OPTIONS * HTTP/1.1", "a.org"),
@@ -83,14 +83,14 @@
         let answer = whole(&node, bad.as_bytes());
         assert!(answer.starts_with(&format!("HTTP/1.1 {status}")), "{bad}: {answer}");
     }
-    assert_eq!(servers.seen(), 4);
+    assert_eq!(servers.request_count(), 4);
 }
 
 /// A server that takes a connection and reads nothing: the client's long body stands still, and has its answer when that has
 /// lasted too long.
 #[test]
 fn a_body_that_no_server_reads_is_answered() {
-    let deaf = raw(|stream| {
+    let deaf = spawn_raw_server(|stream| {
         std::thread::sleep(Duration::from_secs(30));
         drop(stream);
     });
@@ -102,7 +102,7 @@
     let mut sender = client.try_clone().unwrap();
     let sending = std::thread::spawn(move || sender.write_all(&vec![b'x'; 64_000_000]));
     let begun = Instant::now();
-    let answer = read(&mut client).expect("no answer");
+    let answer = read_message(&mut client).expect("no answer");
     assert_eq!((answer.status(), answer.header("connection")), (504, Some("close")));
     assert!(begun.elapsed() < Duration::from_secs(15), "{:?}", begun.elapsed());
     drop(client);
@@ -112,8 +112,8 @@
 /// A head over its limit is answered so, also where a connection reads more than that at once, and reaches no server.
 #[test]
 fn a_head_over_its_limit_is_told_so() {
-    let servers = Servers::new(1, |_, _| ok("fine"));
-    let node = plain(&servers.dials);
+    let servers = Servers::new(1, |_, _| ok_reply("fine"));
+    let node = plain(&servers.addresses);
     let asks = |long| {
         let value = "a".repeat(long);
         node.raw(format!("GET / HTTP/1.1\r\nHost: a.org\r\nX-Long: {value}\r\n\r\n").as_bytes()).unwrap()
@@ -123,15 +123,15 @@
         let answer = asks(long);
         assert_eq!((answer.status(), answer.header("connection")), (431, Some("close")), "{long}");
     }
-    assert_eq!(servers.seen(), 1);
+    assert_eq!(servers.request_count(), 1);
 }
 
 /// No spelling of a host or a path leads round the route that is meant to take it.
 #[test]
 fn no_spelling_leads_round_a_route() {
-    let servers = Servers::new(1, |_, _| ok("open"));
+    let servers = Servers::new(1, |_, _| ok_reply("open"));
     let routes = "[[route]]\nname = \"shut\"\nhosts = [\"a.org\"]\npath_prefix = \"/admin\"\nanswer = { status = 403 }";
-    let node = Node::site(&site(&servers.dials, "", "", routes));
+    let node = Node::site(&site(&servers.addresses, "", "", routes));
     for (host, path, status) in [
         ("a.org", "/admin", 403),
         ("A.ORG", "/admin/x", 403),
@@ -157,7 +157,7 @@
 #[test]
 fn routes_redirect_answer_rewrite_and_name_other_methods() {
     let servers =
-        Servers::new(1, |_, m| Reply::Say(response("200 OK", "X-Secret: 1\r\n", m.head.as_bytes())));
+        Servers::new(1, |_, m| Reply::Send(response("200 OK", "X-Secret: 1\r\n", m.head.as_bytes())));
     let routes = r#"
 [[route]]
 name = "moved"
@@ -183,8 +183,8 @@
 methods = ["PATCH"]
 answer = { status = 200 }
 "#;
-    let text =
-        site(&servers.dials, "", "", routes).replace("name = \"all\"\n", "name = \"all\"\npath = \"/all\"\n");
+    let text = site(&servers.addresses, "", "", routes)
+        .replace("name = \"all\"\n", "name = \"all\"\npath = \"/all\"\n");
     let node = Node::site(&text);
     let moved = node.raw(&asked("GET /old?a=b HTTP/1.1")).unwrap();
     assert_eq!((moved.status(), moved.header("location")), (308, Some("https://a.org/new?a=b")));
@@ -211,12 +211,12 @@
 #[test]
 fn servers_are_told_of_the_client_by_setting() {
     let servers =
-        Servers::new(1, |_, m| Reply::Say(response("200 OK", "Via: 1.0 inner\r\n", m.head.as_bytes())));
+        Servers::new(1, |_, m| Reply::Send(response("200 OK", "Via: 1.0 inner\r\n", m.head.as_bytes())));
     let request = b"GET / HTTP/1.1\r\nHost: a.org\r\nX-Forwarded-For: 9.9.9.9\r\nForwarded: for=9.9.9.9\r\n\
                     X-Request-ID: mine\r\nVia: 1.1 first\r\n\r\n";
     for (trust, for_) in [("false", "127.0.0.1"), ("true", "9.9.9.9, 127.0.0.1")] {
         let listener = format!("via = \"edge\"\nforwarded = \"both\"\ntrust_forwarded = {trust}");
-        let node = Node::site(&site(&servers.dials, &listener, "", ""));
+        let node = Node::site(&site(&servers.addresses, &listener, "", ""));
         let answer = node.raw(request).unwrap();
         let seen = String::from_utf8(answer.body.clone()).unwrap();
         assert!(seen.contains(&format!("x-forwarded-for: {for_}\r\n")), "{seen}");
@@ -235,7 +235,7 @@
 #[test]
 fn long_bodies_pass_in_constant_memory() {
     const LONG: u64 = 200_000_000;
-    let dial = raw(|mut stream| {
+    let dial = spawn_raw_server(|mut stream| {
         let mut head = Vec::new();
         let mut byte = [0];
         while !head.ends_with(b"\r\n\r\n") {
@@ -281,7 +281,7 @@
         client.write_all(&chunk).unwrap();
         most = most.max(node.memory());
     }
-    let answer = read(&mut client).unwrap();
+    let answer = read_message(&mut client).unwrap();
     assert_eq!((answer.status(), &answer.body[..]), (200, LONG.to_string().as_bytes()));
     assert!(most - before < 8_000_000, "{} bytes more", most - before);
 }
@@ -292,8 +292,8 @@
     let sent = Arc::new(AtomicUsize::new(0));
     let let_go = Arc::new(AtomicUsize::new(0));
     let (counted, ended) = (sent.clone(), let_go.clone());
-    let dial = raw(move |mut stream| {
-        let _ = read(&mut stream);
+    let dial = spawn_raw_server(move |mut stream| {
+        let _ = read_message(&mut stream);
         let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 500000000\r\n\r\n");
         while stream.write_all(&[b'x'; 100_000]).is_ok() {
             counted.fetch_add(100_000, SeqCst);
@@ -306,7 +306,7 @@
     let mut first = [0; 1000];
     client.read_exact(&mut first).unwrap();
     let before = AtomicUsize::new(0);
-    until("the server is held back", || {
+    wait_until("the server is held back", || {
         let now = sent.load(SeqCst);
         let stands = now > 0 && now == before.swap(now, SeqCst);
         std::thread::sleep(Duration::from_millis(200));
@@ -314,7 +314,7 @@
     });
     assert!(sent.load(SeqCst) < 100_000_000, "{}", sent.load(SeqCst));
     drop(client);
-    until("the server is let go", || let_go.load(SeqCst) == 1);
+    wait_until("the server is let go", || let_go.load(SeqCst) == 1);
 }
 
 #[test]
@@ -325,9 +325,9 @@
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n{:x}\r\n{body}\r\n0\r\nX-Sum: 7\r\n\r\n",
             body.len()
         );
-        Reply::Say(chunked.into_bytes())
+        Reply::Send(chunked.into_bytes())
     });
-    let node = plain(&servers.dials);
+    let node = plain(&servers.addresses);
     let request = |body: usize| {
         let chunk = format!("{:x}\r\n{}\r\n", body, "x".repeat(body));
         format!("POST / HTTP/1.1\r\nHost: a\r\nConnection: close\r\nTE: trailers\r\nTransfer-Encoding: chunked\r\n\r\n{chunk}0\r\n\r\n")
@@ -343,13 +343,13 @@
 /// piece a length beside the coding could not be noticed, and what it hides is not read.
 #[test]
 fn a_connection_goes_on_behind_a_chunked_body() {
-    let servers = Servers::new(1, |_, m| ok(&m.body.len().to_string()));
-    let node = plain(&servers.dials);
+    let servers = Servers::new(1, |_, m| ok_reply(&m.body.len().to_string()));
+    let node = plain(&servers.addresses);
     let chunked = "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n";
     let mut stream = node.connect();
     for k in 0..3 {
         stream.write_all(chunked.as_bytes()).unwrap();
-        let answer = read(&mut stream).unwrap();
+        let answer = read_message(&mut stream).unwrap();
         assert_eq!((answer.status(), &answer.body[..]), (200, &b"3"[..]), "request {k}");
         assert_eq!(answer.header("connection"), None, "request {k}");
     }
@@ -364,7 +364,7 @@
     ] {
         let mut stream = node.connect();
         stream.write_all(first.as_bytes()).unwrap();
-        assert_eq!(read(&mut stream).unwrap().status(), 200);
+        assert_eq!(read_message(&mut stream).unwrap().status(), 200);
         stream.write_all(rest.as_bytes()).unwrap();
         let mut all = String::new();
         let _ = stream.read_to_string(&mut all);
@@ -377,8 +377,8 @@
 /// Each is turned away with nothing passed on, and nothing behind it is read.
 #[test]
 fn smuggled_requests_go_nowhere() {
-    let servers = Servers::new(1, |_, _| ok("fine"));
-    let node = plain(&servers.dials);
+    let servers = Servers::new(1, |_, _| ok_reply("fine"));
+    let node = plain(&servers.addresses);
     let hidden = "GET /hidden HTTP/1.1\r\nHost: a\r\n\r\n";
     let post =
         |headers: &str, body: &str| format!("POST / HTTP/1.1\r\nHost: a\r\n{headers}\r\n\r\n{body}{hidden}");
@@ -415,7 +415,7 @@
         assert_eq!(answer.matches("HTTP/1.1 ").count(), answer.len().min(1), "case {k}: {answer}");
     }
     assert_eq!(
-        servers.seen(),
+        servers.request_count(),
         0,
         "{:?}",
         servers.requests.lock().unwrap().iter().map(|m| &m.head).collect::<Vec<_>>()
@@ -440,15 +440,15 @@
     .enumerate()
     {
         let servers = Servers::new(1, move |_, m| match m.head.contains("/bad") {
-            true => Reply::Say(spoilt.clone().into_bytes()),
-            false => ok("good"),
+            true => Reply::Send(spoilt.clone().into_bytes()),
+            false => ok_reply("good"),
         });
-        let node = plain(&servers.dials);
+        let node = plain(&servers.addresses);
         let mut client = node.connect();
         client.write_all(b"POST /bad HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n").unwrap();
         // What becomes of the spoilt one itself is its client's to see; the next must get its own.
-        let _ = read(&mut client);
-        until("the next client is served", || {
+        let _ = read_message(&mut client);
+        wait_until("the next client is served", || {
             node.raw(&asked("GET /good HTTP/1.1")).is_some_and(|m| {
                 assert!(m.status() != 200 || m.body == b"good", "case {k}: {:?}", String::from_utf8_lossy(&m.body));
                 m.status() == 200
--- a/crates/corkhollow/tests/site/pools.rs
+++ b/crates/corkhollow/tests/site/pools.rs
@@ -9,17 +9,17 @@
         [("GET", 0, 200, 2), ("PUT", 10, 200, 2), ("POST", 10, 503, 1), ("PUT", 100_000, 503, 1)]
     {
         let servers = Servers::new(2, |n, _| match n {
-            0 => Reply::Say(response("503 Busy", "X-Whose: server\r\n", b"busy")),
-            _ => ok("fine"),
+            0 => Reply::Send(response("503 Busy", "X-Whose: server\r\n", b"busy")),
+            _ => ok_reply("fine"),
         });
         let classes = "[[class]]\nname = \"again\"\neffect = \"safe\"\nmethods = [\"GET\", \"PUT\"]";
-        let node = Node::site(&site(&servers.dials, "", "", classes));
+        let node = Node::site(&site(&servers.addresses, "", "", classes));
         let mut request =
             format!("{method} / HTTP/1.1\r\nHost: a\r\nContent-Length: {body}\r\n\r\n").into_bytes();
         request.resize(request.len() + body, b'x');
         let answer = node.raw(&request).unwrap();
         let whose = answer.header("x-whose");
-        assert_eq!((answer.status(), servers.seen()), (status, runs), "{method} of {body}");
+        assert_eq!((answer.status(), servers.request_count()), (status, runs), "{method} of {body}");
         assert_eq!(whose.is_some(), status == 503, "the server's own answer passes: {answer:?}");
     }
 }
@@ -44,19 +44,19 @@
     assert!(refused.header("retry-after").unwrap().parse::<u64>().unwrap() >= 1);
     at_once(&plain(&[refusing_address(), refusing_address()]), "POST / HTTP/1.1", 503, "refused");
     let reset = Servers::new(2, |_, _| Reply::Reset);
-    at_once(&plain(&reset.dials), "POST / HTTP/1.1", 502, "failed");
-    assert_eq!(reset.seen(), 1);
-    let silent = Servers::new(2, |_, _| Reply::Silence);
+    at_once(&plain(&reset.addresses), "POST / HTTP/1.1", 502, "failed");
+    assert_eq!(reset.request_count(), 1);
+    let silent = Servers::new(2, |_, _| Reply::NoAnswer);
     let class = "[[class]]\nname = \"write\"\neffect = \"unsafe\"\naim = \"300ms\"\ndeadline = \"400ms\"";
-    let node = Node::site(&site(&silent.dials, "", "", class));
+    let node = Node::site(&site(&silent.addresses, "", "", class));
     at_once(&node, "POST / HTTP/1.1", 504, "late");
-    assert_eq!(silent.seen(), 1);
+    assert_eq!(silent.request_count(), 1);
 }
 
 /// Who reads the log knows servers by their names.
 #[test]
 fn the_log_names_servers() {
-    let bad = Servers::new(1, |_, _| Reply::Say(response("503 Busy", "", b"")));
+    let bad = Servers::new(1, |_, _| Reply::Send(response("503 Busy", "", b"")));
     // The pause after the first failure goes by the longest deadline of all classes.
     let class = |name: &str| {
         format!("[[class]]\nname = \"{name}\"\neffect = \"safe\"\naim = \"50ms\"\ndeadline = \"100ms\"\n")
@@ -67,12 +67,12 @@
          [[route]]\nname = \"all\"\npool = \"boxes\"\n",
         class("read"),
         class("write"),
-        bad.dials[0]
+        bad.addresses[0]
     ));
     let said = || {
         node.log.lock().unwrap().iter().any(|l| l.contains("pool boxes: server broken: ejected after Error"))
     };
-    until("it says so", || {
+    wait_until("it says so", || {
         node.get("/", "");
         std::thread::sleep(Duration::from_millis(5));
         said()
@@ -81,18 +81,18 @@
 
 #[test]
 fn backups_serve_while_nobody_else_can() {
-    let (main, spare) = (Servers::new(1, |_, _| ok("main")), Servers::new(1, |_, _| ok("spare")));
+    let (main, spare) = (Servers::new(1, |_, _| ok_reply("main")), Servers::new(1, |_, _| ok_reply("spare")));
     let up = Arc::new(AtomicUsize::new(1));
     let shown = up.clone();
     let checked = Servers::new(1, move |_, _| match shown.load(SeqCst) {
-        0 => Reply::Say(response("500 Down", "", b"")),
-        _ => ok("main"),
+        0 => Reply::Send(response("500 Down", "", b"")),
+        _ => ok_reply("main"),
     });
     drop(main);
     let pool = format!(
         "servers = [{{ address = \"{}\" }}, {{ address = \"{}\", backup = true }}]\n\
          check = {{ path = \"/up\", every = \"20ms\", rise = 1, fall = 1 }}",
-        checked.dials[0], spare.dials[0]
+        checked.addresses[0], spare.addresses[0]
     );
     let text = site(&[], "", "", "").replace("servers = []\n", &format!("{pool}\n"));
     let node = Node::site(&text);
@@ -107,27 +107,27 @@
     }
     up.store(1, SeqCst);
     node.says("health checks mark server", 2);
-    until("the main server is back", || body() == b"main");
+    wait_until("the main server is back", || body() == b"main");
 }
 
 #[test]
 fn a_watched_file_is_followed() {
-    let (one, two) = (Servers::new(1, |_, _| ok("one")), Servers::new(1, |_, _| ok("two")));
+    let (one, two) = (Servers::new(1, |_, _| ok_reply("one")), Servers::new(1, |_, _| ok_reply("two")));
     let path = std::env::temp_dir().join(format!("corkhollow-watched-{}.toml", std::process::id()));
     let put = |text: &str| std::fs::write(&path, text).unwrap();
     let list = |dial: SocketAddr| format!("[[servers]]\naddress = \"{dial}\"\n");
-    put(&list(one.dials[0]));
+    put(&list(one.addresses[0]));
     let watch = format!("watch = {:?}\n", path.display().to_string());
     let node = Node::site(&site(&[], "", "", "").replace("servers = []\n", &watch));
     let body = || node.raw(&asked("GET / HTTP/1.1")).map(|m| m.body).unwrap_or_default();
-    until("the first list is read", || body() == b"one");
+    wait_until("the first list is read", || body() == b"one");
     put("[[servers]]\naddress = \"nowhere\"\n");
     node.says("rejected, keeping the previous list: 2:11: error: servers[0].address", 1);
     assert_eq!(body(), b"one");
-    put(&list(two.dials[0]));
-    until("the new list is read", || body() == b"two");
+    put(&list(two.addresses[0]));
+    wait_until("the new list is read", || body() == b"two");
     put("servers = []\n");
-    until("an empty list refuses", || node.raw(&asked("GET / HTTP/1.1")).unwrap().status() == 503);
+    wait_until("an empty list refuses", || node.raw(&asked("GET / HTTP/1.1")).unwrap().status() == 503);
     std::fs::remove_file(&path).unwrap();
 }
 
@@ -138,37 +138,41 @@
     let gate = std::sync::Mutex::new(gate);
     let servers = Servers::new(1, move |_, _| {
         let _ = gate.lock().unwrap().recv();
-        ok("fine")
+        ok_reply("fine")
     });
-    let node =
-        Node::site(&site(&servers.dials, "", "max_connections = 1\nmax_waiting = 1\nmax_attempts = 1", ""));
+    let node = Node::site(&site(
+        &servers.addresses,
+        "",
+        "max_connections = 1\nmax_waiting = 1\nmax_attempts = 1",
+        "",
+    ));
     let ask = || {
         let mut client = node.connect();
         client.write_all(&asked("POST / HTTP/1.1")).unwrap();
         client
     };
     let mut first = ask();
-    until("the first is under way", || servers.seen() == 1);
+    wait_until("the first is under way", || servers.request_count() == 1);
     let mut others = [ask(), ask(), ask()];
     let mut refused = 0;
     for client in &mut others {
         client.set_read_timeout(Some(Duration::from_millis(500))).unwrap();
-        refused += usize::from(read(client).is_some_and(|m| m.status() == 503));
+        refused += usize::from(read_message(client).is_some_and(|m| m.status() == 503));
     }
     assert!(refused >= 2, "{refused}");
-    assert_eq!((servers.connected(), servers.seen()), (1, 1), "no other got through");
+    assert_eq!((servers.connection_count(), servers.request_count()), (1, 1), "no other got through");
     drop(go);
-    assert_eq!(read(&mut first).unwrap().status(), 200);
-    until("the next is served", || node.raw(&asked("POST / HTTP/1.1")).unwrap().status() == 200);
+    assert_eq!(read_message(&mut first).unwrap().status(), 200);
+    wait_until("the next is served", || node.raw(&asked("POST / HTTP/1.1")).unwrap().status() == 200);
 }
 
 /// One server in two pools, and one address under two names: each is a server of its own.
 #[test]
 fn a_server_may_stand_in_two_places() {
-    let servers = Servers::new(1, |_, _| ok("fine"));
-    let dial = servers.dials[0];
+    let servers = Servers::new(1, |_, _| ok_reply("fine"));
+    let dial = servers.addresses[0];
     let twice = format!("[[pool]]\nname = \"more\"\nservers = [{{ address = \"{dial}\", name = \"a\" }}, {{ address = \"{dial}\", name = \"b\" }}]\n[[route]]\nname = \"more\"\npath_prefix = \"/more\"\npool = \"more\"");
-    let node = Node::site(&site(&servers.dials, "", "", &twice));
+    let node = Node::site(&site(&servers.addresses, "", "", &twice));
     for path in ["/", "/more", "/more/x", "/x"] {
         assert_eq!(node.raw(&asked(&format!("GET {path} HTTP/1.1"))).unwrap().status(), 200, "{path}");
     }
@@ -185,26 +189,26 @@
             let _ = gate.lock().unwrap().recv();
         }
         match m.head.contains("/fail") {
-            true => Reply::Say(response("503 Busy", "", b"")),
-            false => ok("old"),
+            true => Reply::Send(response("503 Busy", "", b"")),
+            false => ok_reply("old"),
         }
     });
-    let new = Servers::new(2, |_, _| ok("new"));
+    let new = Servers::new(2, |_, _| ok_reply("new"));
     let second = "[[listener]]\nname = \"side\"\naddress = \"127.0.0.1:0\"\n";
     let class =
         |effect: &str| format!("[[class]]\nname = \"all\"\neffect = \"{effect}\"\nmethods = [\"POST\"]\n");
-    let mut node = Node::site(&format!("{second}{}", site(&old.dials, "", "", &class("unsafe"))));
+    let mut node = Node::site(&format!("{second}{}", site(&old.addresses, "", "", &class("unsafe"))));
     let (web, side) = (node.listeners["web"], node.listeners["side"]);
     node.address = web;
     assert_eq!(node.raw(&asked("POST /fail HTTP/1.1")).unwrap().status(), 503);
-    assert_eq!(old.seen(), 1, "unsafe: once");
+    assert_eq!(old.request_count(), 1, "unsafe: once");
     let mut kept = TcpStream::connect(side).unwrap();
     kept.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
     kept.write_all(&asked("GET /x HTTP/1.1")).unwrap();
-    assert_eq!(read(&mut kept).unwrap().body, b"old");
+    assert_eq!(read_message(&mut kept).unwrap().body, b"old");
     let mut slow = node.connect();
     slow.write_all(&asked("POST /slow HTTP/1.1")).unwrap();
-    until("the slow one is under way", || {
+    wait_until("the slow one is under way", || {
         old.requests.lock().unwrap().iter().any(|m| m.head.contains("/slow"))
     });
 
@@ -215,7 +219,7 @@
     }
 
     // Its class is safe now, its pool has another name, `side` is gone and `web` has moved.
-    let moved = site(&new.dials, "", "", &class("safe"))
+    let moved = site(&new.addresses, "", "", &class("safe"))
         .replace("boxes", "others")
         .replace("name = \"web\"\naddress = \"127.0.0.1:0\"", "name = \"web\"\naddress = \"[::1]:0\"");
     node.reload(&moved);
@@ -229,24 +233,27 @@
         0,
         "idle connections of a listener that is gone are closed in order"
     );
-    until("the old port is closed", || TcpStream::connect(side).is_err());
+    wait_until("the old port is closed", || TcpStream::connect(side).is_err());
     go.send(()).unwrap();
-    let answer = read(&mut slow).unwrap();
+    let answer = read_message(&mut slow).unwrap();
     assert_eq!((answer.status(), &answer.body[..]), (200, &b"old"[..]), "on what it began with");
 
     let failing =
-        Servers::new(2, |n, _| if n == 0 { Reply::Say(response("503 No", "", b"")) } else { ok("new") });
-    node.reload(&moved.replace(&server_list(&new.dials), &server_list(&failing.dials)));
+        Servers::new(
+            2,
+            |n, _| if n == 0 { Reply::Send(response("503 No", "", b"")) } else { ok_reply("new") },
+        );
+    node.reload(&moved.replace(&server_list(&new.addresses), &server_list(&failing.addresses)));
     node.says("reloaded: listeners: 1", 2);
     assert_eq!(node.raw(&asked("POST / HTTP/1.1")).unwrap().body, b"new");
-    assert_eq!(failing.seen(), 2, "safe: once more");
+    assert_eq!(failing.request_count(), 2, "safe: once more");
 }
 
 /// Under load, reloads lose nothing.
 #[test]
 fn reloads_under_load_lose_nothing() {
-    let servers = Servers::new(4, |_, _| ok("fine"));
-    let node = Node::site(&site(&servers.dials, "", "", ""));
+    let servers = Servers::new(4, |_, _| ok_reply("fine"));
+    let node = Node::site(&site(&servers.addresses, "", "", ""));
     let address = node.address;
     let done = Arc::new(AtomicUsize::new(0));
     let clients: Vec<_> = (0..4)
@@ -258,7 +265,7 @@
                     let mut client = TcpStream::connect(address).unwrap();
                     for _ in 0..20 {
                         client.write_all(&asked("POST /x HTTP/1.1")).unwrap();
-                        let answer = read(&mut client).expect("an answer");
+                        let answer = read_message(&mut client).expect("an answer");
                         assert_eq!(answer.status(), 200, "{answer:?}");
                         served += 1;
                     }
@@ -269,7 +276,7 @@
         .collect();
     for k in 0..10 {
         let pool = if k % 2 == 0 { "max_attempts = 2" } else { "" };
-        node.reload(&site(&servers.dials[k % 3..], "", pool, ""));
+        node.reload(&site(&servers.addresses[k % 3..], "", pool, ""));
         node.says("corkhollow: reloaded: ", k + 1);
     }
     done.store(1, SeqCst);
@@ -283,15 +290,15 @@
     let gate = std::sync::Mutex::new(gate);
     let servers = Servers::new(1, move |_, _| {
         let _ = gate.lock().unwrap().recv();
-        ok("fine")
+        ok_reply("fine")
     });
-    let mut node = plain(&servers.dials);
+    let mut node = plain(&servers.addresses);
     let mut client = node.connect();
     client.write_all(&asked("POST / HTTP/1.1")).unwrap();
-    until("it is under way", || servers.seen() == 1);
+    wait_until("it is under way", || servers.request_count() == 1);
     node.signal("-TERM");
     go.send(()).unwrap();
-    assert_eq!(read(&mut client).unwrap().status(), 200);
+    assert_eq!(read_message(&mut client).unwrap().status(), 200);
     assert!(node.exit().success());
 }
 
@@ -325,14 +332,14 @@
     };
     let turn = Arc::new(AtomicUsize::new(0));
     let counter = turn.clone();
-    let dial = raw(move |mut stream| {
-        let _ = read(&mut stream);
+    let dial = spawn_raw_server(move |mut stream| {
+        let _ = read_message(&mut stream);
         let k = counter.fetch_add(1, SeqCst) as u64;
         let start: &[u8] = if k.is_multiple_of(2) { b"HTTP/1.1 200 OK\r\n" } else { b"" };
         let _ = stream.write_all(&[start, &noise(k, 12)].concat());
     });
-    let good = Servers::new(1, |_, _| ok("fine"));
-    let routes = format!("[[pool]]\nname = \"good\"\nservers = [{}]\n[[route]]\nname = \"good\"\npath = \"/good\"\npool = \"good\"", server_list(&good.dials));
+    let good = Servers::new(1, |_, _| ok_reply("fine"));
+    let routes = format!("[[pool]]\nname = \"good\"\nservers = [{}]\n[[route]]\nname = \"good\"\npath = \"/good\"\npool = \"good\"", server_list(&good.addresses));
     let node = Node::site(&site(&[dial], "", "", &routes));
     for k in 0..150 {
         let mut client = node.connect();
@@ -356,16 +363,16 @@
 fn a_first_burst_is_served() {
     let servers = Servers::new(1, |_, _| {
         std::thread::sleep(Duration::from_millis(20));
-        ok("fine")
+        ok_reply("fine")
     });
-    let node = plain(&servers.dials);
+    let node = plain(&servers.addresses);
     let mut clients: Vec<_> = (0..48).map(|_| node.connect()).collect();
     clients.iter_mut().for_each(|c| c.write_all(&asked("GET / HTTP/1.1")).unwrap());
-    let status = |c: &mut TcpStream| read(c).map_or(0, |m| m.status());
+    let status = |c: &mut TcpStream| read_message(c).map_or(0, |m| m.status());
     let served = clients.iter_mut().map(status).filter(|s| *s == 200).count();
     assert_eq!(served, 48);
     // A pool of machines that do one thing at a time says so, and then late answers are refused at once.
-    let node = Node::site(&site(&servers.dials, "", "concurrency = 1", ""));
+    let node = Node::site(&site(&servers.addresses, "", "concurrency = 1", ""));
     let mut clients: Vec<_> = (0..48).map(|_| node.connect()).collect();
     clients.iter_mut().for_each(|c| c.write_all(&asked("GET / HTTP/1.1")).unwrap());
     let refused = clients.iter_mut().map(status).filter(|s| *s == 503).count();
@@ -379,13 +386,13 @@
     let gate = std::sync::Mutex::new(gate);
     let servers = Servers::new(2, move |_, _| {
         let _ = gate.lock().unwrap().recv();
-        ok("fine")
+        ok_reply("fine")
     });
-    let text = site(&servers.dials, "", "", "");
+    let text = site(&servers.addresses, "", "", "");
     let node = Node::site(&text);
     let mut client = node.connect();
     client.write_all(&asked("POST / HTTP/1.1")).unwrap();
-    until("it is under way", || servers.seen() == 1);
+    wait_until("it is under way", || servers.request_count() == 1);
     node.reload(&text.replace("\" }, ", "\", drain = true }, "));
     node.says("corkhollow: reloaded: ", 1);
     let start = Instant::now();
@@ -393,6 +400,6 @@
     assert_eq!((refused.status(), refused.header("retry-after").is_some()), (503, true));
     assert!(start.elapsed() < Duration::from_secs(2), "{:?}", start.elapsed());
     go.send(()).unwrap();
-    assert_eq!(read(&mut client).unwrap().status(), 200);
-    assert_eq!(servers.seen(), 1, "nothing new reached a draining server");
+    assert_eq!(read_message(&mut client).unwrap().status(), 200);
+    assert_eq!(servers.request_count(), 1, "nothing new reached a draining server");
 }
--- a/crates/corkhollow/tests/start.rs
+++ b/crates/corkhollow/tests/start.rs
@@ -13,12 +13,12 @@
 
 /// A configuration that is a pipe: the process waits in the middle of its start until a test writes the file into it.
 struct SlowFile {
-    folder: Folder,
+    folder: TempFolder,
 }
 
 impl SlowFile {
     fn new(name: &str) -> Self {
-        let folder = Folder::new(name);
+        let folder = TempFolder::new(name);
         let file = SlowFile { folder };
         assert!(Command::new("mkfifo").arg(file.path()).status().unwrap().success());
         file
@@ -55,13 +55,13 @@
 /// the signal.
 #[test]
 fn a_signal_to_reload_during_the_start_ends_no_process() {
-    let servers = Servers::new(1, |_, _| ok("fine"));
-    let discovery = Discovery::new(vec![servers.list(1)], true);
+    let servers = Servers::new(1, |_, _| ok_reply("fine"));
+    let discovery = Discovery::new(vec![servers.list_json(1)], true);
     let platform = config(discovery.address, &Options::default());
     let site = format!(
         "[[listener]]\nname = \"web\"\naddress = \"127.0.0.1:0\"\n[[pool]]\nname = \"main\"\n\
          servers = [{{ address = \"{}\" }}]\n[[route]]\nname = \"all\"\npool = \"main\"\n",
-        servers.dials[0]
+        servers.addresses[0]
     );
     for (name, text) in [("platform", platform), ("site", site)] {
         let file = SlowFile::new(&format!("start-{name}"));
--- a/crates/corkhollow/tests/terms.rs
+++ b/crates/corkhollow/tests/terms.rs
@@ -82,15 +82,16 @@
 
 impl Change {
     fn new() -> Self {
-        Change { old: Servers::new(1, |_, _| ok("old")), new: Servers::new(1, |_, _| ok("new")) }
+        Change { old: Servers::new(1, |_, _| ok_reply("old")), new: Servers::new(1, |_, _| ok_reply("new")) }
     }
 
     fn before(&self) -> String {
-        self.old.list(1) + "\n"
+        self.old.list_json(1) + "\n"
     }
 
     fn after(&self) -> String {
-        let hosts = [host("s-0", self.old.dials[0], "leaving"), host("s-1", self.new.dials[0], "active")];
+        let hosts =
+            [host("s-0", self.old.addresses[0], "leaving"), host("s-1", self.new.addresses[0], "active")];
         list(2, true, &hosts) + "\n"
     }
 
@@ -107,11 +108,11 @@
     /// Waits until the node goes by the change; nothing goes to the old server from then on.
     fn is_told(&self, node: &Node, back: Instant, what: &str) {
         let served = |name: &[u8]| node.post("/once/1", b"").is_some_and(|m| m.body == name);
-        until(what, || served(b"new"));
+        wait_until(what, || served(b"new"));
         assert!(back.elapsed() < TOLD, "{what}: told after {:?}", back.elapsed());
-        let seen = self.old.seen();
-        until(what, || served(b"new"));
-        assert_eq!(self.old.seen(), seen, "{what}");
+        let seen = self.old.request_count();
+        wait_until(what, || served(b"new"));
+        assert_eq!(self.old.request_count(), seen, "{what}");
     }
 }
 
@@ -198,40 +199,40 @@
         }
     };
     for closes in [true, false] {
-        let servers = Servers::new(2, |_, _| ok("fine"));
+        let servers = Servers::new(2, |_, _| ok_reply("fine"));
         let agent = Agent::listen();
         let node = Node::start(agent.address, &Options::default());
         let mut watch = agent.call();
         let mut client = node.connect();
-        client.write_all(&get("/safe/1", "")).unwrap();
-        until("the request is there", || node.figure("gw_outstanding") == Some(1.0));
+        client.write_all(&get_request("/safe/1", "")).unwrap();
+        wait_until("the request is there", || node.figure("gw_outstanding") == Some(1.0));
         leave(client, closes);
-        until("it is over", || node.figure("gw_outstanding") == Some(0.0));
-        watch.watch(&servers.list(1));
+        wait_until("it is over", || node.figure("gw_outstanding") == Some(0.0));
+        watch.watch(&servers.list_json(1));
         node.ready();
         // One that comes behind it is served, and it alone.
         assert_eq!(node.post("/once/2", b"").unwrap().body, b"fine");
-        assert_eq!(servers.seen(), 1, "closes: {closes}");
+        assert_eq!(servers.request_count(), 1, "closes: {closes}");
 
-        let servers = Servers::new(2, |_, _| Reply::Silence);
-        let discovery = Discovery::new(vec![servers.list(1)], true);
+        let servers = Servers::new(2, |_, _| Reply::NoAnswer);
+        let discovery = Discovery::new(vec![servers.list_json(1)], true);
         let text = config(discovery.address, &Options::default());
         let node = Node::of(&text.replace("\"secondCopies\":false", "\"secondCopies\":true"));
         node.ready();
         let ask = || {
             let mut client = node.connect();
-            client.write_all(&get("/safe/1", "")).unwrap();
+            client.write_all(&get_request("/safe/1", "")).unwrap();
             client
         };
         let (client, begun) = (ask(), Instant::now());
-        until("the first copy is there", || servers.seen() == 1);
+        wait_until("the first copy is there", || servers.request_count() == 1);
         leave(client, closes);
         // A second copy goes out half an aim after the first, which is 500 ms: that of another client tells when.
         let other = ask();
-        until("the other's first copy is there", || servers.seen() >= 2);
-        until("the other's second copy is there", || servers.seen() >= 3);
+        wait_until("the other's first copy is there", || servers.request_count() >= 2);
+        wait_until("the other's second copy is there", || servers.request_count() >= 3);
         assert!(begun.elapsed() > Duration::from_millis(450), "copies come at once");
-        assert_eq!(servers.seen(), 3, "closes: {closes}");
+        assert_eq!(servers.request_count(), 3, "closes: {closes}");
         drop(other);
     }
 }
@@ -258,7 +259,7 @@
         move || {
             let _core = core.lock().unwrap();
             thread::sleep(WORK);
-            ok("fine")
+            ok_reply("fine")
         }
     };
     let warm: Vec<_> = (0..WARM)
@@ -268,7 +269,7 @@
         })
         .collect();
     let hosts: Vec<_> =
-        warm.iter().enumerate().map(|(k, s)| host(&format!("w-{k}"), s.dials[0], "active")).collect();
+        warm.iter().enumerate().map(|(k, s)| host(&format!("w-{k}"), s.addresses[0], "active")).collect();
     let agents: Vec<_> = (0..PROCESSES).map(|_| Discovery::new(vec![list(1, true, &hosts)], true)).collect();
     let node = |(ordinal, agent): (usize, &Discovery)| {
         let text = config(agent.address, &Options::default());
@@ -304,8 +305,8 @@
             if begun.elapsed() > over {
                 return served;
             }
-            client.write_all(&get("/safe/1", "")).unwrap();
-            served += usize::from(read(&mut client).expect("an answer").status() == 200);
+            client.write_all(&get_request("/safe/1", "")).unwrap();
+            served += usize::from(read_message(&mut client).expect("an answer").status() == 200);
         }
         served
     };
@@ -315,7 +316,7 @@
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis();
         let born = format!("\"born_ms\":{}", born_ms(now));
         let host = |(k, s): (usize, &Servers)| {
-            host(&format!("c-{k}"), s.dials[0], "active").replace("\"born_ms\":0", &born)
+            host(&format!("c-{k}"), s.addresses[0], "active").replace("\"born_ms\":0", &born)
         };
         let hosts: Vec<_> = new.iter().enumerate().map(host).collect();
         let told = Instant::now();
@@ -373,9 +374,9 @@
 /// clients again within 10 s.
 #[test]
 fn restarted_processes_are_soon_ready() {
-    let servers = Servers::new(4, |_, _| Reply::Silence);
+    let servers = Servers::new(4, |_, _| Reply::NoAnswer);
     for (name, configured) in BOTH {
-        let discovery = Discovery::new(vec![servers.list(1)], true);
+        let discovery = Discovery::new(vec![servers.list_json(1)], true);
         let mut nodes: Vec<_> = (0..10).map(|_| Node::of(&configured(discovery.address))).collect();
         nodes.iter().for_each(Node::ready);
         // Requests that hang, and idle clients beside them, far beyond the 64 descriptors of each.
@@ -383,7 +384,7 @@
             let client = |k: usize| {
                 let mut client = node.connect();
                 if k < 20 {
-                    let _ = client.write_all(&get("/safe/1", ""));
+                    let _ = client.write_all(&get_request("/safe/1", ""));
                 }
                 client
             };
--- a/crates/corkhollow/tests/unread.rs
+++ b/crates/corkhollow/tests/unread.rs
@@ -22,24 +22,24 @@
 fn clients_that_do_not_read_their_answers_are_let_go() {
     let servers = Servers::new(1, |_, message| {
         let size = message.header("x-size").and_then(|size| size.parse().ok()).unwrap_or(0);
-        Reply::Say(response("200 OK", "", &vec![b'x'; size]))
+        Reply::Send(response("200 OK", "", &vec![b'x'; size]))
     });
     let node = Node::site(&format!(
         "[operator]\nlisten = \"127.0.0.1:0\"\n[limits]\nstall_timeout = \"2s\"\nidle_timeout = \"2s\"\n\
          [[listener]]\nname = \"web\"\naddress = \"127.0.0.1:0\"\n[[pool]]\nname = \"main\"\n\
          servers = [{{ address = \"{}\" }}]\n[[route]]\nname = \"all\"\npool = \"main\"\n",
-        servers.dials[0]
+        servers.addresses[0]
     ));
     let ask = |size: usize| {
         let mut client = connect_with_little_room(node.address);
-        client.write_all(&get("/", &format!("X-Size: {size}\r\n"))).unwrap();
+        client.write_all(&get_request("/", &format!("X-Size: {size}\r\n"))).unwrap();
         client
     };
     let sizes = (1..120).map(|k| k * 30_000);
     let unread: Vec<_> = sizes.map(ask).collect();
     // The kernel reports room when about a third of its buffer is free: at this rate that is far less than the stall timeout.
     let mut slow = node.connect();
-    slow.write_all(&get("/", &format!("X-Size: {SLOWLY}\r\n"))).unwrap();
+    slow.write_all(&get_request("/", &format!("X-Size: {SLOWLY}\r\n"))).unwrap();
     let reads = std::thread::spawn(move || {
         let (mut bytes, mut read) = ([0; 32_768], 0);
         while let Ok(count @ 1..) = slow.read(&mut bytes) {
@@ -51,7 +51,9 @@
         }
         read
     });
-    until("they are connected", || node.figure("gw_client_connections").is_some_and(|open| open > 100.0));
+    wait_until("they are connected", || {
+        node.figure("gw_client_connections").is_some_and(|open| open > 100.0)
+    });
     let held = || node.figure("gw_client_connections").unwrap_or(f64::MAX);
     let begun = Instant::now();
     while held() > 1.0 {
--- a/crates/corkhollow/tests/upgrade.rs
+++ b/crates/corkhollow/tests/upgrade.rs
@@ -17,23 +17,23 @@
 #[test]
 fn no_request_is_turned_back_while_processes_change() {
     let servers = Servers::new(2, |_, m| match m.head.starts_with("GET /safe/slow ") {
-        true => Reply::Do(Box::new(|stream| {
+        true => Reply::Custom(Box::new(|stream| {
             std::thread::sleep(Duration::from_millis(900));
             let _ = stream.write_all(&response("200 OK", "", b"late"));
         })),
-        false => ok("fine"),
+        false => ok_reply("fine"),
     });
-    let discovery = Discovery::new(vec![servers.list(1)], true);
-    let folder = Folder::new("upgrade");
+    let discovery = Discovery::new(vec![servers.list_json(1)], true);
+    let folder = TempFolder::new("upgrade");
     let socket = TcpListener::bind("127.0.0.1:0").unwrap();
     let start = || Node::handed(&socket, &folder.0, discovery.address, &Options::default());
     let mut old = start();
-    until("the first process is ready", || is_ready(&old));
+    wait_until("the first process is ready", || is_ready(&old));
     // Taken by the old process, which is alone as yet.
     let [mut slow, mut idle] = [old.connect(), old.connect()];
     for client in [&mut slow, &mut idle] {
-        client.write_all(&get("/safe/1", "")).unwrap();
-        assert_eq!(read(client).unwrap().header("connection"), None);
+        client.write_all(&get_request("/safe/1", "")).unwrap();
+        assert_eq!(read_message(client).unwrap().header("connection"), None);
     }
     let over = Arc::new(AtomicBool::new(false));
     let clients: Vec<_> = (0..3)
@@ -45,8 +45,8 @@
                     let mut stream = std::net::TcpStream::connect(address).unwrap();
                     stream.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
                     for _ in 0..20 {
-                        stream.write_all(&get("/safe/1", "")).unwrap();
-                        let answer = read(&mut stream).expect("a request is turned back");
+                        stream.write_all(&get_request("/safe/1", "")).unwrap();
+                        let answer = read_message(&mut stream).expect("a request is turned back");
                         // Refused is an answer too: the slow request makes the servers look busy.
                         assert!([200, 503].contains(&answer.status()), "{}", answer.head);
                         done += 1;
@@ -60,18 +60,18 @@
         })
         .collect();
     let new = start();
-    until("the second process is ready", || is_ready(&new));
+    wait_until("the second process is ready", || is_ready(&new));
     let served = |node: &Node| node.figure("gw_succeeded{service=\"safe\"}").unwrap_or(0.0);
-    slow.write_all(&get("/safe/slow", "")).unwrap();
+    slow.write_all(&get_request("/safe/slow", "")).unwrap();
     old.signal("-TERM");
     let told = Instant::now();
-    let answer = read(&mut slow).unwrap();
+    let answer = read_message(&mut slow).unwrap();
     assert_eq!((&answer.body[..], answer.header("connection")), (&b"late"[..], Some("close")));
     assert_eq!(idle.read(&mut [0]).unwrap(), 0, "the idle connection is not closed");
     assert!(old.exit().success());
     assert!(told.elapsed() < Duration::from_secs(8), "{:?}", told.elapsed());
     let before = served(&new);
-    until("the new process serves", || served(&new) > before + 50.0);
+    wait_until("the new process serves", || served(&new) > before + 50.0);
     over.store(true, SeqCst);
     let done: u32 = clients.into_iter().map(|c| c.join().expect("a client lost a request")).sum();
     assert!(done > 100, "{done}");
@@ -81,12 +81,12 @@
 /// A process that cannot serve yet takes nothing away from the one that can.
 #[test]
 fn a_successor_that_knows_no_servers_takes_no_clients() {
-    let servers = Servers::new(1, |_, _| ok("fine"));
-    let discovery = Discovery::new(vec![servers.list(1)], true);
-    let folder = Folder::new("unready");
+    let servers = Servers::new(1, |_, _| ok_reply("fine"));
+    let discovery = Discovery::new(vec![servers.list_json(1)], true);
+    let folder = TempFolder::new("unready");
     let socket = TcpListener::bind("127.0.0.1:0").unwrap();
     let old = Node::handed(&socket, &folder.0, discovery.address, &Options::default());
-    until("the first process is ready", || is_ready(&old));
+    wait_until("the first process is ready", || is_ready(&old));
     let new = Node::handed(&socket, &folder.0, refusing_address(), &Options::default());
     assert!(!is_ready(&new));
     for k in 0..30 {
@@ -94,7 +94,7 @@
     }
     // When the old one has gone all the same, clients hear that the new one is not ready.
     drop(old);
-    until("the new process answers clients", || new.get("/up", "").is_some_and(|m| m.status() == 503));
+    wait_until("the new process answers clients", || new.get("/up", "").is_some_and(|m| m.status() == 503));
 }
 
 #[test]
@@ -112,19 +112,19 @@
 /// read it begins blank, and serves all the same.
 #[test]
 fn a_successor_begins_with_what_the_old_process_has_learnt() {
-    let servers = Servers::new(2, |_, _| ok("fine"));
-    let hosts = [servers.dials[0], servers.dials[1], refusing_address()];
+    let servers = Servers::new(2, |_, _| ok_reply("fine"));
+    let hosts = [servers.addresses[0], servers.addresses[1], refusing_address()];
     let hosts: Vec<_> =
         hosts.iter().enumerate().map(|(k, d)| host(&format!("s-{k}"), *d, "active")).collect();
     let discovery = Discovery::new(vec![list(1, true, &hosts)], true);
-    let folder = Folder::new("handover");
+    let folder = TempFolder::new("handover");
     let socket = TcpListener::bind("127.0.0.1:0").unwrap();
     let start = || Node::handed(&socket, &folder.0, discovery.address, &Options::default());
     let old = start();
-    until("the first process is ready", || is_ready(&old));
+    wait_until("the first process is ready", || is_ready(&old));
     let ejected = |node: &Node| node.figure("gw_ejected") == Some(1.0);
     let eject = |node: &Node| {
-        until("the dead server is ejected", || {
+        wait_until("the dead server is ejected", || {
             node.get("/safe/1", "");
             ejected(node)
         })
@@ -133,8 +133,8 @@
     for _ in 0..3 {
         eject(&old);
         let new = start();
-        until("the second process is ready", || is_ready(&new));
-        until("its figures are there", || new.figure("gw_discovered") == Some(3.0));
+        wait_until("the second process is ready", || is_ready(&new));
+        wait_until("its figures are there", || new.figure("gw_discovered") == Some(3.0));
         assert_eq!(new.figure("gw_forwards"), Some(0.0), "it has asked no server");
         known += u32::from(ejected(&new));
     }
@@ -145,9 +145,9 @@
 /// and serves.
 #[test]
 fn a_successor_that_is_told_nothing_begins_cold() {
-    let servers = Servers::new(2, |_, _| ok("fine"));
-    let discovery = Discovery::new(vec![servers.list(1)], true);
-    let folder = Folder::new("untold");
+    let servers = Servers::new(2, |_, _| ok_reply("fine"));
+    let discovery = Discovery::new(vec![servers.list_json(1)], true);
+    let folder = TempFolder::new("untold");
     let socket = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = socket.local_addr().unwrap();
     let older = std::fs::File::create(folder.0.join(format!("corkhollow-serving-{address}"))).unwrap();
@@ -155,23 +155,23 @@
     let left = folder.0.join(format!("corkhollow-knowledge-{address}"));
     std::fs::write(&left, b"corkhollow-handover 9\n....").unwrap();
     let new = Node::handed(&socket, &folder.0, discovery.address, &Options::default());
-    until("it is ready", || is_ready(&new));
-    until("it serves", || new.get("/safe/1", "").is_some_and(|m| m.status() == 200));
+    wait_until("it is ready", || is_ready(&new));
+    wait_until("it serves", || new.get("/safe/1", "").is_some_and(|m| m.status() == 200));
     new.says("begins cold", 1);
 }
 
 /// Started twice: the second successor takes nothing until the first is the node, and then comes to its place.
 #[test]
 fn two_successors_have_their_turns() {
-    let servers = Servers::new(2, |_, _| ok("fine"));
-    let discovery = Discovery::new(vec![servers.list(1)], true);
-    let folder = Folder::new("twice");
+    let servers = Servers::new(2, |_, _| ok_reply("fine"));
+    let discovery = Discovery::new(vec![servers.list_json(1)], true);
+    let folder = TempFolder::new("twice");
     let socket = TcpListener::bind("127.0.0.1:0").unwrap();
     let start = || Node::handed(&socket, &folder.0, discovery.address, &Options::default());
     let mut old = start();
-    until("the first process is ready", || is_ready(&old));
+    wait_until("the first process is ready", || is_ready(&old));
     let mut second = start();
-    until("the second process is ready", || is_ready(&second));
+    wait_until("the second process is ready", || is_ready(&second));
     let third = start();
     let mut fourth = start();
     // For longer than one waits that has only to hear what the other knows.
@@ -185,7 +185,7 @@
     assert!(fourth.exit().success());
     old.signal("-TERM");
     assert!(old.exit().success());
-    until("the third process is ready", || is_ready(&third));
+    wait_until("the third process is ready", || is_ready(&third));
     assert!(is_ready(&second), "the second is the node until it is told to end");
     second.signal("-TERM");
     for k in 0..30 {
@@ -197,45 +197,45 @@
 /// The operator's word holds for the node, not for one process.
 #[test]
 fn a_drained_node_stays_drained_when_its_process_is_replaced() {
-    let servers = Servers::new(2, |_, _| ok("fine"));
-    let discovery = Discovery::new(vec![servers.list(1)], true);
-    let folder = Folder::new("drained");
+    let servers = Servers::new(2, |_, _| ok_reply("fine"));
+    let discovery = Discovery::new(vec![servers.list_json(1)], true);
+    let folder = TempFolder::new("drained");
     let socket = TcpListener::bind("127.0.0.1:0").unwrap();
     let start = || Node::handed(&socket, &folder.0, discovery.address, &Options::default());
     let mut old = start();
-    until("the first process is ready", || is_ready(&old));
+    wait_until("the first process is ready", || is_ready(&old));
     assert_eq!(old.call("POST", "/-/drain").unwrap().status(), 200);
     let new = start();
     new.says("begins drained", 1);
     assert!(!is_ready(&new));
     old.signal("-TERM");
     assert!(old.exit().success());
-    until("the new process says no", || new.get("/up", "").is_some_and(|m| m.status() == 503));
+    wait_until("the new process says no", || new.get("/up", "").is_some_and(|m| m.status() == 503));
     assert_eq!(new.call("POST", "/-/resume").unwrap().status(), 200);
-    until("the new process says yes", || new.get("/up", "").is_some_and(|m| m.status() == 200));
+    wait_until("the new process says yes", || new.get("/up", "").is_some_and(|m| m.status() == 200));
     assert!(is_ready(&new));
 }
 
 /// With an operator's file, sockets come by systemd's protocol, and each process has its own operator's address.
 #[test]
 fn two_services_share_a_socket_unit() {
-    let servers = Servers::new(1, |_, _| ok("fine"));
-    let folder = Folder::new("units");
+    let servers = Servers::new(1, |_, _| ok_reply("fine"));
+    let folder = TempFolder::new("units");
     let socket = TcpListener::bind("127.0.0.1:0").unwrap();
     let text = format!(
         "[operator]\nlisten = \"127.0.0.1:1\"\n[[listener]]\nname = \"web\"\naddress = \"{}\"\n\
          [[pool]]\nname = \"app\"\nservers = [{{ address = \"{}\" }}]\n[[route]]\nname = \"all\"\npool = \"app\"\n",
         socket.local_addr().unwrap(),
-        servers.dials[0]
+        servers.addresses[0]
     );
     let start = || Node::activated(&socket, &folder.0, "127.0.0.1:0", &text);
     let mut old = start();
-    until("the first process is ready", || is_ready(&old));
+    wait_until("the first process is ready", || is_ready(&old));
     assert_eq!(old.get("/", "").unwrap().status(), 200);
     let new = start();
-    until("the second process is ready", || is_ready(&new));
+    wait_until("the second process is ready", || is_ready(&new));
     new.reload(&text);
-    until("its file is read anew", || new.figure("gw_sighup_applied") == Some(1.0));
+    wait_until("its file is read anew", || new.figure("gw_sighup_applied") == Some(1.0));
     old.signal("-TERM");
     assert!(old.exit().success());
     for _ in 0..5 {
@@ -246,12 +246,12 @@
 /// A folder where nothing can be written costs the meeting, not the service.
 #[test]
 fn without_a_folder_to_meet_in_it_serves_alone() {
-    let servers = Servers::new(1, |_, _| ok("fine"));
-    let discovery = Discovery::new(vec![servers.list(1)], true);
+    let servers = Servers::new(1, |_, _| ok_reply("fine"));
+    let discovery = Discovery::new(vec![servers.list_json(1)], true);
     let socket = TcpListener::bind("127.0.0.1:0").unwrap();
     let nowhere = std::env::temp_dir().join(format!("corkhollow-nowhere-{}", std::process::id()));
     let node = Node::handed(&socket, &nowhere, discovery.address, &Options::default());
-    until("it is ready", || is_ready(&node));
+    wait_until("it is ready", || is_ready(&node));
     assert_eq!(node.get("/safe/1", "").unwrap().status(), 200);
 }
 
@@ -260,10 +260,10 @@
 #[test]
 fn a_drain_is_handed_over_whichever_way_the_clock_was_set_between_the_starts() {
     const HOUR: i64 = 3_600_000_000_000;
-    let servers = Servers::new(1, |_, _| ok("fine"));
-    let discovery = Discovery::new(vec![servers.list(1)], true);
+    let servers = Servers::new(1, |_, _| ok_reply("fine"));
+    let discovery = Discovery::new(vec![servers.list_json(1)], true);
     for (name, shift) in [("right", 0), ("behind", -HOUR), ("ahead", HOUR)] {
-        let folder = Folder::new(&format!("upgrade-clock-{name}"));
+        let folder = TempFolder::new(&format!("upgrade-clock-{name}"));
         let socket = TcpListener::bind("127.0.0.1:0").unwrap();
         let path = |kind: &str| folder.0.join(format!("corkhollow-{kind}-{}", socket.local_addr().unwrap()));
         // This test is the process that serves: it holds the lock, and writes what it knows.
--- a/crates/soak/src/cluster.rs
+++ b/crates/soak/src/cluster.rs
@@ -3,7 +3,7 @@
 use crate::connection::Connection;
 use crate::discovery::Discovery;
 use crate::ledger::{Ledger, ProcessRecord, Time};
-use corkhollow_test_support::{config, get, Node, Options};
+use corkhollow_test_support::{config, get_request, Node, Options};
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -339,12 +339,13 @@
 fn is_up(address: SocketAddr) -> bool {
     let Some(mut connection) = Connection::open(address) else { return false };
     let until = Instant::now() + Duration::from_secs(2);
-    connection.write(&get("/up", "")) && connection.read(until, false).is_ok_and(|m| m.status() == 200)
+    connection.write(&get_request("/up", ""))
+        && connection.read(until, false).is_ok_and(|m| m.status() == 200)
 }
 
 fn call(address: SocketAddr, path: &str) -> Option<String> {
     let mut connection = Connection::open(address)?;
-    connection.write(&get(path, "Connection: close\r\n"));
+    connection.write(&get_request(path, "Connection: close\r\n"));
     let answer = connection.read(Instant::now() + Duration::from_secs(2), true).ok()?;
     String::from_utf8(answer.body).ok()
 }
--- a/crates/test-support/src/clients.rs
+++ b/crates/test-support/src/clients.rs
@@ -10,12 +10,12 @@
 }
 
 /// The bytes of a request without a body, with an id of its own.
-pub fn get(path: &str, headers: &str) -> Vec<u8> {
+pub fn get_request(path: &str, headers: &str) -> Vec<u8> {
     format!("GET {path} HTTP/1.1\r\nHost: app.svc\r\nX-Request-ID: {}\r\n{headers}\r\n", id()).into_bytes()
 }
 
 /// The bytes of a request with a body, with an id of its own.
-pub fn post(path: &str, body: &[u8]) -> Vec<u8> {
+pub fn post_request(path: &str, body: &[u8]) -> Vec<u8> {
     let mut out = format!(
         "POST {path} HTTP/1.1\r\nHost: app.svc\r\nX-Request-ID: {}\r\nX-Timeout-Ms: 2500\r\nContent-Length: {}\r\n\r\n",
         id(),
