--- a/crates/test-support/src/discovery.rs
+++ b/crates/test-support/src/discovery.rs
@@ -1,7 +1,7 @@
 //! The platform's discovery.
 
-use crate::message::read;
-use crate::PATIENCE;
+use crate::message::read_message;
+use crate::WAIT_TIMEOUT;
 use std::io::Write;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -42,7 +42,7 @@
         let (watches, say) = (discovery.watches.clone(), discovery.say.clone());
         thread::spawn(move || {
             for mut stream in listener.incoming().flatten() {
-                if read(&mut stream).is_none() {
+                if read_message(&mut stream).is_none() {
                     continue;
                 }
                 let (sender, lines) = mpsc::channel::<String>();
@@ -115,7 +115,7 @@
                 if closed.load(Ordering::SeqCst) {
                     return;
                 }
-                if let Some(message) = read(&mut stream) {
+                if let Some(message) = read_message(&mut stream) {
                     let target = message.head.split(' ').nth(1).unwrap_or_default().to_owned();
                     if sender.send(Call { target, stream }).is_err() {
                         return;
@@ -136,7 +136,7 @@
 
     /// The next call.
     pub fn call(&self) -> Call {
-        self.calls.recv_timeout(PATIENCE).expect("the node calls")
+        self.calls.recv_timeout(WAIT_TIMEOUT).expect("the node calls")
     }
 
     /// A call that comes within this.
@@ -174,6 +174,6 @@
 
     /// Ends it with a reset.
     pub fn reset(self) {
-        crate::servers::reset(self.stream);
+        crate::servers::reset_connection(self.stream);
     }
 }
--- a/crates/test-support/src/fleet.rs
+++ b/crates/test-support/src/fleet.rs
@@ -1,6 +1,6 @@
 //! A small fleet of HTTP servers that can be slow, die and come back, and clients that put a mild load on it.
 
-use crate::message::{read, response};
+use crate::message::{read_message, response};
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::io::Write;
@@ -88,7 +88,7 @@
             all.retain(|c| c.peer_addr().is_ok());
             all.push(copy);
         }
-        while let Some(request) = read(&mut stream).filter(|m| m.whole) {
+        while let Some(request) = read_message(&mut stream).filter(|m| m.is_complete) {
             self.in_flight.fetch_add(1, Ordering::SeqCst);
             let time = self.draw.lock().map(|mut d| d.time(self.mean)).unwrap_or(self.mean);
             thread::sleep(time);
@@ -196,7 +196,7 @@
             let _ = stream.set_nodelay(true);
             let _ = stream.set_read_timeout(Some(Duration::from_secs(10)));
             stream.write_all(request.as_bytes()).ok()?;
-            let answer = read(&mut stream)?;
+            let answer = read_message(&mut stream)?;
             if answer.header("connection") != Some("close") {
                 kept = Some(stream);
             }
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -9,43 +9,45 @@
 mod rig;
 mod servers;
 
-pub use clients::{get, half_close, post};
+pub use clients::{get_request, half_close, post_request};
 pub use discovery::{host, list, Agent, Call, Discovery};
 pub use fleet::{Draw, Load, Machine, Tally};
 pub use link::{End, Link, State, Way, Ways};
-pub use message::{read, response, Message};
+pub use message::{read_message, response, Message};
 pub use program::{config, program, Node, Options};
 pub use rig::{Fleet, Member, Rig};
-pub use servers::{ok, raw, refusing_address, reset, Full, Reply, Servers};
+pub use servers::{
+    ok_reply, refusing_address, reset_connection, spawn_raw_server, FullBacklogServer, Reply, Servers,
+};
 
 use std::thread;
 use std::time::{Duration, Instant};
 
 /// Far more than anything here takes: a test that gets this far has failed.
-const PATIENCE: Duration = Duration::from_secs(20);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Waits for a condition.
-pub fn until(what: &str, condition: impl Fn() -> bool) {
+pub fn wait_until(what: &str, condition: impl Fn() -> bool) {
     let start = Instant::now();
     while !condition() {
-        assert!(start.elapsed() < PATIENCE, "waited in vain: {what}");
+        assert!(start.elapsed() < WAIT_TIMEOUT, "waited in vain: {what}");
         thread::sleep(Duration::from_millis(2));
     }
 }
 
 /// A folder of its own for a test, gone with it.
-pub struct Folder(pub std::path::PathBuf);
+pub struct TempFolder(pub std::path::PathBuf);
 
-impl Folder {
+impl TempFolder {
     /// A new one; no two tests of a process may give it the same name.
     pub fn new(name: &str) -> Self {
         let path = std::env::temp_dir().join(format!("corkhollow-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&path).unwrap();
-        Folder(path)
+        TempFolder(path)
     }
 }
 
-impl Drop for Folder {
+impl Drop for TempFolder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.0);
     }
--- a/crates/test-support/src/link.rs
+++ b/crates/test-support/src/link.rs
@@ -313,7 +313,7 @@
     }
 
     fn echo() -> SocketAddr {
-        crate::raw(|mut stream| {
+        crate::spawn_raw_server(|mut stream| {
             let mut buffer = [0; 64];
             while let Ok(n @ 1..) = stream.read(&mut buffer) {
                 if stream.write_all(&buffer[..n]).is_err() {
--- a/crates/test-support/src/message.rs
+++ b/crates/test-support/src/message.rs
@@ -12,9 +12,9 @@
     /// Its body as it came.
     pub body: Vec<u8>,
     /// The body came to its end.
-    pub whole: bool,
+    pub is_complete: bool,
     /// How long its connection had stood idle, as a server sees it; nothing for the first.
-    pub rested: Duration,
+    pub idle_before: Duration,
 }
 
 impl Message {
@@ -31,7 +31,7 @@
 }
 
 /// Reads one message; none where the connection ends before its head does.
-pub fn read(stream: &mut TcpStream) -> Option<Message> {
+pub fn read_message(stream: &mut TcpStream) -> Option<Message> {
     let mut head = Vec::new();
     let mut byte = [0];
     while !head.ends_with(b"\r\n\r\n") {
@@ -45,18 +45,18 @@
     let mut message = Message {
         head: String::from_utf8(head).ok()?,
         body: Vec::new(),
-        whole: true,
-        rested: Duration::ZERO,
+        is_complete: true,
+        idle_before: Duration::ZERO,
     };
     if message.header("transfer-encoding").is_some() {
         let mut lines = BufReader::new(stream);
         loop {
             let mut line = String::new();
             let _ = lines.read_line(&mut line);
-            let Ok(size) = usize::from_str_radix(line.trim(), 16) else { break message.whole = false };
+            let Ok(size) = usize::from_str_radix(line.trim(), 16) else { break message.is_complete = false };
             let mut chunk = vec![0; size + 2];
             if lines.read_exact(&mut chunk).is_err() {
-                break message.whole = false;
+                break message.is_complete = false;
             }
             message.body.extend(&chunk[..size]);
             if size == 0 {
@@ -65,7 +65,7 @@
         }
     } else if let Some(length) = message.header("content-length").and_then(|l| l.parse::<u64>().ok()) {
         let _ = stream.take(length).read_to_end(&mut message.body);
-        message.whole = message.body.len() as u64 == length;
+        message.is_complete = message.body.len() as u64 == length;
     }
     Some(message)
 }
--- a/crates/test-support/src/program.rs
+++ b/crates/test-support/src/program.rs
@@ -1,10 +1,10 @@
 //! Starts and controls processes of the program under test.
 
-use crate::clients::{get, post};
+use crate::clients::{get_request, post_request};
 use crate::discovery::Discovery;
-use crate::message::{read, Message};
+use crate::message::{read_message, Message};
 use crate::servers::Servers;
-use crate::{until, PATIENCE};
+use crate::{wait_until, WAIT_TIMEOUT};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -259,7 +259,7 @@
 
     /// A node that has taken in these servers.
     pub fn with(servers: &Servers) -> (Self, Discovery) {
-        let discovery = Discovery::new(vec![servers.list(1)], true);
+        let discovery = Discovery::new(vec![servers.list_json(1)], true);
         let node = Self::start(discovery.address, &Options::default());
         node.ready();
         (node, discovery)
@@ -267,13 +267,13 @@
 
     /// Waits until it takes clients.
     pub fn ready(&self) {
-        until("the node is ready", || self.get("/up", "").is_some_and(|m| m.status() == 200));
+        wait_until("the node is ready", || self.get("/up", "").is_some_and(|m| m.status() == 200));
     }
 
     /// A new connection to it.
     pub fn connect(&self) -> TcpStream {
         let stream = TcpStream::connect(self.address).unwrap();
-        stream.set_read_timeout(Some(PATIENCE)).unwrap();
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         stream
     }
 
@@ -281,25 +281,25 @@
     pub fn raw(&self, bytes: &[u8]) -> Option<Message> {
         let mut stream = self.connect();
         let _ = stream.write_all(bytes);
-        read(&mut stream)
+        read_message(&mut stream)
     }
 
     /// A request without a body, on a new connection.
     pub fn get(&self, path: &str, headers: &str) -> Option<Message> {
-        self.raw(&get(path, headers))
+        self.raw(&get_request(path, headers))
     }
 
     /// A request with a body, on a new connection.
     pub fn post(&self, path: &str, body: &[u8]) -> Option<Message> {
-        self.raw(&post(path, body))
+        self.raw(&post_request(path, body))
     }
 
     /// Calls the operator's address; none where nothing is answered.
     pub fn call(&self, method: &str, path: &str) -> Option<Message> {
         let mut stream = TcpStream::connect(self.operator.expect("operators may call")).ok()?;
-        stream.set_read_timeout(Some(PATIENCE)).ok()?;
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).ok()?;
         stream.write_all(format!("{method} {path} HTTP/1.1\r\nHost: node\r\n\r\n").as_bytes()).ok()?;
-        read(&mut stream)
+        read_message(&mut stream)
     }
 
     /// One of its figures, by its name and labels; none where it is not shown.
@@ -317,7 +317,7 @@
 
     /// Waits until its log has this many lines that hold these words.
     pub fn says(&self, words: &str, count: usize) {
-        until(words, || self.log.lock().unwrap().iter().filter(|l| l.contains(words)).count() >= count);
+        wait_until(words, || self.log.lock().unwrap().iter().filter(|l| l.contains(words)).count() >= count);
     }
 
     /// Sends it a signal.
