--- a/crates/bench/benches/fleet.rs
+++ b/crates/bench/benches/fleet.rs
@@ -23,7 +23,7 @@
 
 /// Bytes that a node has sent.
 fn sent(node: &Node) -> f64 {
-    let page = node.call("GET", "/-/metrics").expect("it answers").body;
+    let page = node.call_operator("GET", "/-/metrics").expect("it answers").body;
     let page = String::from_utf8(page).expect("text");
     let counts = page.lines().filter(|l| l.starts_with("gw_fleet_bytes{") && l.contains("way=\"out\""));
     counts.filter_map(|line| line.rsplit(' ').next()?.parse::<f64>().ok()).sum()
@@ -31,7 +31,7 @@
 
 fn sums(rig: &Rig) -> (f64, f64) {
     let nodes = || rig.nodes.iter().flatten();
-    (nodes().map(sent).sum(), nodes().map(|node| processor(node.id())).sum())
+    (nodes().map(sent).sum(), nodes().map(|node| processor(node.process_id())).sum())
 }
 
 /// How long it takes until all views are equal and right, and until all nodes say that they have settled.
@@ -74,7 +74,7 @@
         rig.start_all(0..NODES);
         rig.agrees("joined", WITHIN);
     } else {
-        alone.extend((0..NODES).map(|_| Node::site(&site)));
+        alone.extend((0..NODES).map(|_| Node::start_with_operator_file(&site)));
     }
     let over = Arc::new(AtomicBool::new(false));
     let addresses = rig.nodes.iter().flatten().chain(&alone).map(|node| node.address);
@@ -145,7 +145,7 @@
         rig.start_all(0..NODES);
         rig.agrees("joined", WITHIN);
     } else {
-        alone.extend((0..NODES).map(|_| Node::site(&site)));
+        alone.extend((0..NODES).map(|_| Node::start_with_operator_file(&site)));
     }
     let served: Arc<[AtomicUsize; 2]> = Arc::default();
     let over = Arc::new(AtomicBool::new(false));
--- a/crates/bench/benches/memory.rs
+++ b/crates/bench/benches/memory.rs
@@ -56,7 +56,7 @@
 
 /// Passes one body each way; what memory grew by at most, in bytes, and how long it took, in seconds.
 fn pass(node: &Node, long: u64, up: bool) -> (u64, f64) {
-    let before = node.memory();
+    let before = node.resident_bytes();
     let (mut most, start) = (before, Instant::now());
     let mut client = node.connect();
     let mut chunk = vec![b'y'; CHUNK];
@@ -79,7 +79,7 @@
         }
         if done - looked > 4_000_000 {
             looked = done;
-            most = most.max(node.memory());
+            most = most.max(node.resident_bytes());
         }
     }
     if up {
@@ -95,14 +95,14 @@
     let build = ["build", "--release", "--locked", "-p", "corkhollow"];
     assert!(Command::new(cargo).args(build).status().expect("cargo").success());
     let (long, clients) = (argument("--bytes", 1_000_000_000), argument("--clients", 5_000));
-    let node = Node::site(&format!(
+    let node = Node::start_with_operator_file(&format!(
         "[limits]\ndescriptors = {}\n[[listener]]\nname = \"web\"\naddress = \"127.0.0.1:0\"\n\
          [[pool]]\nname = \"one\"\nservers = [{{ address = \"{}\" }}]\n[[route]]\nname = \"all\"\npool = \"one\"\n",
         2 * clients + 2_000,
         server(long),
     ));
     ask(&mut node.connect());
-    println!("at the start: {:.1} MB", node.memory() as f64 / 1e6);
+    println!("at the start: {:.1} MB", node.resident_bytes() as f64 / 1e6);
     for (what, up) in [("from a server", false), ("to a server", true)] {
         let (more, seconds) = pass(&node, long, up);
         let rate = long as f64 / 1e6 / seconds;
@@ -112,13 +112,13 @@
             more as f64 / 1e6
         );
     }
-    let before = node.memory();
+    let before = node.resident_bytes();
     let mut open: Vec<_> = (0..clients).map(|_| node.connect()).collect();
     // The last one is answered: all before it have been taken.
     ask(open.last_mut().expect("a client"));
-    let silent = node.memory() - before;
+    let silent = node.resident_bytes() - before;
     open.iter_mut().for_each(ask);
-    let asked = node.memory() - before;
+    let asked = node.resident_bytes() - before;
     for (what, bytes) in [("that have said nothing", silent), ("idle behind an answer", asked)] {
         let each = bytes as f64 / clients as f64 / 1e3;
         println!("{clients} clients {what}: {:.1} MB more, {each:.1} kB each", bytes as f64 / 1e6);
--- a/crates/bench/benches/operations.rs
+++ b/crates/bench/benches/operations.rs
@@ -140,18 +140,18 @@
 }
 
 fn is_ready(node: &Node) -> bool {
-    node.call("GET", "/-/ready").is_some_and(|m| m.status() == 200)
+    node.call_operator("GET", "/-/ready").is_some_and(|m| m.status() == 200)
 }
 
 /// Answer times of the operator's address, and how long a drain takes.
 fn calls_and_drains(dials: &[SocketAddr]) {
     let discovery = Discovery::new(vec![told(dials)], true);
-    let node = Node::start(discovery.address, &Options::default());
-    node.ready();
+    let node = Node::start(discovery.address, &NodeOptions::default());
+    node.wait_until_ready();
     let calls = |count| {
         times((0..count).map(|_| {
             let begun = Instant::now();
-            assert_eq!(node.call("GET", "/-/metrics").map(|m| m.status()), Some(200));
+            assert_eq!(node.call_operator("GET", "/-/metrics").map(|m| m.status()), Some(200));
             begun.elapsed()
         }))
     };
@@ -160,7 +160,7 @@
     let load = Load::start(node.address, 64, Duration::ZERO);
     sleep(200 * MS);
     line("64 clients, as fast as they can", &calls(300));
-    let operator = node.operator.expect("operators may call");
+    let operator = node.operator_address.expect("operators may call");
     let silent: Vec<_> = (0..300).filter_map(|_| TcpStream::connect(operator).ok()).collect();
     line("and 300 callers that say nothing", &calls(300));
     drop(silent);
@@ -170,14 +170,14 @@
         let load = Load::start(node.address, clients, 10 * MS);
         sleep(300 * MS);
         let (begun, over) = (Instant::now(), load.over.clone());
-        assert_eq!(node.call("POST", "/-/drain").map(|m| m.status()), Some(200));
+        assert_eq!(node.call_operator("POST", "/-/drain").map(|m| m.status()), Some(200));
         // Clients learn from `GET /up`, and stop.
         sleep(300 * MS);
         over.store(true, SeqCst);
         load.stop();
-        wait_until("the node is empty", || node.figure("gw_client_connections") == Some(0.0));
+        wait_until("the node is empty", || node.metric("gw_client_connections") == Some(0.0));
         line(&format!("{clients} clients, stopped after 300 ms"), &times([begun.elapsed()].into_iter()));
-        assert_eq!(node.call("POST", "/-/resume").map(|m| m.status()), Some(200));
+        assert_eq!(node.call_operator("POST", "/-/resume").map(|m| m.status()), Some(200));
         wait_until("it serves again", || is_ready(&node));
     }
 }
@@ -193,19 +193,19 @@
         path
     };
     let shared = folder("shared");
-    let mut node = Node::handed(&socket, &shared, discovery.address, &Options::default());
+    let mut node = Node::start_with_listener(&socket, &shared, discovery.address, &NodeOptions::default());
     wait_until("the first is ready", || is_ready(&node));
     let load = Load::start(address, 16, 5 * MS);
     sleep(500 * MS);
     let (mut to_ready, mut to_end, mut changes) = (Vec::new(), Vec::new(), Vec::new());
     for _ in 0..count {
         let begun = Instant::now();
-        let new = Node::handed(&socket, &shared, discovery.address, &Options::default());
+        let new = Node::start_with_listener(&socket, &shared, discovery.address, &NodeOptions::default());
         wait_until("the next is ready", || is_ready(&new));
         to_ready.push(begun.elapsed());
         node.signal("-TERM");
         let told = Instant::now();
-        assert!(node.exit().success());
+        assert!(node.wait_for_exit().success());
         to_end.push(told.elapsed());
         changes.push(told);
         node = new;
@@ -216,11 +216,12 @@
     let turned_back = seen.turned_back.load(SeqCst);
     // Without a word from another process: the clients wait in the kernel meanwhile.
     node.signal("-TERM");
-    assert!(node.exit().success());
+    assert!(node.wait_for_exit().success());
     let mut cold = Vec::new();
     for k in 0..5 {
         let folder = folder(&format!("cold-{k}"));
-        let mut node = Node::handed(&socket, &folder, discovery.address, &Options::default());
+        let mut node =
+            Node::start_with_listener(&socket, &folder, discovery.address, &NodeOptions::default());
         wait_until("it is ready", || is_ready(&node));
         let (load, begun) = (Load::start(address, 16, 5 * MS), Instant::now());
         sleep(1000 * MS);
@@ -228,7 +229,7 @@
         let times = seen.times.lock().expect("the times");
         cold.extend(times.iter().filter(|(at, _)| *at - begun < 1000 * MS).map(|(_, time)| *time));
         node.signal("-TERM");
-        assert!(node.exit().success());
+        assert!(node.wait_for_exit().success());
         let _ = std::fs::remove_dir_all(folder);
     }
     let _ = std::fs::remove_dir_all(shared);
@@ -250,8 +251,8 @@
 /// 200 bodies of 4 MiB at once against 48 MB.
 fn two_hundred_bodies(dials: &[SocketAddr]) {
     let discovery = Discovery::new(vec![told(dials)], true);
-    let node = Node::start(discovery.address, &Options { memory_mb: 48, ..Options::default() });
-    node.ready();
+    let node = Node::start(discovery.address, &NodeOptions { memory_mb: 48, ..NodeOptions::default() });
+    node.wait_until_ready();
     let (served, begun) = (AtomicUsize::new(0), Instant::now());
     std::thread::scope(|scope| {
         for _ in 0..200 {
@@ -261,7 +262,7 @@
             });
         }
     });
-    let mib = node.peak_memory() as f64 / f64::from(1 << 20);
+    let mib = node.peak_resident_bytes() as f64 / f64::from(1 << 20);
     println!(
         "\n200 bodies of 4 MiB at once: {} served in {:.2} s, {mib:.1} MiB at most of 48 MB",
         served.load(SeqCst),
@@ -293,7 +294,7 @@
             break address.parse().expect("an address");
         }
     };
-    let node = Node::site(&format!(
+    let node = Node::start_with_operator_file(&format!(
         "[[listener]]\nname = \"web\"\naddress = \"127.0.0.1:0\"\n[[pool]]\nname = \"one\"\n\
          servers = [{{ address = \"{to}\" }}]\n[[route]]\nname = \"all\"\npool = \"one\"\n"
     ));
@@ -301,7 +302,7 @@
     let (mut work, mut rate) = ([Vec::new(), Vec::new()], [Vec::new(), Vec::new()]);
     for _ in 0..7 {
         for (k, (address, process)) in
-            [(relay_at, relay.id()), (node.address, node.id())].into_iter().enumerate()
+            [(relay_at, relay.id()), (node.address, node.process_id())].into_iter().enumerate()
         {
             let (before, begun) = (cpu(process), Instant::now());
             std::thread::scope(|scope| {
--- a/crates/bench/benches/scale/main.rs
+++ b/crates/bench/benches/scale/main.rs
@@ -197,7 +197,7 @@
     let arguments = ["build", "--release", "--locked", "-p", "corkhollow"];
     let built = std::process::Command::new(cargo).args(arguments).status();
     assert!(built.is_ok_and(|status| status.success()), "the program is built");
-    corkhollow_test_support::program()
+    corkhollow_test_support::program_path()
 }
 
 fn measure(
--- a/crates/bench/benches/scale/members.rs
+++ b/crates/bench/benches/scale/members.rs
@@ -61,7 +61,7 @@
 /// Bytes that the processes have sent to other nodes.
 fn sent(nodes: &[Node]) -> f64 {
     let of = |node: &Node| {
-        let page = node.call("GET", "/-/metrics").map(|m| m.body).unwrap_or_default();
+        let page = node.call_operator("GET", "/-/metrics").map(|m| m.body).unwrap_or_default();
         let page = String::from_utf8_lossy(&page).into_owned();
         let counts = page.lines().filter(|l| l.starts_with("gw_fleet_bytes{") && l.contains("way=\"out\""));
         counts.filter_map(|line| line.rsplit(' ').next()?.parse::<f64>().ok()).sum::<f64>()
@@ -92,7 +92,7 @@
         )
     };
     let begun = Instant::now();
-    let nodes: Vec<_> = (0..processes).map(|k| Node::site(&file(k))).collect();
+    let nodes: Vec<_> = (0..processes).map(|k| Node::start_with_operator_file(&file(k))).collect();
     let mut members = Vec::new();
     for number in 0..(size - processes) as u32 {
         members.push(member(number, &seeds)?.0);
@@ -104,8 +104,8 @@
     let count = nodes.len() as f64;
     let watch = Watch::start(Client::new(nodes[0].address, host, "/for-the-rest")?);
     let now = || {
-        let thread: f64 = nodes.iter().map(|node| process::threads(node.id(), "fleet")).sum();
-        let all: f64 = nodes.iter().map(|node| process::processor(node.id())).sum();
+        let thread: f64 = nodes.iter().map(|node| process::threads(node.process_id(), "fleet")).sum();
+        let all: f64 = nodes.iter().map(|node| process::processor(node.process_id())).sum();
         (Instant::now(), thread, all, sent(&nodes))
     };
     let mut over = |what: &str, seconds: Duration, act: &mut dyn FnMut()| {
@@ -148,6 +148,9 @@
     put("one dies: counted by all processes after, s", gone);
     put("a tenth dies at once: counted by all processes after, s", lost);
     put("a tenth starts anew: counted by all processes after, s", back);
-    put("memory of a process, MB", nodes.iter().map(|n| n.memory() as f64).sum::<f64>() / count / 1e6);
+    put(
+        "memory of a process, MB",
+        nodes.iter().map(|n| n.resident_bytes() as f64).sum::<f64>() / count / 1e6,
+    );
     Ok(figures)
 }
--- a/crates/bench/benches/scale/node.rs
+++ b/crates/bench/benches/scale/node.rs
@@ -80,20 +80,23 @@
     let _ = std::fs::remove_file(&file);
 
     let begun = Instant::now();
-    let node = Node::site_by(program, &text, |_| ());
+    let node = Node::start_program_with_log_observer(program, &text, |_| ());
     let last = site.routes.len() - 1;
     let (_, status) = client(node.address, &site, last).ask();
     put("first client after start, s", begun.elapsed().as_secs_f64());
     assert_eq!(status, 200);
 
     std::thread::sleep(Duration::from_secs(1));
-    let (spent, begun) = (process::processor(node.id()), Instant::now());
+    let (spent, begun) = (process::processor(node.process_id()), Instant::now());
     let (serving, checks) =
-        (process::serving(node.id()), servers.seen.checks.load(std::sync::atomic::Ordering::Relaxed));
+        (process::serving(node.process_id()), servers.seen.checks.load(std::sync::atomic::Ordering::Relaxed));
     std::thread::sleep(told.rest);
     let rested = begun.elapsed().as_secs_f64();
-    put("at rest, % of a core", 100.0 * (process::processor(node.id()) - spent) / rested);
-    put("at rest, % of a core, its serving thread", 100.0 * (process::serving(node.id()) - serving) / rested);
+    put("at rest, % of a core", 100.0 * (process::processor(node.process_id()) - spent) / rested);
+    put(
+        "at rest, % of a core, its serving thread",
+        100.0 * (process::serving(node.process_id()) - serving) / rested,
+    );
     let checks = servers.seen.checks.load(std::sync::atomic::Ordering::Relaxed) - checks;
     if !told.pool.is_empty() {
         put("checks a second", checks as f64 / rested);
@@ -102,17 +105,17 @@
             servers.seen.connections.load(std::sync::atomic::Ordering::Relaxed) as f64,
         );
     }
-    put("memory at rest, MB", node.memory() as f64 / 1e6);
+    put("memory at rest, MB", node.resident_bytes() as f64 / 1e6);
 
     let begun = Instant::now();
-    let page = node.call("GET", "/-/metrics").expect("it answers");
+    let page = node.call_operator("GET", "/-/metrics").expect("it answers");
     put("the operator's page, ms", begun.elapsed().as_secs_f64() * 1e3);
     put("the operator's page, KB", page.body.len() as f64 / 1e3);
 
     if told.requests > 0 {
         let direct =
             timed(Client::new(servers.addresses[0], "direct", "/").expect("a server"), told.requests);
-        let spent = process::processor(node.id());
+        let spent = process::processor(node.process_id());
         for (which, route) in [("first", 0), ("last", last)] {
             let through = timed(client(node.address, &site, route), told.requests);
             for quantile in [0.5, 0.99, 0.999] {
@@ -124,18 +127,19 @@
                 );
             }
         }
-        let each = (process::processor(node.id()) - spent) / (2.0 * told.requests as f64 + 200.0);
+        let each = (process::processor(node.process_id()) - spent) / (2.0 * told.requests as f64 + 200.0);
         put("processor time a request, us", 1e6 * each);
     }
 
     for (k, change) in told.changes.iter().enumerate() {
         site.change(*change, 7 * k + 3);
         let text = site.text(&frame);
-        std::fs::write(node.file(), text).expect("a file");
+        std::fs::write(node.config_path(), text).expect("a file");
         let watch = [0, last].map(|route| Watch::start(client(node.address, &site, route)));
         std::thread::sleep(Duration::from_millis(1200));
-        let before = (reloads(&node), process::serving(node.id()), process::processor(node.id()));
-        process::forget_peak(node.id());
+        let before =
+            (reloads(&node), process::serving(node.process_id()), process::processor(node.process_id()));
+        process::forget_peak(node.process_id());
         let told_at = Instant::now();
         node.signal("-HUP");
         let taken = reloaded(&node, before.0, told.longest);
@@ -151,13 +155,13 @@
         put("longest request of the second before, ms", longest(quiet, told_at));
         let lost: usize = watch.iter().map(|w| w.longest(quiet, over).1).sum();
         put("requests not served", lost as f64);
-        put("processor time, s", process::processor(node.id()) - before.2);
-        put("of it the serving thread's, s", process::serving(node.id()) - before.1);
-        put("peak memory, MB", node.peak_memory() as f64 / 1e6);
+        put("processor time, s", process::processor(node.process_id()) - before.2);
+        put("of it the serving thread's, s", process::serving(node.process_id()) - before.1);
+        put("peak memory, MB", node.peak_resident_bytes() as f64 / 1e6);
         if taken.is_none() {
             break;
         }
     }
-    put("memory after its changes, MB", node.memory() as f64 / 1e6);
+    put("memory after its changes, MB", node.resident_bytes() as f64 / 1e6);
     figures
 }
--- a/crates/corkhollow/tests/attempts.rs
+++ b/crates/corkhollow/tests/attempts.rs
@@ -24,8 +24,8 @@
         }
     });
     let discovery = Discovery::new(vec![list(1, true, &[host("s-0", dial, "active")])], true);
-    let node = Node::start(discovery.address, &Options::default());
-    node.ready();
+    let node = Node::start(discovery.address, &NodeOptions::default());
+    node.wait_until_ready();
     let mut client = node.connect();
     for k in 0..60 {
         let body = format!("body of {k}").into_bytes();
@@ -55,8 +55,8 @@
             }
         });
         let discovery = Discovery::new(vec![list(1, true, &[host("s-0", dial, "active")])], true);
-        let node = Node::start(discovery.address, &Options::default());
-        node.ready();
+        let node = Node::start(discovery.address, &NodeOptions::default());
+        node.wait_until_ready();
         let mut client = node.connect();
         for body in [&b"the first"[..], b"the second", b"the third"] {
             client.write_all(&post_request("/once/1", body)).unwrap();
@@ -90,7 +90,7 @@
             closes.store(true, SeqCst);
         }))
     });
-    let (node, _discovery) = Node::with(&servers);
+    let (node, _discovery) = Node::start_with_servers(&servers);
     assert_eq!(node.get("/safe/1", "").unwrap().body, b"fine");
     assert!(closed.load(SeqCst));
     assert_eq!(beside.load(SeqCst), 0, "two attempts were out at once");
@@ -110,15 +110,15 @@
         let _ = tell.send(all.len());
     });
     let discovery = Discovery::new(vec![list(1, true, &[host("s-0", dial, "active")])], true);
-    let node = Node::start(discovery.address, &Options::default());
-    node.ready();
+    let node = Node::start(discovery.address, &NodeOptions::default());
+    node.wait_until_ready();
     let request = String::from_utf8(post_request("/once/1", &vec![b'x'; length])).unwrap();
     let request = request.replace("X-Timeout-Ms: 2500", "X-Timeout-Ms: 900");
-    assert_eq!(node.raw(request.as_bytes()).unwrap().status(), 504);
+    assert_eq!(node.send_raw(request.as_bytes()).unwrap().status(), 504);
     open.send(()).unwrap();
     let seen = told.recv_timeout(Duration::from_secs(20)).unwrap();
     assert!(seen < length, "{seen} bytes: all of it");
-    assert_eq!(node.figure("gw_forwards"), Some(0.0));
+    assert_eq!(node.metric("gw_forwards"), Some(0.0));
 }
 
 /// A keyed request whose first try may have run is sent again only while servers know it again. A connection that comes up
@@ -132,24 +132,24 @@
         Reply::Reset
     });
     let discovery = Discovery::new(vec![first.list_json(1)], true);
-    let text = config(discovery.address, &Options::default())
+    let text = platform_config(discovery.address, &NodeOptions::default())
         .replace("\"effect\":\"pure\"", "\"effect\":\"token\"")
         .replace("\"windowNs\":1000000000", "\"windowNs\":600000000")
         .replace("\"connectTimeoutNs\":120000000", "\"connectTimeoutNs\":2900000000");
-    let node = Node::of(&text);
-    node.ready();
+    let node = Node::start_with_platform_file(&text);
+    node.wait_until_ready();
     let mut client = node.connect();
     client.write_all(&post_request("/safe/1", b"body")).unwrap();
     wait_until("the request is under way", || first.request_count() == 1);
     let second = FullBacklogServer::new();
     discovery.say(list(2, false, &[host("s-1", second.address, "active")]));
-    wait_until("the list is taken in", || node.figure("gw_discovered") == Some(2.0));
+    wait_until("the list is taken in", || node.metric("gw_discovered") == Some(2.0));
     break_off.send(()).unwrap();
-    wait_until("it is tried again", || node.figure("gw_retries{pool=\"platform\"}") == Some(1.0));
+    wait_until("it is tried again", || node.metric("gw_retries{pool=\"platform\"}") == Some(1.0));
     let seen = second.accept_and_collect(Duration::from_millis(1700));
     assert!(seen.is_empty(), "{}", String::from_utf8_lossy(&seen));
     let denied = "gw_denied{at=\"begin\",pool=\"platform\",reason=\"window-over\"}";
-    wait_until("that is counted with its reason", || node.figure(denied) == Some(1.0));
+    wait_until("that is counted with its reason", || node.metric(denied) == Some(1.0));
     // All servers would know it again, as far as they do: refusing it is harmless, serving it is not.
     assert!(matches!(read_message(&mut client).unwrap().status(), 502..=504));
     assert_eq!(first.request_count(), 1);
--- a/crates/corkhollow/tests/backlog.rs
+++ b/crates/corkhollow/tests/backlog.rs
@@ -22,10 +22,10 @@
         ok_reply("fine")
     });
     let discovery = Discovery::new(vec![servers.list_json(1)], true);
-    let node = Node::start(discovery.address, &Options { sockets: 64, ..Options::default() });
-    node.ready();
+    let node = Node::start(discovery.address, &NodeOptions { max_sockets: 64, ..NodeOptions::default() });
+    node.wait_until_ready();
     // An eighth more than the places for clients is kept for those that are only answered 503.
-    let places = node.figure("gw_client_connections_most").unwrap() as usize;
+    let places = node.metric("gw_client_connections_most").unwrap() as usize;
     let stopped: Vec<_> = (0..places + places / 8)
         .map(|_| {
             let mut client = node.connect();
@@ -33,7 +33,7 @@
             client
         })
         .collect();
-    let all_held = || node.figure("gw_client_connections") == Some(stopped.len() as f64);
+    let all_held = || node.metric("gw_client_connections") == Some(stopped.len() as f64);
     wait_until("they hold all places", all_held);
     let ask = |body: &[u8], patience: &str| {
         let request = String::from_utf8(post_request("/once/1", body)).unwrap();
--- a/crates/corkhollow/tests/customers.rs
+++ b/crates/corkhollow/tests/customers.rs
@@ -5,7 +5,8 @@
 
 /// Deadlines of 20 s, as a customer with heavy work has them.
 fn long(discovery: std::net::SocketAddr) -> String {
-    config(discovery, &Options::default()).replace("\"giveUpNs\":3000000000", "\"giveUpNs\":20000000000")
+    platform_config(discovery, &NodeOptions::default())
+        .replace("\"giveUpNs\":3000000000", "\"giveUpNs\":20000000000")
 }
 
 /// A connection that comes up late is no connection; its server is avoided for a while and is there again when the trouble is
@@ -14,8 +15,8 @@
 fn a_server_is_back_soon_whatever_the_deadlines() {
     let late = FullBacklogServer::new();
     let discovery = Discovery::new(vec![list(1, true, &[host("s-0", late.address, "active")])], true);
-    let node = Node::of(&long(discovery.address));
-    node.ready();
+    let node = Node::start_with_platform_file(&long(discovery.address));
+    node.wait_until_ready();
     assert_eq!(node.post("/once/1", b"").unwrap().status(), 503, "nobody else could have it");
     let failed = Instant::now();
     late.serve("fine");
--- a/crates/corkhollow/tests/deploy.rs
+++ b/crates/corkhollow/tests/deploy.rs
@@ -113,10 +113,11 @@
     let folder = TempFolder::new(&format!("deploy-{name}"));
     let (_, arguments) = started_by(&told("run")).unwrap();
     let line = format!("exec \"$0\" {}", arguments.join(" "));
-    let mut node = Node::deployed(&line, &folder.0, &config(discovery.address, &Options::default()));
-    node.ready();
-    let exe = std::fs::read_link(format!("/proc/{}/exe", node.id())).unwrap();
-    assert_eq!(exe, std::fs::canonicalize(program()).unwrap(), "the shell is still there");
+    let mut node =
+        Node::start_deployed(&line, &folder.0, &platform_config(discovery.address, &NodeOptions::default()));
+    node.wait_until_ready();
+    let exe = std::fs::read_link(format!("/proc/{}/exe", node.process_id())).unwrap();
+    assert_eq!(exe, std::fs::canonicalize(program_path()).unwrap(), "the shell is still there");
     for _ in 0..20 {
         assert_eq!(node.get("/safe/1", "").unwrap().status(), 200);
     }
@@ -124,8 +125,8 @@
     for client in &mut open {
         client.write_all(&get_request("/safe/slow", "X-Timeout-Ms: 2900\r\n")).unwrap();
     }
-    wait_until("they are under way", || node.figure("gw_outstanding") == Some(4.0));
-    let mut had = beyond(node.id(), &folder.0);
+    wait_until("they are under way", || node.metric("gw_outstanding") == Some(4.0));
+    let mut had = beyond(node.process_id(), &folder.0);
     // What this process was started with, a log's file say, goes on to its children.
     let inherited = beyond(std::process::id(), &folder.0);
     had.files.retain(|f| !inherited.files.contains(f));
@@ -136,7 +137,7 @@
     }
     let answered =
         open.iter_mut().filter_map(read_message).filter(|a| [200, 503].contains(&a.status())).count();
-    (had, answered, node.exit().success())
+    (had, answered, node.wait_for_exit().success())
 }
 
 #[test]
@@ -171,7 +172,7 @@
 
 #[test]
 fn the_program_is_linked_dynamically() {
-    let file = std::fs::read(program()).unwrap();
+    let file = std::fs::read(program_path()).unwrap();
     let linker = interpreter(&file).expect("the program asks for no dynamic linker");
     assert!(linker.contains("ld-linux") || linker.contains("ld-musl"), "{linker}");
     // The same file as a static one has it: no header that names a linker.
--- a/crates/corkhollow/tests/fleet.rs
+++ b/crates/corkhollow/tests/fleet.rs
@@ -197,25 +197,28 @@
     let (mut rig, _servers) = rig(3, &[0], "");
     rig.start_all(0..3);
     rig.settles("joined", SOON);
-    assert_eq!(rig.node(2).call("POST", "/-/drain").unwrap().status(), 200);
+    assert_eq!(rig.node(2).call_operator("POST", "/-/drain").unwrap().status(), 200);
     let drains = |told: bool| {
         rig.views().iter().flatten().all(|fleet| fleet.member("n2").is_some_and(|m| m.drains == told))
     };
     wait_until("all know that it drains", || drains(true));
-    assert_eq!(rig.node(2).call("POST", "/-/resume").unwrap().status(), 200);
+    assert_eq!(rig.node(2).call_operator("POST", "/-/resume").unwrap().status(), 200);
     wait_until("all know that it resumes", || drains(false));
     rig.act(&Action::Leave(2));
     away(&rig, "n2", "left");
     assert_eq!(rig.said("n2 is suspect"), 0);
     rig.settles("left", SOON);
     for figure in ["gw_fleet_members{state=\"alive\"}", "gw_fleet_size"] {
-        wait_until(figure, || rig.node(0).figure(figure) == Some(2.0));
+        wait_until(figure, || rig.node(0).metric(figure) == Some(2.0));
     }
-    assert_eq!(rig.node(0).figure("gw_fleet_members{state=\"left\"}"), Some(1.0));
-    assert!(rig.node(0).figure("gw_fleet_datagrams{kind=\"ping\",way=\"out\"}").unwrap() > 0.0);
-    let calls = |node: &Node| format!("--operator={}", node.operator.unwrap());
-    let table =
-        Command::new(program()).arg("fleet").args(rig.nodes.iter().flatten().map(calls)).output().unwrap();
+    assert_eq!(rig.node(0).metric("gw_fleet_members{state=\"left\"}"), Some(1.0));
+    assert!(rig.node(0).metric("gw_fleet_datagrams{kind=\"ping\",way=\"out\"}").unwrap() > 0.0);
+    let calls = |node: &Node| format!("--operator={}", node.operator_address.unwrap());
+    let table = Command::new(program_path())
+        .arg("fleet")
+        .args(rig.nodes.iter().flatten().map(calls))
+        .output()
+        .unwrap();
     let table = String::from_utf8(table.stdout).unwrap();
     assert!(table.contains("views are equal; nodes that did not answer: 0"), "{table}");
     assert!(table.contains("fleet rig, seen by n0: number 0 of 2") && table.contains("left"), "{table}");
@@ -235,7 +238,7 @@
         .replace("127.0.0.1:0\"\nadvertise", "127.0.0.1:0\"\n#")
         .replace(&format!("# = \"{}\"", rig.address(2)), "");
     std::fs::write(&path, text).unwrap();
-    let mut double = Command::new(program());
+    let mut double = Command::new(program_path());
     double.args(["run", "--config"]).arg(&path).stdout(Stdio::null());
     let output = double.output().unwrap();
     std::fs::remove_file(&path).unwrap();
@@ -247,7 +250,7 @@
     let path = std::env::temp_dir().join(format!("corkhollow-taken-{}.toml", std::process::id()));
     let file = rig.file(2, "n2").replace("127.0.0.1:0\"\nadvertise", &format!("{address}\"\nadvertise"));
     std::fs::write(&path, file).unwrap();
-    let output = Command::new(program()).args(["run", "--config"]).arg(&path).output().unwrap();
+    let output = Command::new(program_path()).args(["run", "--config"]).arg(&path).output().unwrap();
     std::fs::remove_file(&path).unwrap();
     let told = String::from_utf8(output.stderr).unwrap();
     assert!(!output.status.success() && told.contains(&format!("cannot listen on {address}")), "{told}");
@@ -277,7 +280,7 @@
         rig.node(0).get("/r", "").is_some_and(|m| m.status() == 200)
     });
     assert_eq!(served.count(), 40);
-    wait_until("it is counted", || rig.node(0).figure("gw_fleet_refused{reason=\"garbled\"}") > Some(100.0));
+    wait_until("it is counted", || rig.node(0).metric("gw_fleet_refused{reason=\"garbled\"}") > Some(100.0));
     rig.settles("unharmed", SOON);
     assert_eq!(rig.said(" is dead"), 0);
 }
@@ -303,11 +306,11 @@
     {
         assert_ne!(text, file);
         node.reload(&text);
-        wait_until(key, || node.figure("gw_sighup_rejected") == Some(k as f64 + 1.0));
-        node.says(key, 1);
+        wait_until(key, || node.metric("gw_sighup_rejected") == Some(k as f64 + 1.0));
+        node.wait_for_log(key, 1);
     }
     node.reload(&file.replace("probe_every = \"250ms\"", "probe_every = \"300ms\""));
-    node.says("reloaded: listeners", 1);
+    node.wait_for_log("reloaded: listeners", 1);
     rig.settles("goes on", SOON);
     assert_eq!(Fleet::of(rig.node(0)).unwrap().size, 2);
 }
@@ -330,7 +333,7 @@
         "[fleet]\nname = \"rig\"\nnode = \"x\"\nlisten = \"{free}\"\nseeds = [\"{}\"]\n{TIMES}\n{file}",
         rig.address(0)
     );
-    let run = || Node::activated(&listener, &folder.0, "127.0.0.1:0", &file);
+    let run = || Node::start_socket_activated(&listener, &folder.0, "127.0.0.1:0", &file);
     let mut first = run();
     let other = |seen: fn(&Member) -> bool| {
         let fleet = Fleet::of(rig.node(0));
@@ -338,11 +341,13 @@
     };
     wait_until("the first is there", || other(|m| m.state == "alive"));
     let second = run();
-    second.says("counts as number 1 of 2", 1);
-    assert_eq!(second.call("GET", "/-/fleet").unwrap().status(), 404, "the place is the first's");
-    wait_until("it takes clients", || second.call("GET", "/-/ready").is_some_and(|m| m.status() == 200));
+    second.wait_for_log("counts as number 1 of 2", 1);
+    assert_eq!(second.call_operator("GET", "/-/fleet").unwrap().status(), 404, "the place is the first's");
+    wait_until("it takes clients", || {
+        second.call_operator("GET", "/-/ready").is_some_and(|m| m.status() == 200)
+    });
     first.signal("-TERM");
-    assert!(first.exit().success());
+    assert!(first.wait_for_exit().success());
     wait_until("the second has its place", || other(|m| m.state == "alive" && m.incarnation > 1));
     wait_until("it says so", || Fleet::of(&second).is_some_and(|fleet| fleet.size == 2 && fleet.settled));
     let said = rig.timeline();
@@ -364,7 +369,7 @@
     overhears.set_read_timeout(Some(SOON)).unwrap();
     let seeds = format!("seeds = [\"{}\", ", overhears.local_addr().unwrap());
     let own = rig.file(2, "n2").replace(&format!("advertise = \"{}\"\n", rig.address(2)), "");
-    let mut third = Node::site(&own.replace("seeds = [", &seeds));
+    let mut third = Node::start_with_operator_file(&own.replace("seeds = [", &seeds));
     let knows = |k: usize, name: &str, state: &str| {
         Fleet::of(rig.node(k)).is_some_and(|f| f.member(name).is_some_and(|m| m.state == state))
     };
@@ -372,7 +377,7 @@
     let mut bytes = [0; 1500];
     let (size, _) = overhears.recv_from(&mut bytes).unwrap();
     third.signal("-TERM");
-    assert!(third.exit().success());
+    assert!(third.wait_for_exit().success());
     wait_until("it has left", || (0..2).all(|k| knows(k, "n2", "left")));
     let replay = || {
         for _ in 0..300 {
@@ -381,11 +386,11 @@
     };
     replay();
     let refused = |k: usize, why: &str| {
-        rig.node(k).figure(&format!("gw_fleet_refused{{reason=\"{why}\"}}")).unwrap_or_default()
+        rig.node(k).metric(&format!("gw_fleet_refused{{reason=\"{why}\"}}")).unwrap_or_default()
     };
     // Who asks to join is told who is there, and is nobody for that.
     let joins = "gw_fleet_datagrams{kind=\"join\",way=\"in\"}";
-    wait_until("replays are read", || rig.node(0).figure(joins) > Some(100.0));
+    wait_until("replays are read", || rig.node(0).metric(joins) > Some(100.0));
     assert!((0..2).all(|k| knows(k, "n2", "left")));
     // Another key for the first alone.
     std::fs::write(&path, "cd".repeat(32)).unwrap();
@@ -415,7 +420,7 @@
              listen = \"[::1]:0\"\nseeds = [{seeds}]\n{TIMES}\n{}",
             site(&servers.addresses)
         );
-        Node::site_heard(&text, move |line| {
+        Node::start_with_log_observer(&text, move |line| {
             if let Some((_, at)) = line.split_once("hears datagrams at ") {
                 heard.lock().unwrap().get_or_insert(at.parse().expect("an address"));
             }
--- a/crates/corkhollow/tests/golden.rs
+++ b/crates/corkhollow/tests/golden.rs
@@ -58,10 +58,10 @@
     let folder = TempFolder::new("golden");
     let socket = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = socket.local_addr().unwrap();
-    let start = || Node::handed(&socket, &folder.0, discovery.address, &Options::default());
+    let start = || Node::start_with_listener(&socket, &folder.0, discovery.address, &NodeOptions::default());
     let old = start();
     wait_until("the first process is ready", || {
-        old.call("GET", "/-/ready").is_some_and(|m| m.status() == 200)
+        old.call_operator("GET", "/-/ready").is_some_and(|m| m.status() == 200)
     });
     let new = start();
     let names = [
--- a/crates/corkhollow/tests/leaving.rs
+++ b/crates/corkhollow/tests/leaving.rs
@@ -11,7 +11,7 @@
 
 /// A configuration without cancelling, whose connections may take their time.
 fn patient(discovery: std::net::SocketAddr) -> String {
-    config(discovery, &Options::default())
+    platform_config(discovery, &NodeOptions::default())
         .replace("\"cancelling\":true", "\"cancelling\":false")
         .replace("\"connectTimeoutNs\":120000000", "\"connectTimeoutNs\":2900000000")
 }
@@ -20,14 +20,14 @@
 fn before(dial: std::net::SocketAddr, servers: usize) -> (Node, Discovery) {
     let hosts: Vec<_> = (0..servers).map(|k| host(&format!("s-{k}"), dial, "active")).collect();
     let discovery = Discovery::new(vec![list(1, true, &hosts)], true);
-    let node = Node::of(&patient(discovery.address));
-    node.ready();
+    let node = Node::start_with_platform_file(&patient(discovery.address));
+    node.wait_until_ready();
     (node, discovery)
 }
 
 fn outstanding(node: &Node, count: usize) {
     let what = format!("{count} requests are under way");
-    wait_until(&what, || node.figure("gw_outstanding") == Some(count as f64));
+    wait_until(&what, || node.metric("gw_outstanding") == Some(count as f64));
 }
 
 /// The ways in which a client leaves: what it still sends, and whether with a reset.
@@ -68,7 +68,7 @@
             outstanding(&node, 1);
             drop(again);
             outstanding(&node, 0);
-            wait_until("no connection is held", || node.figure("gw_server_connections") == Some(0.0));
+            wait_until("no connection is held", || node.metric("gw_server_connections") == Some(0.0));
             let seen = server.accept_and_collect(COMES);
             assert!(seen.is_empty(), "{way}: {}", String::from_utf8_lossy(&seen));
         }
@@ -83,12 +83,14 @@
         let server = FullBacklogServer::new();
         let discovery = Discovery::new(vec![list(1, true, &[host("s-0", server.address, "active")])], true);
         // A sixteenth of the memory, 1 MiB, is kept of a body.
-        let node = Node::of(&patient(discovery.address).replace("\"memory_mb\":192", "\"memory_mb\":16"));
-        node.ready();
+        let node = Node::start_with_platform_file(
+            &patient(discovery.address).replace("\"memory_mb\":192", "\"memory_mb\":16"),
+        );
+        node.wait_until_ready();
         let request = post_request("/once/1", &[b'x'; 1_200_000]);
         let mut client = node.connect();
         client.write_all(&request).unwrap();
-        wait_until("its connection is coming up", || node.figure("gw_server_connections") == Some(1.0));
+        wait_until("its connection is coming up", || node.metric("gw_server_connections") == Some(1.0));
         leave(client, 0, resets);
         let seen = server.accept_and_collect(COMES);
         outstanding(&node, 0);
@@ -111,7 +113,7 @@
     for client in &mut clients {
         client.write_all(&post_request("/once/1", b"body")).unwrap();
     }
-    wait_until("they wait", || node.figure("gw_outstanding").is_some_and(|n| n > 150.0));
+    wait_until("they wait", || node.metric("gw_outstanding").is_some_and(|n| n > 150.0));
     let left = Instant::now();
     for (k, client) in clients.into_iter().enumerate() {
         let (_, bytes, resets) = WAYS[k % WAYS.len()];
@@ -119,7 +121,7 @@
     }
     outstanding(&node, 0);
     assert!(left.elapsed() < Duration::from_millis(1500), "over {:?} later", left.elapsed());
-    wait_until("no connection is held", || node.figure("gw_server_connections") == Some(0.0));
+    wait_until("no connection is held", || node.metric("gw_server_connections") == Some(0.0));
     let seen = server.accept_and_collect(COMES);
     assert!(seen.is_empty(), "{}", String::from_utf8_lossy(&seen));
 }
@@ -152,10 +154,10 @@
     let hosts = [host("s-0", server.address, "active"), host("s-1", quick.addresses[0], "active")];
     let discovery = Discovery::new(vec![list(1, true, &hosts)], true);
     let text = patient(discovery.address).replace("\"secondCopies\":false", "\"secondCopies\":true");
-    let node = Node::of(&text);
-    node.ready();
+    let node = Node::start_with_platform_file(&text);
+    node.wait_until_ready();
     assert_eq!(node.get("/safe/1", "").unwrap().body, b"fine");
-    assert_eq!(node.figure("gw_hedges{pool=\"platform\"}"), Some(1.0));
+    assert_eq!(node.metric("gw_hedges{pool=\"platform\"}"), Some(1.0));
     let seen = server.accept_and_collect(COMES);
     assert!(seen.is_empty(), "{}", String::from_utf8_lossy(&seen));
     assert_eq!(quick.request_count(), 1);
@@ -175,8 +177,8 @@
             ok_reply("fine")
         });
         let discovery = Discovery::new(vec![servers.list_json(1)], true);
-        let node = Node::of(&patient(discovery.address));
-        node.ready();
+        let node = Node::start_with_platform_file(&patient(discovery.address));
+        node.wait_until_ready();
         let mut client = node.connect();
         client.write_all(&get_request("/safe/1", "")).unwrap();
         wait_until("the request is under way", || servers.request_count() == 1);
@@ -200,7 +202,7 @@
     outstanding(&node, 1);
     let hosts = [host("s-0", server.address, "leaving"), host("s-1", other.addresses[0], "active")];
     discovery.say(list(2, false, &hosts));
-    wait_until("the list is taken in", || node.figure("gw_discovered") == Some(2.0));
+    wait_until("the list is taken in", || node.metric("gw_discovered") == Some(2.0));
     let seen = server.accept_and_collect(COMES);
     assert!(seen.is_empty(), "{}", String::from_utf8_lossy(&seen));
     assert_eq!(read_message(&mut client).unwrap().body, b"other");
@@ -217,7 +219,7 @@
         ok_reply("fine")
     });
     let dial = servers.addresses[0];
-    let node = Node::site(&format!(
+    let node = Node::start_with_operator_file(&format!(
         "[operator]\nlisten = \"127.0.0.1:0\"\n[[listener]]\nname = \"web\"\naddress = \"127.0.0.1:0\"\n\
          [[pool]]\nname = \"boxes\"\nservers = [{{ address = \"{dial}\" }}]\nmax_connections = 1\nmax_waiting = 4\n\
          [[route]]\nname = \"all\"\npool = \"boxes\"\n"
--- a/crates/corkhollow/tests/link.rs
+++ b/crates/corkhollow/tests/link.rs
@@ -10,7 +10,7 @@
 /// A site of one pool with the class `read` (safe) and the class `write` (unsafe), with these deadlines.
 fn site(dials: &[SocketAddr], deadline: &str, more: &str) -> Node {
     let servers: String = dials.iter().map(|d| format!("{{ address = \"{d}\" }}, ")).collect();
-    Node::site(&format!(
+    Node::start_with_operator_file(&format!(
         "{more}\n[[listener]]\nname = \"web\"\naddress = \"127.0.0.1:0\"\n\
          [[class]]\nname = \"read\"\neffect = \"safe\"\nmethods = [\"GET\"]\naim = \"300ms\"\ndeadline = \"{deadline}\"\n\
          [[class]]\nname = \"write\"\neffect = \"unsafe\"\nmethods = [\"POST\"]\naim = \"300ms\"\ndeadline = \"{deadline}\"\n\
--- a/crates/corkhollow/tests/lists.rs
+++ b/crates/corkhollow/tests/lists.rs
@@ -24,10 +24,10 @@
     /// A node on this configuration that watches, and has been told of the old one.
     fn watched(&self, config: impl Fn(SocketAddr) -> String) -> (Node, Agent, Call) {
         let agent = Agent::listen();
-        let node = Node::of(&config(agent.address));
+        let node = Node::start_with_platform_file(&config(agent.address));
         let mut watch = agent.call();
         watch.watch(&self.before());
-        node.ready();
+        node.wait_until_ready();
         (node, agent, watch)
     }
 
@@ -48,7 +48,7 @@
 
 /// Lists are asked for, and deadlines are long: neither may keep the node from what it has missed.
 fn asked(discovery: SocketAddr) -> String {
-    config(discovery, &Options::default())
+    platform_config(discovery, &NodeOptions::default())
         .replace("\"automatic\"", "\"subscribe\"")
         .replace("\"giveUpNs\":3000000000", "\"giveUpNs\":20000000000")
 }
@@ -56,10 +56,10 @@
 #[test]
 fn lists_may_come_indented() {
     let (agent, change) = (Agent::listen(), Change::new());
-    let node = Node::start(agent.address, &Options::default());
+    let node = Node::start(agent.address, &NodeOptions::default());
     let mut watch = agent.call();
     watch.watch(&indented(&change.before()));
-    node.ready();
+    node.wait_until_ready();
     assert!(served_by(&node, "old"));
     // Two in one piece, with a heartbeat between, and the second cut in the middle of a name.
     let (first, second) = (indented(&change.before()), indented(&change.after(2, false)));
@@ -77,7 +77,8 @@
 #[test]
 fn a_list_cut_short_ends_its_watch() {
     let change = Change::new();
-    let (node, agent, mut watch) = change.watched(|discovery| config(discovery, &Options::default()));
+    let (node, agent, mut watch) =
+        change.watched(|discovery| platform_config(discovery, &NodeOptions::default()));
     let list = change.after(2, false);
     let list = list.trim_end();
     for end in ["\n", "\n\n"] {
@@ -108,7 +109,8 @@
 #[test]
 fn what_an_agent_gets_after_a_silence_is_fetched_at_once() {
     let change = Change::new();
-    let (node, agent, watch) = change.watched(|discovery| config(discovery, &Options::default()));
+    let (node, agent, watch) =
+        change.watched(|discovery| platform_config(discovery, &NodeOptions::default()));
     drop(watch);
     let mut silent = vec![agent.call()];
     let asked = Instant::now();
@@ -123,7 +125,8 @@
 #[test]
 fn an_agent_that_refuses_is_asked_again_soon() {
     let change = Change::new();
-    let (node, agent, mut watch) = change.watched(|discovery| config(discovery, &Options::default()));
+    let (node, agent, mut watch) =
+        change.watched(|discovery| platform_config(discovery, &NodeOptions::default()));
     for _ in 0..10 {
         watch.reset();
         watch = agent.call();
@@ -156,7 +159,7 @@
 #[test]
 fn asked_lists_are_asked_for_again_in_time() {
     let (agent, change) = (Agent::listen(), Change::new());
-    let node = Node::of(&asked(agent.address));
+    let node = Node::start_with_platform_file(&asked(agent.address));
     let mut failed = Instant::now();
     for k in 0..4 {
         agent.call().reset();
@@ -165,7 +168,7 @@
         failed = Instant::now();
     }
     agent.call().watch(&change.before());
-    node.ready();
+    node.wait_until_ready();
 }
 
 /// What the agent has counts as told from a new process's first moment: requests that come before its answer wait for it,
@@ -173,7 +176,7 @@
 #[test]
 fn a_new_process_hears_the_agent_before_it_serves() {
     let (agent, change) = (Agent::listen(), Change::new());
-    let known = Options { known: change.before(), ..Options::default() };
+    let known = NodeOptions { known_servers_json: change.before(), ..NodeOptions::default() };
     let node = Node::start(agent.address, &known);
     let mut watch = agent.call();
     let mut client = node.connect();
--- a/crates/corkhollow/tests/platform.rs
+++ b/crates/corkhollow/tests/platform.rs
@@ -8,14 +8,14 @@
 /// A node before two servers of which the first request's gets this, and all others an `ok`.
 fn first_gets(bad: fn() -> Reply) -> (Node, Discovery, Servers) {
     let servers = Servers::new(2, move |n, _| if n == 0 { bad() } else { ok_reply("fine") });
-    let (node, discovery) = Node::with(&servers);
+    let (node, discovery) = Node::start_with_servers(&servers);
     (node, discovery, servers)
 }
 
 #[test]
 fn an_answer_comes_back_whole_and_connections_are_kept() {
     let servers = Servers::new(1, |_, m| Reply::Send(response("200 OK", "X-Own: yes\r\n", &m.body)));
-    let (node, _discovery) = Node::with(&servers);
+    let (node, _discovery) = Node::start_with_servers(&servers);
     let body = vec![b'x'; 40_000];
     let mut client = node.connect();
     for _ in 0..3 {
@@ -60,7 +60,7 @@
             0 => Reply::Send(response(status, "X-Not-Processed: 1\r\n", b"")),
             _ => ok_reply("fine"),
         });
-        let (node, _discovery) = Node::with(&servers);
+        let (node, _discovery) = Node::start_with_servers(&servers);
         assert_eq!(node.post("/once/1", b"body").unwrap().status(), 200);
         assert_eq!(servers.request_count(), 2);
     }
@@ -68,8 +68,8 @@
     let servers = Servers::new(1, |_, _| ok_reply("fine"));
     let hosts = [host("s-0", servers.addresses[0], "active"), host("s-1", refusing_address(), "active")];
     let discovery = Discovery::new(vec![list(1, true, &hosts)], true);
-    let node = Node::start(discovery.address, &Options::default());
-    node.ready();
+    let node = Node::start(discovery.address, &NodeOptions::default());
+    node.wait_until_ready();
     for k in 0..20 {
         assert_eq!(node.post("/once/1", b"body").unwrap().status(), 200, "request {k}");
     }
@@ -89,8 +89,8 @@
     let servers = Servers::new(1, |_, _| ok_reply("fine"));
     let hosts = [host("s-0", servers.addresses[0], "active"), host("s-1", dial, "active")];
     let discovery = Discovery::new(vec![list(1, true, &hosts)], true);
-    let node = Node::start(discovery.address, &Options::default());
-    node.ready();
+    let node = Node::start(discovery.address, &NodeOptions::default());
+    node.wait_until_ready();
     // More than the sockets' buffers hold, so that the break comes before the end.
     let body = vec![b'x'; 10_000_000];
     for k in 0..4 {
@@ -103,7 +103,7 @@
 #[test]
 fn a_reset_after_the_last_byte_proves_nothing() {
     let servers = Servers::new(2, |_, m| if m.body == b"good" { ok_reply("fine") } else { Reply::Reset });
-    let (node, _discovery) = Node::with(&servers);
+    let (node, _discovery) = Node::start_with_servers(&servers);
     for kept in [false, true] {
         if kept {
             for _ in 0..4 {
@@ -119,12 +119,12 @@
 #[test]
 fn silence_ends_with_the_clients_time() {
     let servers = Servers::new(2, |_, _| Reply::NoAnswer);
-    let (node, _discovery) = Node::with(&servers);
+    let (node, _discovery) = Node::start_with_servers(&servers);
     for request in
         [get_request("/safe/1", "X-Timeout-Ms: 700\r\n"), get_request("/once/1", "X-Timeout-Ms: 700\r\n")]
     {
         let start = Instant::now();
-        assert_eq!(node.raw(&request).unwrap().status(), 504);
+        assert_eq!(node.send_raw(&request).unwrap().status(), 504);
         let took = start.elapsed();
         assert!(took >= Duration::from_millis(699) && took < Duration::from_millis(1500), "{took:?}");
     }
@@ -140,7 +140,7 @@
     };
     let servers =
         Servers::new(2, move |n, _| if n == 0 { long(900_000, 900_000) } else { long(900_000, 500_000) });
-    let (node, _discovery) = Node::with(&servers);
+    let (node, _discovery) = Node::start_with_servers(&servers);
     let answer = node.get("/safe/1", "").unwrap();
     assert_eq!((answer.status(), answer.body.len(), answer.is_complete), (200, 900_000, true));
     let cut = node.get("/safe/2", "").unwrap();
@@ -152,7 +152,7 @@
         out.extend(if n == 0 { &b"\r\n0\r\n\r\n"[..] } else { b"\r\n" });
         Reply::SendAndClose(out)
     });
-    let (node, _discovery) = Node::with(&servers);
+    let (node, _discovery) = Node::start_with_servers(&servers);
     let answer = node.get("/safe/1", "").unwrap();
     assert_eq!((answer.body.len(), answer.is_complete), (200_000, true));
     assert!(!node.get("/safe/2", "").unwrap().is_complete);
@@ -204,7 +204,7 @@
         0 => Reply::Send(response("200 OK", "", &vec![b'x'; 20_000_000])),
         _ => ok_reply("fine"),
     });
-    let (node, _discovery) = Node::with(&servers);
+    let (node, _discovery) = Node::start_with_servers(&servers);
     let mut slow = node.connect();
     slow.write_all(&get_request("/safe/1", "")).unwrap();
     let mut begun = [0; 100];
@@ -225,7 +225,7 @@
         true => Reply::Send(response("400 Bad Request", "", b"")),
         false => ok_reply("fine"),
     });
-    let (node, _discovery) = Node::with(&servers);
+    let (node, _discovery) = Node::start_with_servers(&servers);
     for k in 0..6 {
         assert_eq!(node.get("/safe/bad", "").unwrap().status(), 502, "bad request {k}");
         assert_eq!(node.post("/once/1", b"body").unwrap().status(), 200, "good request {k}");
@@ -237,7 +237,7 @@
 #[test]
 fn a_closed_kept_connection_costs_nothing() {
     let servers = Servers::new(1, |_, _| Reply::SendAndClose(response("200 OK", "", b"fine")));
-    let (node, _discovery) = Node::with(&servers);
+    let (node, _discovery) = Node::start_with_servers(&servers);
     for k in 0..3 {
         assert_eq!(node.post("/once/1", b"body").unwrap().status(), 200, "request {k}");
         wait_until("the node has seen the close", || servers.closed_by_node.load(SeqCst) == k + 1);
@@ -249,8 +249,9 @@
 fn kept_connections_are_closed_before_the_server_would() {
     let servers = Servers::new(1, |_, _| ok_reply("fine"));
     let discovery = Discovery::new(vec![servers.list_json(1)], true);
-    let node = Node::start(discovery.address, &Options { idle_ms: 200, ..Options::default() });
-    node.ready();
+    let node =
+        Node::start(discovery.address, &NodeOptions { idle_timeout_ms: 200, ..NodeOptions::default() });
+    node.wait_until_ready();
     let fresh = || {
         let start = Instant::now();
         assert_eq!(node.post("/once/1", b"body").unwrap().status(), 200);
@@ -266,7 +267,7 @@
 #[test]
 fn nothing_new_goes_to_a_server_that_drains() {
     let servers = Servers::new(2, |_, _| ok_reply("fine"));
-    let (node, discovery) = Node::with(&servers);
+    let (node, discovery) = Node::start_with_servers(&servers);
     let other = Servers::new(1, |_, _| ok_reply("other"));
     let mut hosts: Vec<_> =
         (0..2).map(|k| host(&format!("s-{k}"), servers.addresses[k], ["leaving", "left"][k])).collect();
@@ -286,8 +287,8 @@
     let servers = Servers::new(1, |_, _| ok_reply("fine"));
     for nonsense in ["{\"seq\":2,\"whole\":true,\"hosts\":[{}]}", "\u{1}\u{2}", "[]", "{\"seq\":2,\"who"] {
         let discovery = Discovery::new(vec![servers.list_json(1)], true);
-        let node = Node::start(discovery.address, &Options::default());
-        node.ready();
+        let node = Node::start(discovery.address, &NodeOptions::default());
+        node.wait_until_ready();
         discovery.say(nonsense.to_owned());
         wait_until("the watch is opened again", || discovery.watched() == 2);
         assert_eq!(node.post("/once/1", b"").unwrap().status(), 200);
@@ -305,8 +306,8 @@
         &[host("s-0", servers.addresses[0], "leaving"), host("s-1", other.addresses[0], "active")],
     );
     let discovery = Discovery::new(vec![new.clone(), servers.list_json(3), new], true);
-    let node = Node::start(discovery.address, &Options::default());
-    node.ready();
+    let node = Node::start(discovery.address, &NodeOptions::default());
+    node.wait_until_ready();
     discovery.say("broken".into());
     wait_until("the stale copy has been refused", || discovery.watched() == 3);
     for _ in 0..10 {
@@ -320,17 +321,19 @@
 fn a_silent_watch_is_opened_again() {
     let servers = Servers::new(1, |_, _| ok_reply("fine"));
     let discovery = Discovery::new(vec![servers.list_json(1)], false);
-    let node = Node::start(discovery.address, &Options::default());
-    node.ready();
+    let node = Node::start(discovery.address, &NodeOptions::default());
+    node.wait_until_ready();
     wait_until("the watch is opened again", || discovery.watched() == 2);
 }
 
 #[test]
 fn a_restarted_node_serves_by_its_own_list() {
     let servers = Servers::new(1, |_, _| ok_reply("fine"));
-    let node =
-        Node::start(refusing_address(), &Options { known: servers.list_json(1), ..Options::default() });
-    node.ready();
+    let node = Node::start(
+        refusing_address(),
+        &NodeOptions { known_servers_json: servers.list_json(1), ..NodeOptions::default() },
+    );
+    node.wait_until_ready();
     assert_eq!(node.post("/once/1", b"").unwrap().status(), 200);
 }
 
@@ -339,18 +342,18 @@
 #[test]
 fn a_reload_moves_to_another_discovery() {
     let old = Servers::new(1, |_, _| ok_reply("old"));
-    let (node, first) = Node::with(&old);
+    let (node, first) = Node::start_with_servers(&old);
     let new = Servers::new(1, |_, _| ok_reply("new"));
     let hosts = [host("s-0", old.addresses[0], "leaving"), host("s-1", new.addresses[0], "active")];
     let second = Discovery::new(vec![list(2, false, &hosts)], true);
     for (k, bad) in ["{", "{}"].into_iter().enumerate() {
         node.reload(bad);
-        node.says("not reloaded", k + 1);
+        node.wait_for_log("not reloaded", k + 1);
         assert_eq!(node.post("/once/1", b"").unwrap().body, b"old");
     }
     for k in 0..2 {
-        node.reload(&config(second.address, &Options::default()));
-        node.says("reloaded: discovery at", k + 1);
+        node.reload(&platform_config(second.address, &NodeOptions::default()));
+        node.wait_for_log("reloaded: discovery at", k + 1);
     }
     wait_until("the new list is taken in", || node.post("/once/1", b"").unwrap().body == b"new");
     assert_eq!((first.watched(), second.watched()), (1, 1), "the same address again changes nothing");
@@ -369,7 +372,7 @@
         std::thread::sleep(Duration::from_millis(300));
         ok_reply("fine")
     });
-    let (mut node, _discovery) = Node::with(&servers);
+    let (mut node, _discovery) = Node::start_with_servers(&servers);
     let mut kept = node.connect();
     kept.write_all(&get_request("/up", "")).unwrap();
     assert_eq!(read_message(&mut kept).unwrap().status(), 200);
@@ -384,13 +387,13 @@
         assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
     }
     assert_eq!(node.post("/once/3", b"late").map(|m| m.status()), Some(200));
-    assert!(node.exit().success());
+    assert!(node.wait_for_exit().success());
 }
 
 #[test]
 fn bad_requests_are_told_so() {
     let servers = Servers::new(1, |_, _| ok_reply("fine"));
-    let (node, _discovery) = Node::with(&servers);
+    let (node, _discovery) = Node::start_with_servers(&servers);
     let cases: [(&[u8], u16); 12] = [
         (b"NONSENSE\r\n\r\n", 400),
         (b"GET /safe/1 HTTP/1.1\r\nBad Header\r\n\r\n", 400),
@@ -407,7 +410,7 @@
         (b"GET /safe/1 HTTP/1.1\r\nX-Request-ID: a\r\nX-Timeout-Ms: -1\r\n\r\n", 400),
     ];
     for (bytes, status) in cases {
-        let answer = node.raw(bytes).expect("an answer");
+        let answer = node.send_raw(bytes).expect("an answer");
         assert_eq!(answer.status(), status, "{}", String::from_utf8_lossy(bytes));
     }
     assert_eq!(servers.request_count(), 0);
@@ -421,7 +424,7 @@
 #[test]
 fn a_chunked_body_hides_nothing() {
     let servers = Servers::new(1, |_, _| ok_reply("fine"));
-    let (node, _discovery) = Node::with(&servers);
+    let (node, _discovery) = Node::start_with_servers(&servers);
     let hidden = String::from_utf8(get_request("/safe/hidden", "")).unwrap();
     let filler = format!("X-Filler: {}\r\n", "x".repeat(1000)).repeat(4);
     let chunked = |length: &str| {
@@ -442,31 +445,31 @@
 #[test]
 fn an_id_in_use_is_turned_away() {
     let servers = Servers::new(2, |n, _| if n == 0 { Reply::NoAnswer } else { ok_reply("fine") });
-    let (node, _discovery) = Node::with(&servers);
+    let (node, _discovery) = Node::start_with_servers(&servers);
     let request = post_request("/once/1", b"body");
     let mut first = node.connect();
     first.write_all(&request).unwrap();
     wait_until("the request is under way", || servers.request_count() == 1);
-    assert_eq!(node.raw(&request).unwrap().status(), 409);
+    assert_eq!(node.send_raw(&request).unwrap().status(), 409);
     assert_eq!(node.post("/once/1", b"body").unwrap().status(), 200);
     assert_eq!(servers.request_count(), 2);
     assert_eq!(read_message(&mut first).unwrap().status(), 504);
-    assert_eq!(node.raw(&request).unwrap().status(), 200);
+    assert_eq!(node.send_raw(&request).unwrap().status(), 200);
     drop(first);
     // So it is when the client left.
     let servers = Servers::new(2, |n, _| if n == 0 { Reply::NoAnswer } else { ok_reply("fine") });
-    let (node, _discovery) = Node::with(&servers);
+    let (node, _discovery) = Node::start_with_servers(&servers);
     let mut first = node.connect();
     first.write_all(&request).unwrap();
     wait_until("the request is under way", || servers.request_count() == 1);
     drop(first);
-    wait_until("the id is free", || node.raw(&request).unwrap().status() == 200);
+    wait_until("the id is free", || node.send_raw(&request).unwrap().status() == 200);
 }
 
 #[test]
 fn a_client_that_leaves_is_forgotten() {
     let servers = Servers::new(1, |n, _| if n == 0 { Reply::NoAnswer } else { ok_reply("fine") });
-    let (node, _discovery) = Node::with(&servers);
+    let (node, _discovery) = Node::start_with_servers(&servers);
     let mut client = node.connect();
     client.write_all(&get_request("/safe/1", "")).unwrap();
     wait_until("the request is under way", || servers.request_count() == 1);
@@ -479,8 +482,8 @@
 fn idle_clients_make_room() {
     let servers = Servers::new(1, |_, _| ok_reply("fine"));
     let discovery = Discovery::new(vec![servers.list_json(1)], true);
-    let node = Node::start(discovery.address, &Options { sockets: 64, ..Options::default() });
-    node.ready();
+    let node = Node::start(discovery.address, &NodeOptions { max_sockets: 64, ..NodeOptions::default() });
+    node.wait_until_ready();
     let mut kept = Vec::new();
     for k in 0..60 {
         let mut client = node.connect();
@@ -496,7 +499,7 @@
 #[test]
 fn a_head_that_stands_still_is_cut_off() {
     let servers = Servers::new(1, |_, _| ok_reply("fine"));
-    let (node, _discovery) = Node::with(&servers);
+    let (node, _discovery) = Node::start_with_servers(&servers);
     let mut client = node.connect();
     client.write_all(b"POST /once/1 HTTP/1.1\r\nHost: a\r\n").unwrap();
     let start = Instant::now();
@@ -508,7 +511,7 @@
 #[test]
 fn a_silent_client_is_let_go() {
     let servers = Servers::new(1, |_, _| ok_reply("fine"));
-    let (node, _discovery) = Node::with(&servers);
+    let (node, _discovery) = Node::start_with_servers(&servers);
     let start = Instant::now();
     let silent: Vec<_> = (0..20).map(|_| node.connect()).collect();
     let mut half = node.connect();
@@ -524,13 +527,13 @@
 #[test]
 fn a_terminated_node_closes_idle_connections() {
     let servers = Servers::new(1, |_, _| ok_reply("fine"));
-    let (mut node, _discovery) = Node::with(&servers);
+    let (mut node, _discovery) = Node::start_with_servers(&servers);
     let mut kept = node.connect();
     kept.write_all(&post_request("/once/1", b"body")).unwrap();
     assert_eq!(read_message(&mut kept).unwrap().status(), 200);
     let start = Instant::now();
     node.signal("-TERM");
-    assert!(node.exit().success());
+    assert!(node.wait_for_exit().success());
     assert!(start.elapsed() < Duration::from_secs(3), "{:?}", start.elapsed());
     assert_eq!(kept.read(&mut [0]).unwrap(), 0);
 }
@@ -539,18 +542,18 @@
 fn bodies_without_room_go_on_as_they_come() {
     let servers = Servers::new(1, |_, _| ok_reply("fine"));
     let discovery = Discovery::new(vec![servers.list_json(1)], true);
-    let node = Node::start(discovery.address, &Options { memory_mb: 16, ..Options::default() });
-    node.ready();
+    let node = Node::start(discovery.address, &NodeOptions { memory_mb: 16, ..NodeOptions::default() });
+    node.wait_until_ready();
     for length in [30_000_000, 2_000_000] {
         assert_eq!(node.post("/once/1", &vec![b'x'; length]).unwrap().status(), 200, "{length} bytes");
     }
-    assert!(node.peak_memory() < 16 << 20, "{}", node.peak_memory());
+    assert!(node.peak_resident_bytes() < 16 << 20, "{}", node.peak_resident_bytes());
     assert_eq!(servers.request_count(), 2);
 }
 
 #[test]
 fn a_bad_configuration_is_named() {
-    let good = config(refusing_address(), &Options::default());
+    let good = platform_config(refusing_address(), &NodeOptions::default());
     let cases = [
         (String::from("{"), "EOF"),
         (good.replace("\"classes\"", "\"klasses\""), "classes"),
@@ -579,7 +582,7 @@
         })),
         _ => ok_reply("fine"),
     });
-    let (node, _discovery) = Node::with(&servers);
+    let (node, _discovery) = Node::start_with_servers(&servers);
     std::thread::scope(|scope| {
         for _ in 0..12 {
             scope.spawn(|| assert_eq!(node.get("/safe/1", "").unwrap().body, b"xxxxxx"));
@@ -596,8 +599,8 @@
     let servers =
         Servers::new(12, |_, m| Reply::Send(response("200 OK", "", m.body.len().to_string().as_bytes())));
     let discovery = Discovery::new(vec![servers.list_json(1)], true);
-    let node = Node::start(discovery.address, &Options { memory_mb: 48, ..Options::default() });
-    node.ready();
+    let node = Node::start(discovery.address, &NodeOptions { memory_mb: 48, ..NodeOptions::default() });
+    node.wait_until_ready();
     std::thread::scope(|scope| {
         for k in 0..10 {
             let node = &node;
@@ -613,10 +616,10 @@
             });
         }
     });
-    assert!(node.peak_memory() < 40 << 20, "{}", node.peak_memory());
+    assert!(node.peak_resident_bytes() < 40 << 20, "{}", node.peak_resident_bytes());
     assert_eq!(servers.request_count(), 10);
-    wait_until("all are counted", || node.figure("gw_succeeded{service=\"once\"}") == Some(10.0));
-    assert_eq!(node.figure("gw_outstanding"), Some(0.0));
+    wait_until("all are counted", || node.metric("gw_succeeded{service=\"once\"}") == Some(10.0));
+    assert_eq!(node.metric("gw_outstanding"), Some(0.0));
 }
 
 /// Whatever becomes of the request meanwhile, its client has sent all before it is answered, and can read the answer. A
@@ -630,8 +633,8 @@
     });
     for dial in [refusing_address(), bad] {
         let discovery = Discovery::new(vec![list(1, true, &[host("s-0", dial, "active")])], true);
-        let node = Node::start(discovery.address, &Options { memory_mb: 48, ..Options::default() });
-        node.ready();
+        let node = Node::start(discovery.address, &NodeOptions { memory_mb: 48, ..NodeOptions::default() });
+        node.wait_until_ready();
         let mut client = node.connect();
         for piece in post_request("/once/1", &vec![b'x'; 8_000_000]).chunks(1 << 20) {
             client.write_all(piece).expect("the node reads on");
@@ -645,7 +648,7 @@
 fn a_body_of_32_mib_passes_and_a_longer_one_does_not() {
     let servers =
         Servers::new(1, |_, m| Reply::Send(response("200 OK", "", m.body.len().to_string().as_bytes())));
-    let (node, _discovery) = Node::with(&servers);
+    let (node, _discovery) = Node::start_with_servers(&servers);
     let most = 32 << 20;
     assert_eq!(node.post("/once/1", &vec![b'x'; most]).unwrap().body, most.to_string().as_bytes());
     let mut client = node.connect();
--- a/crates/corkhollow/tests/reload.rs
+++ b/crates/corkhollow/tests/reload.rs
@@ -112,7 +112,7 @@
         let gate = Gate::default();
         let (one, two) = (held(&gate, "one"), held(&gate, "two"));
         let text = site(&one.addresses, &two.addresses);
-        let node = Node::site(&text);
+        let node = Node::start_with_operator_file(&text);
         let send = |request: &[u8]| {
             let mut client = node.connect();
             client.write_all(request).unwrap();
@@ -126,8 +126,8 @@
         streams.read_exact(&mut first).unwrap();
         wait_until("all are under way", || one.request_count() == 4);
         node.reload(&changed(what, &text));
-        node.says("reloaded: ", 1);
-        let now = node.raw(&asked("GET /1/now", "X-Tenant: t1\r\n")).unwrap();
+        node.wait_for_log("reloaded: ", 1);
+        let now = node.send_raw(&asked("GET /1/now", "X-Tenant: t1\r\n")).unwrap();
         assert_eq!(now.body, next.as_bytes(), "{what}: who comes behind goes by the new file");
         gate.open();
         assert_eq!(read_message(&mut waits).expect("an answer").body, b"one", "{what}");
@@ -194,15 +194,15 @@
 
 /// Puts a file in place of the node's in one step, and tells it so.
 fn replace(node: &Node, text: &str) {
-    let new = node.file().with_extension("new");
+    let new = node.config_path().with_extension("new");
     std::fs::write(&new, text).unwrap();
-    std::fs::rename(new, node.file()).unwrap();
+    std::fs::rename(new, node.config_path()).unwrap();
     node.signal("-HUP");
 }
 
 /// What the last route answers.
 fn word(node: &Node) -> String {
-    String::from_utf8(node.raw(&asked("GET /word", "")).expect("an answer").body).unwrap()
+    String::from_utf8(node.send_raw(&asked("GET /word", "")).expect("an answer").body).unwrap()
 }
 
 fn lines(node: &Node, words: &str) -> Vec<String> {
@@ -221,7 +221,7 @@
 fn requests_go_on_while_a_file_is_compiled() {
     let servers = Servers::new(2, |_, _| ok_reply("fine"));
     let text = large(&servers.addresses, 12_000, "old");
-    let node = Node::site(&text);
+    let node = Node::start_with_operator_file(&text);
     let over = AtomicBool::new(false);
     std::thread::scope(|all| {
         let client = all.spawn(|| {
@@ -237,7 +237,7 @@
         });
         let begun = Instant::now();
         node.reload(&text.replace("\"old\"", "\"new\""));
-        node.says("reloaded: ", 1);
+        node.wait_for_log("reloaded: ", 1);
         let took = begun.elapsed();
         over.store(true, SeqCst);
         let longest = client.join().unwrap();
@@ -246,14 +246,14 @@
     assert_eq!(word(&node), "new");
     let told = &lines(&node, "reloaded: ")[0];
     assert!(told.contains("; routes: 1 changed; pools touched: 0;"), "{told}");
-    let figure = |step: &str| node.figure(&format!("gw_reload_seconds{{step=\"{step}\"}}")).unwrap();
+    let figure = |step: &str| node.metric(&format!("gw_reload_seconds{{step=\"{step}\"}}")).unwrap();
     for (step, before) in [("read", "checked in "), ("compare", "compared in "), ("swap", "in force in ")] {
         let (shown, told) = (figure(step) * 1e3, number(told, before, " ms"));
         assert!((shown - told).abs() < 0.06, "{step}: {shown}, {told}");
     }
     let version = told.split("version ").nth(1).unwrap().split(' ').next().unwrap();
-    assert_eq!(node.figure(&format!("gw_config_version{{version=\"{version}\"}}")), Some(1.0));
-    assert_eq!(node.figure("gw_reload_pools"), Some(0.0));
+    assert_eq!(node.metric(&format!("gw_config_version{{version=\"{version}\"}}")), Some(1.0));
+    assert_eq!(node.metric("gw_reload_pools"), Some(0.0));
 
     // One tenant, one server, one weight; and back to what was there before.
     let new = text.replace("\"old\"", "\"new\"");
@@ -282,7 +282,7 @@
     .enumerate()
     {
         node.reload(&changed);
-        node.says("reloaded: ", k + 2);
+        node.wait_for_log("reloaded: ", k + 2);
         let told = lines(&node, "reloaded: ").pop().unwrap();
         assert!(told.contains(words), "{told}, not {words}");
         assert_eq!(word(&node), "new");
@@ -294,7 +294,7 @@
 fn of_many_files_the_last_is_in_force() {
     let servers = Servers::new(2, |_, _| ok_reply("fine"));
     let text = large(&servers.addresses, 2_000, "w0");
-    let node = Node::site(&text);
+    let node = Node::start_with_operator_file(&text);
     let over = AtomicBool::new(false);
     std::thread::scope(|all| {
         let client = all.spawn(|| {
@@ -318,7 +318,7 @@
     let told = lines(&node, "reloaded: ").len();
     assert!((1..20).contains(&told), "{told} were put in force");
     assert_eq!(lines(&node, "not reloaded"), Vec::<String>::new());
-    assert_eq!(node.figure("gw_sighup_applied"), Some(told as f64));
+    assert_eq!(node.metric("gw_sighup_applied"), Some(told as f64));
 }
 
 /// Files that never stop coming do not keep all of them out.
@@ -326,7 +326,7 @@
 fn files_that_go_on_coming_are_taken_in_between() {
     let servers = Servers::new(1, |_, _| ok_reply("fine"));
     let text = large(&servers.addresses, 3_000, "w0");
-    let node = Node::site(&text);
+    let node = Node::start_with_operator_file(&text);
     let over = AtomicBool::new(false);
     std::thread::scope(|all| {
         // Each one comes long before the one before it can have been compiled.
@@ -350,9 +350,9 @@
 fn a_broken_file_behind_a_good_one_changes_nothing() {
     let servers = Servers::new(1, |_, _| ok_reply("fine"));
     let text = large(&servers.addresses, 200, "old");
-    let node = Node::site(&text);
+    let node = Node::start_with_operator_file(&text);
     node.reload(&text.replace("\"old\"", "\"good\""));
-    node.says("reloaded: ", 1);
+    node.wait_for_log("reloaded: ", 1);
     let good = text.replace("\"old\"", "\"good\"");
     for (k, broken) in [
         good.replacen("pool-3", "pool-x", 1),
@@ -365,22 +365,22 @@
     .enumerate()
     {
         node.reload(&broken);
-        node.says("not reloaded: ", k + 1);
+        node.wait_for_log("not reloaded: ", k + 1);
         assert_eq!(word(&node), "good");
-        assert_eq!(node.raw(&asked("GET /part-3/x", "")).unwrap().body, b"fine");
+        assert_eq!(node.send_raw(&asked("GET /part-3/x", "")).unwrap().body, b"fine");
     }
     // Bytes that are no text, and no file at all.
-    std::fs::write(node.file(), [b'#', 0xff, 0xfe]).unwrap();
+    std::fs::write(node.config_path(), [b'#', 0xff, 0xfe]).unwrap();
     node.signal("-HUP");
-    node.says("not reloaded: ", 6);
-    std::fs::remove_file(node.file()).unwrap();
+    node.wait_for_log("not reloaded: ", 6);
+    std::fs::remove_file(node.config_path()).unwrap();
     node.signal("-HUP");
-    node.says("not reloaded: ", 7);
+    node.wait_for_log("not reloaded: ", 7);
     assert_eq!(word(&node), "good");
     node.reload(&text);
-    node.says("reloaded: listeners: 1", 2);
+    node.wait_for_log("reloaded: listeners: 1", 2);
     assert_eq!(word(&node), "old");
-    assert_eq!(node.figure("gw_sighup_rejected"), Some(7.0));
+    assert_eq!(node.metric("gw_sighup_rejected"), Some(7.0));
 }
 
 /// A file that is written while it is read: what is in force is one of the two files or the other, never a part or a mixture.
@@ -388,7 +388,7 @@
 fn a_file_that_changes_while_it_is_read_is_taken_whole_or_not_at_all() {
     let servers = Servers::new(1, |_, _| ok_reply("fine"));
     let files = ["aaa", "bbb"].map(|word| large(&servers.addresses, 1_500, word));
-    let node = Node::site(&files[0]);
+    let node = Node::start_with_operator_file(&files[0]);
     let over = AtomicBool::new(false);
     std::thread::scope(|all| {
         all.spawn(|| {
@@ -397,7 +397,7 @@
                     return;
                 }
                 // In place and in pieces, as no editor should.
-                let mut file = std::fs::File::create(node.file()).unwrap();
+                let mut file = std::fs::File::create(node.config_path()).unwrap();
                 for piece in files[k % 2].as_bytes().chunks(20_000) {
                     file.write_all(piece).unwrap();
                 }
@@ -429,15 +429,15 @@
 fn the_end_does_not_wait_for_a_file() {
     let servers = Servers::new(1, |_, _| ok_reply("fine"));
     let text = large(&servers.addresses, 6_000, "old");
-    let mut node = Node::site(&text);
+    let mut node = Node::start_with_operator_file(&text);
     node.reload(&text);
-    node.says("reloaded: ", 1);
+    node.wait_for_log("reloaded: ", 1);
     let compiled = number(&lines(&node, "reloaded: ")[0], "checked in ", " ms");
     let (sent, end) = mpsc::channel();
     node.signal("-HUP");
     let told = Instant::now();
     node.signal("-TERM");
-    assert!(node.exit().success());
+    assert!(node.wait_for_exit().success());
     sent.send(told.elapsed()).unwrap();
     let took = end.recv().unwrap().as_secs_f64() * 1e3;
     // Half a second is what clients have to hear of the end.
--- a/crates/corkhollow/tests/retune.rs
+++ b/crates/corkhollow/tests/retune.rs
@@ -7,20 +7,20 @@
 
 /// The node's configuration with its classes as `change` has them.
 fn changed(discovery: &Discovery, change: impl Fn(&str) -> String) -> String {
-    let text = config(discovery.address, &Options::default());
+    let text = platform_config(discovery.address, &NodeOptions::default());
     let (before, rest) = text.split_once("\"classes\":[").unwrap();
     let (classes, after) = rest.split_once("],").unwrap();
     format!("{before}\"classes\":[{}],{after}", change(classes))
 }
 
 fn applied(node: &Node, count: f64) {
-    wait_until("the file is taken", || node.figure("gw_sighup_applied") == Some(count));
+    wait_until("the file is taken", || node.metric("gw_sighup_applied") == Some(count));
 }
 
 #[test]
 fn classes_come_and_go() {
     let servers = Servers::new(2, |_, _| ok_reply("fine"));
-    let (node, discovery) = Node::with(&servers);
+    let (node, discovery) = Node::start_with_servers(&servers);
     let mut kept = node.connect();
     kept.write_all(&get_request("/safe/1", "")).unwrap();
     assert_eq!(read_message(&mut kept).unwrap().status(), 200);
@@ -32,8 +32,8 @@
         assert_eq!(node.get(path, "").unwrap().status(), 200, "{path}");
     }
     assert_eq!(node.post("/once/1", b"body").unwrap().status(), 200);
-    assert_eq!(node.figure("gw_succeeded{service=\"extra\"}"), Some(1.0));
-    assert_eq!(node.figure("gw_succeeded{service=\"once\"}"), Some(1.0));
+    assert_eq!(node.metric("gw_succeeded{service=\"extra\"}"), Some(1.0));
+    assert_eq!(node.metric("gw_succeeded{service=\"once\"}"), Some(1.0));
     node.reload(&changed(&discovery, |_| EXTRA.to_owned()));
     applied(&node, 2.0);
     assert_eq!(node.get("/safe/1", "").unwrap().status(), 404);
@@ -60,7 +60,7 @@
         1 => Reply::Reset,
         _ => ok_reply("fine"),
     });
-    let (node, discovery) = Node::with(&servers);
+    let (node, discovery) = Node::start_with_servers(&servers);
     let mut open = node.connect();
     open.write_all(&post_request("/once/1", b"body")).unwrap();
     wait_until("the server has the request", || servers.request_count() == 1);
@@ -76,7 +76,7 @@
 #[test]
 fn a_file_that_cannot_be_used_is_turned_down_whole() {
     let servers = Servers::new(2, |_, _| ok_reply("fine"));
-    let (node, discovery) = Node::with(&servers);
+    let (node, discovery) = Node::start_with_servers(&servers);
     let good = changed(&discovery, |classes| format!("{EXTRA},{classes}"));
     let bad = [
         String::new(),
@@ -94,11 +94,11 @@
     for (k, text) in bad.iter().enumerate() {
         node.reload(text);
         let turned_down = (k + 1) as f64;
-        wait_until("the file is turned down", || node.figure("gw_sighup_rejected") == Some(turned_down));
+        wait_until("the file is turned down", || node.metric("gw_sighup_rejected") == Some(turned_down));
         assert_eq!(node.get("/extra/1", "").unwrap().status(), 404, "file {k}");
         assert_eq!(node.get("/safe/1", "").unwrap().status(), 200, "file {k}");
     }
-    assert_eq!(node.figure("gw_sighup_applied"), Some(0.0));
+    assert_eq!(node.metric("gw_sighup_applied"), Some(0.0));
     node.reload(&good);
     applied(&node, 1.0);
     assert_eq!(node.get("/extra/1", "").unwrap().status(), 200);
@@ -108,10 +108,13 @@
 #[test]
 fn a_pool_outlives_other_times_for_its_connections() {
     let servers = Servers::new(1, |_, _| ok_reply("fine"));
-    let (node, discovery) = Node::with(&servers);
+    let (node, discovery) = Node::start_with_servers(&servers);
     assert_eq!(node.get("/safe/1", "").unwrap().status(), 200);
     let connected = servers.connection_count();
-    let told = config(discovery.address, &Options { idle_ms: 60_000, ..Options::default() });
+    let told = platform_config(
+        discovery.address,
+        &NodeOptions { idle_timeout_ms: 60_000, ..NodeOptions::default() },
+    );
     node.reload(&told.replace("\"connectTimeoutNs\":120000000", "\"connectTimeoutNs\":250000000"));
     applied(&node, 1.0);
     assert_eq!(node.get("/safe/1", "").unwrap().status(), 200);
@@ -129,7 +132,7 @@
         })),
         false => ok_reply("fine"),
     });
-    let (node, discovery) = Node::with(&servers);
+    let (node, discovery) = Node::start_with_servers(&servers);
     let served =
         |path: &str, count: usize| (0..count).filter(|_| node.get(path, "").unwrap().status() == 200).count();
     assert_eq!(served("/safe/1", 200), 200);
@@ -141,5 +144,5 @@
         assert_eq!(served("/safe/1", 100), 100, "worth {worth}");
         assert_eq!(served("/extra/slow", 20), 20, "worth {worth}, slow");
     }
-    assert_eq!(node.figure("gw_declined{service=\"extra\"}"), Some(0.0));
+    assert_eq!(node.metric("gw_declined{service=\"extra\"}"), Some(0.0));
 }
--- a/crates/corkhollow/tests/shutdown.rs
+++ b/crates/corkhollow/tests/shutdown.rs
@@ -9,17 +9,18 @@
 const KILLED: Duration = Duration::from_millis(3700);
 
 /// A configuration whose requests may take this long.
-fn lasting(discovery: SocketAddr, seconds: u64, sockets: u64) -> String {
+fn lasting(discovery: SocketAddr, seconds: u64, max_sockets: u64) -> String {
     let give_up = format!("\"giveUpNs\":{seconds}000000000");
-    config(discovery, &Options { sockets, ..Options::default() }).replace("\"giveUpNs\":3000000000", &give_up)
+    platform_config(discovery, &NodeOptions { max_sockets, ..NodeOptions::default() })
+        .replace("\"giveUpNs\":3000000000", &give_up)
 }
 
 /// A node before servers that take requests and hang.
 fn before_hanging(seconds: u64, sockets: u64) -> (Node, Discovery, Servers) {
     let servers = Servers::new(4, |_, _| Reply::NoAnswer);
     let discovery = Discovery::new(vec![servers.list_json(1)], true);
-    let node = Node::of(&lasting(discovery.address, seconds, sockets));
-    node.ready();
+    let node = Node::start_with_platform_file(&lasting(discovery.address, seconds, sockets));
+    node.wait_until_ready();
     (node, discovery, servers)
 }
 
@@ -48,7 +49,7 @@
         node.signal("-TERM");
         let answer = read_message(&mut client).expect("an answer");
         assert_eq!((answer.status(), answer.header("connection")), (504, Some("close")), "{seconds} s");
-        assert!(node.exit().success());
+        assert!(node.wait_for_exit().success());
         assert!(told.elapsed() < KILLED + Duration::from_millis(300), "{seconds} s: {:?}", told.elapsed());
         let requests = servers.requests.lock().unwrap();
         assert_eq!(requests.len(), 1, "an unsafe request goes nowhere else: {requests:?}");
@@ -65,7 +66,7 @@
     for client in &mut clients {
         client.write_all(&request[..20]).unwrap();
     }
-    wait_until("they are there", || node.figure("gw_client_connections") == Some(3.0));
+    wait_until("they are there", || node.metric("gw_client_connections") == Some(3.0));
     let told = Instant::now();
     node.signal("-TERM");
     refuses(&node);
@@ -80,7 +81,7 @@
         let answer = read_message(&mut client).expect("an answer");
         assert_eq!((answer.status(), answer.header("connection")), (504, Some("close")));
     }
-    assert!(node.exit().success());
+    assert!(node.wait_for_exit().success());
     assert!(told.elapsed() < KILLED + Duration::from_millis(300), "{:?}", told.elapsed());
 }
 
@@ -106,7 +107,7 @@
     }
     let told = Instant::now();
     node.signal("-TERM");
-    assert!(node.exit().success());
+    assert!(node.wait_for_exit().success());
     assert!(told.elapsed() < KILLED + Duration::from_millis(300), "{:?}", told.elapsed());
     let answered = clients.iter_mut().filter_map(read_message).filter(|m| m.status() == 504).count();
     assert_eq!(answered, servers.request_count(), "of those that were sent on");
@@ -116,7 +117,7 @@
 #[test]
 fn a_node_that_is_told_to_end_at_its_start_answers() {
     let agent = Agent::listen();
-    let mut node = Node::start(agent.address, &Options::default());
+    let mut node = Node::start(agent.address, &NodeOptions::default());
     let silent = agent.call();
     let mut clients: Vec<_> = (0..5).map(|_| node.connect()).collect();
     for client in &mut clients {
@@ -126,7 +127,7 @@
     for client in &mut clients {
         assert_eq!(read_message(client).expect("an answer").status(), 503);
     }
-    assert!(node.exit().success());
+    assert!(node.wait_for_exit().success());
     drop(silent);
 }
 
@@ -136,7 +137,7 @@
     let body = vec![b'x'; 60_000];
     let answer = response("200 OK", "", &body);
     let servers = Servers::new(20, move |_, _| Reply::Send(answer.clone()));
-    let (mut node, _discovery) = Node::with(&servers);
+    let (mut node, _discovery) = Node::start_with_servers(&servers);
     let mut clients: Vec<_> = (0..20).map(|_| node.connect()).collect();
     let told = Instant::now();
     node.signal("-TERM");
@@ -151,7 +152,7 @@
         assert_eq!((answer.status(), answer.body.len(), answer.is_complete), (200, body.len(), true));
         let _ = client.read(&mut [0]);
     }
-    assert!(node.exit().success());
+    assert!(node.wait_for_exit().success());
     assert!(told.elapsed() < KILLED + Duration::from_millis(300), "{:?}", told.elapsed());
 }
 
@@ -162,8 +163,8 @@
     let servers =
         Servers::new(8, |_, m| Reply::Send(response("200 OK", "", m.body.len().to_string().as_bytes())));
     let discovery = Discovery::new(vec![servers.list_json(1)], true);
-    let mut node = Node::start(discovery.address, &Options { memory_mb: 48, ..Options::default() });
-    node.ready();
+    let mut node = Node::start(discovery.address, &NodeOptions { memory_mb: 48, ..NodeOptions::default() });
+    node.wait_until_ready();
     let long = 6_000_000;
     let mut coming = Vec::new();
     for (length, here) in [(4, 20), (4, post_request("/once/1", b"").len() + 2), (long, long / 2)] {
@@ -172,7 +173,7 @@
         client.write_all(&request[..here]).unwrap();
         coming.push((client, request, here, length));
     }
-    wait_until("they are there", || node.figure("gw_client_connections") == Some(3.0));
+    wait_until("they are there", || node.metric("gw_client_connections") == Some(3.0));
     node.signal("-TERM");
     wait_until("the node says that it leaves", || node.get("/up", "").is_some_and(|m| m.status() == 503));
     for (mut client, request, here, length) in coming {
@@ -181,7 +182,7 @@
         assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")), "{length} bytes");
         assert_eq!(answer.body, length.to_string().into_bytes());
     }
-    assert!(node.exit().success());
+    assert!(node.wait_for_exit().success());
 }
 
 /// New settings come twice at once, and the end right behind them: a request that is under way keeps its rules and its
@@ -197,16 +198,16 @@
         let _ = gate.lock().unwrap().recv();
         Reply::Send(response("500 No", "", b""))
     });
-    let (mut node, discovery) = Node::with(&servers);
+    let (mut node, discovery) = Node::start_with_servers(&servers);
     let mut client = node.connect();
     client.write_all(&get_request("/safe/1", "")).unwrap();
     wait_until("the request is under way", || servers.request_count() == 1);
-    let other = config(discovery.address, &Options::default())
+    let other = platform_config(discovery.address, &NodeOptions::default())
         .replace("\"name\":\"safe\"", "\"name\":\"sure\"")
         .replace("\"maxAttempts\":3", "\"maxAttempts\":1");
     node.reload(&other);
     node.signal("-HUP");
-    node.says("reloaded: listeners", 1);
+    node.wait_for_log("reloaded: listeners", 1);
     assert_eq!(node.get("/safe/2", "").unwrap().status(), 404, "the class is gone");
     assert_eq!(node.get("/sure/2", "").unwrap().status(), 200);
     node.signal("-TERM");
@@ -214,5 +215,5 @@
     go.send(()).unwrap();
     assert_eq!(read_message(&mut client).expect("an answer").body, b"fine");
     assert_eq!(servers.request_count(), 3);
-    assert!(node.exit().success());
+    assert!(node.wait_for_exit().success());
 }
--- a/crates/corkhollow/tests/site/bodies.rs
+++ b/crates/corkhollow/tests/site/bodies.rs
@@ -8,7 +8,7 @@
 fn an_answer_reaches_a_client_whose_body_nobody_wants() {
     let servers = Servers::new(1, |_, _| ok_reply("fine"));
     let routes = "[[route]]\nname = \"own\"\npath_prefix = \"/own\"\nanswer = { status = 405 }";
-    let node = Node::site(&site(&servers.addresses, "", "", routes));
+    let node = Node::start_with_operator_file(&site(&servers.addresses, "", "", routes));
     let mut client = node.connect();
     for _ in 0..3 {
         let chunked = "POST /own HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -158,7 +158,7 @@
             let _ = stream.write_all(body.as_bytes());
         });
         let node = plain(&[servers]);
-        let answer = node.raw(&asked("POST / HTTP/1.1")).unwrap();
+        let answer = node.send_raw(&asked("POST / HTTP/1.1")).unwrap();
         assert!(answer.status() == 200 && !answer.is_complete, "case {k}: {answer:?}");
     }
 }
@@ -198,6 +198,6 @@
         client.write_all(&vec![b'x'; 300_000]).unwrap();
         drop(client);
         wait_until("the server sees the cut", || broken.load(SeqCst) == k + 1);
-        assert_eq!(node.raw(&asked("GET / HTTP/1.1")).unwrap().status(), 200, "after {k}");
+        assert_eq!(node.send_raw(&asked("GET / HTTP/1.1")).unwrap().status(), 200, "after {k}");
     }
 }
--- a/crates/corkhollow/tests/site/main.rs
+++ b/crates/corkhollow/tests/site/main.rs
@@ -27,7 +27,7 @@
 }
 
 fn plain(dials: &[SocketAddr]) -> Node {
-    Node::site(&site(dials, "", "", ""))
+    Node::start_with_operator_file(&site(dials, "", "", ""))
 }
 
 /// What comes back until the connection ends.
--- a/crates/corkhollow/tests/site/messages.rs
+++ b/crates/corkhollow/tests/site/messages.rs
@@ -16,7 +16,7 @@
             "{method} /{status}?q=1 HTTP/1.1\r\nHost: A.org:80\r\nConnection: x-gone, keep-alive\r\nX-Gone: 1\r\n\
              X-Kept: 2\r\nContent-Length: 4\r\n\r\nbody"
         );
-        let answer = node.raw(request.as_bytes()).unwrap();
+        let answer = node.send_raw(request.as_bytes()).unwrap();
         assert_eq!(answer.status().to_string(), status[..3], "{status}");
         assert_eq!((answer.header("x-own"), answer.header("keep-alive")), (Some("yes"), None));
         assert_eq!((answer.head.matches("x-two").count(), &answer.body[..]), (2, &b"body"[..]));
@@ -96,7 +96,7 @@
     });
     let pool =
         "[limits]\nstall_timeout = \"1s\"\n[[class]]\nname = \"all\"\neffect = \"unsafe\"\nmethods = [\"POST\"]\naim = \"200ms\"\ndeadline = \"500ms\"";
-    let node = Node::site(&site(&[deaf], "", pool, ""));
+    let node = Node::start_with_operator_file(&site(&[deaf], "", pool, ""));
     let mut client = node.connect();
     write!(client, "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 64000000\r\n\r\n").unwrap();
     let mut sender = client.try_clone().unwrap();
@@ -116,7 +116,7 @@
     let node = plain(&servers.addresses);
     let asks = |long| {
         let value = "a".repeat(long);
-        node.raw(format!("GET / HTTP/1.1\r\nHost: a.org\r\nX-Long: {value}\r\n\r\n").as_bytes()).unwrap()
+        node.send_raw(format!("GET / HTTP/1.1\r\nHost: a.org\r\nX-Long: {value}\r\n\r\n").as_bytes()).unwrap()
     };
     assert_eq!(asks(15_000).status(), 200);
     for long in [17_000, 30_000, 200_000] {
@@ -131,7 +131,7 @@
 fn no_spelling_leads_round_a_route() {
     let servers = Servers::new(1, |_, _| ok_reply("open"));
     let routes = "[[route]]\nname = \"shut\"\nhosts = [\"a.org\"]\npath_prefix = \"/admin\"\nanswer = { status = 403 }";
-    let node = Node::site(&site(&servers.addresses, "", "", routes));
+    let node = Node::start_with_operator_file(&site(&servers.addresses, "", "", routes));
     for (host, path, status) in [
         ("a.org", "/admin", 403),
         ("A.ORG", "/admin/x", 403),
@@ -149,7 +149,8 @@
         ("a.org", "/administrator", 200),
         ("b.org", "/admin", 200),
     ] {
-        let answer = node.raw(format!("GET {path} HTTP/1.1\r\nHost: {host}\r\n\r\n").as_bytes()).unwrap();
+        let answer =
+            node.send_raw(format!("GET {path} HTTP/1.1\r\nHost: {host}\r\n\r\n").as_bytes()).unwrap();
         assert_eq!(answer.status(), status, "{host} {path}");
     }
 }
@@ -185,19 +186,19 @@
 "#;
     let text = site(&servers.addresses, "", "", routes)
         .replace("name = \"all\"\n", "name = \"all\"\npath = \"/all\"\n");
-    let node = Node::site(&text);
-    let moved = node.raw(&asked("GET /old?a=b HTTP/1.1")).unwrap();
+    let node = Node::start_with_operator_file(&text);
+    let moved = node.send_raw(&asked("GET /old?a=b HTTP/1.1")).unwrap();
     assert_eq!((moved.status(), moved.header("location")), (308, Some("https://a.org/new?a=b")));
-    let fixed = node.raw(&asked("GET /fixed HTTP/1.1")).unwrap();
+    let fixed = node.send_raw(&asked("GET /fixed HTTP/1.1")).unwrap();
     assert_eq!(
         (fixed.status(), &fixed.body[..], fixed.header("content-type")),
         (418, &b"short"[..], Some("text/x"))
     );
-    let other = node.raw(&asked("DELETE /fixed HTTP/1.1")).unwrap();
+    let other = node.send_raw(&asked("DELETE /fixed HTTP/1.1")).unwrap();
     assert_eq!((other.status(), other.header("allow")), (405, Some("GET, PUT, PATCH")));
-    assert_eq!(node.raw(&asked("GET /nowhere HTTP/1.1")).unwrap().status(), 404);
+    assert_eq!(node.send_raw(&asked("GET /nowhere HTTP/1.1")).unwrap().status(), 404);
     let request = "GET /api/x?q HTTP/1.1\r\nHost: a.org\r\nCookie: c\r\nX-Set: old\r\nX-Add: old\r\n\r\n";
-    let written = node.raw(request.as_bytes()).unwrap();
+    let written = node.send_raw(request.as_bytes()).unwrap();
     let seen = String::from_utf8(written.body.clone()).unwrap();
     assert!(seen.starts_with("GET /v2/x?q HTTP/1.1"), "{seen}");
     assert!(
@@ -216,8 +217,8 @@
                     X-Request-ID: mine\r\nVia: 1.1 first\r\n\r\n";
     for (trust, for_) in [("false", "127.0.0.1"), ("true", "9.9.9.9, 127.0.0.1")] {
         let listener = format!("via = \"edge\"\nforwarded = \"both\"\ntrust_forwarded = {trust}");
-        let node = Node::site(&site(&servers.addresses, &listener, "", ""));
-        let answer = node.raw(request).unwrap();
+        let node = Node::start_with_operator_file(&site(&servers.addresses, &listener, "", ""));
+        let answer = node.send_raw(request).unwrap();
         let seen = String::from_utf8(answer.body.clone()).unwrap();
         assert!(seen.contains(&format!("x-forwarded-for: {for_}\r\n")), "{seen}");
         assert!(
@@ -262,8 +263,8 @@
         }
     });
     let node = plain(&[dial]);
-    node.raw(&asked("GET / HTTP/1.1\r\nX: warm")).unwrap();
-    let before = node.memory();
+    node.send_raw(&asked("GET / HTTP/1.1\r\nX: warm")).unwrap();
+    let before = node.resident_bytes();
     let mut client = node.connect();
     client.write_all(&asked("GET /down HTTP/1.1")).unwrap();
     let mut most = before;
@@ -272,14 +273,14 @@
         let n = client.read(&mut chunk).unwrap();
         assert!(n > 0, "cut after {taken}");
         taken += n as u64;
-        most = most.max(node.memory());
+        most = most.max(node.resident_bytes());
     }
     let mut client = node.connect();
     write!(client, "PUT /up HTTP/1.1\r\nHost: a\r\nContent-Length: {LONG}\r\n\r\n").unwrap();
     let chunk = vec![b'y'; 1_000_000];
     for _ in 0..LONG / 1_000_000 {
         client.write_all(&chunk).unwrap();
-        most = most.max(node.memory());
+        most = most.max(node.resident_bytes());
     }
     let answer = read_message(&mut client).unwrap();
     assert_eq!((answer.status(), &answer.body[..]), (200, LONG.to_string().as_bytes()));
@@ -420,7 +421,7 @@
         "{:?}",
         servers.requests.lock().unwrap().iter().map(|m| &m.head).collect::<Vec<_>>()
     );
-    assert_eq!(node.raw(&asked("GET / HTTP/1.1")).unwrap().status(), 200);
+    assert_eq!(node.send_raw(&asked("GET / HTTP/1.1")).unwrap().status(), 200);
 }
 
 /// What a server puts behind its answer, or hides in it, is never the next client's answer.
@@ -449,7 +450,7 @@
         // What becomes of the spoilt one itself is its client's to see; the next must get its own.
         let _ = read_message(&mut client);
         wait_until("the next client is served", || {
-            node.raw(&asked("GET /good HTTP/1.1")).is_some_and(|m| {
+            node.send_raw(&asked("GET /good HTTP/1.1")).is_some_and(|m| {
                 assert!(m.status() != 200 || m.body == b"good", "case {k}: {:?}", String::from_utf8_lossy(&m.body));
                 m.status() == 200
             })
--- a/crates/corkhollow/tests/site/pools.rs
+++ b/crates/corkhollow/tests/site/pools.rs
@@ -13,11 +13,11 @@
             _ => ok_reply("fine"),
         });
         let classes = "[[class]]\nname = \"again\"\neffect = \"safe\"\nmethods = [\"GET\", \"PUT\"]";
-        let node = Node::site(&site(&servers.addresses, "", "", classes));
+        let node = Node::start_with_operator_file(&site(&servers.addresses, "", "", classes));
         let mut request =
             format!("{method} / HTTP/1.1\r\nHost: a\r\nContent-Length: {body}\r\n\r\n").into_bytes();
         request.resize(request.len() + body, b'x');
-        let answer = node.raw(&request).unwrap();
+        let answer = node.send_raw(&request).unwrap();
         let whose = answer.header("x-whose");
         assert_eq!((answer.status(), servers.request_count()), (status, runs), "{method} of {body}");
         assert_eq!(whose.is_some(), status == 503, "the server's own answer passes: {answer:?}");
@@ -35,7 +35,7 @@
     };
     let at_once = |node: &Node, request: &str, status: u16, why: &str| {
         let start = Instant::now();
-        let answer = node.raw(&asked(request)).unwrap();
+        let answer = node.send_raw(&asked(request)).unwrap();
         assert_eq!((answer.status(), reason(&answer).as_str()), (status, why), "{request}");
         assert!(start.elapsed() < Duration::from_secs(2), "{request}: {:?}", start.elapsed());
         answer
@@ -48,7 +48,7 @@
     assert_eq!(reset.request_count(), 1);
     let silent = Servers::new(2, |_, _| Reply::NoAnswer);
     let class = "[[class]]\nname = \"write\"\neffect = \"unsafe\"\naim = \"300ms\"\ndeadline = \"400ms\"";
-    let node = Node::site(&site(&silent.addresses, "", "", class));
+    let node = Node::start_with_operator_file(&site(&silent.addresses, "", "", class));
     at_once(&node, "POST / HTTP/1.1", 504, "late");
     assert_eq!(silent.request_count(), 1);
 }
@@ -61,7 +61,7 @@
     let class = |name: &str| {
         format!("[[class]]\nname = \"{name}\"\neffect = \"safe\"\naim = \"50ms\"\ndeadline = \"100ms\"\n")
     };
-    let node = Node::site(&format!(
+    let node = Node::start_with_operator_file(&format!(
         "[[listener]]\nname = \"web\"\naddress = \"127.0.0.1:0\"\n{}{}\
          [[pool]]\nname = \"boxes\"\nservers = [{{ address = \"{}\", name = \"broken\" }}]\n\
          [[route]]\nname = \"all\"\npool = \"boxes\"\n",
@@ -95,18 +95,18 @@
         checked.addresses[0], spare.addresses[0]
     );
     let text = site(&[], "", "", "").replace("servers = []\n", &format!("{pool}\n"));
-    let node = Node::site(&text);
-    let body = || node.raw(&asked("GET / HTTP/1.1")).map(|m| m.body).unwrap_or_default();
+    let node = Node::start_with_operator_file(&text);
+    let body = || node.send_raw(&asked("GET / HTTP/1.1")).map(|m| m.body).unwrap_or_default();
     for _ in 0..20 {
         assert_eq!(body(), b"main");
     }
     up.store(0, SeqCst);
-    node.says("health checks mark server", 1);
+    node.wait_for_log("health checks mark server", 1);
     for _ in 0..20 {
         assert_eq!(body(), b"spare");
     }
     up.store(1, SeqCst);
-    node.says("health checks mark server", 2);
+    node.wait_for_log("health checks mark server", 2);
     wait_until("the main server is back", || body() == b"main");
 }
 
@@ -118,16 +118,16 @@
     let list = |dial: SocketAddr| format!("[[servers]]\naddress = \"{dial}\"\n");
     put(&list(one.addresses[0]));
     let watch = format!("watch = {:?}\n", path.display().to_string());
-    let node = Node::site(&site(&[], "", "", "").replace("servers = []\n", &watch));
-    let body = || node.raw(&asked("GET / HTTP/1.1")).map(|m| m.body).unwrap_or_default();
+    let node = Node::start_with_operator_file(&site(&[], "", "", "").replace("servers = []\n", &watch));
+    let body = || node.send_raw(&asked("GET / HTTP/1.1")).map(|m| m.body).unwrap_or_default();
     wait_until("the first list is read", || body() == b"one");
     put("[[servers]]\naddress = \"nowhere\"\n");
-    node.says("rejected, keeping the previous list: 2:11: error: servers[0].address", 1);
+    node.wait_for_log("rejected, keeping the previous list: 2:11: error: servers[0].address", 1);
     assert_eq!(body(), b"one");
     put(&list(two.addresses[0]));
     wait_until("the new list is read", || body() == b"two");
     put("servers = []\n");
-    wait_until("an empty list refuses", || node.raw(&asked("GET / HTTP/1.1")).unwrap().status() == 503);
+    wait_until("an empty list refuses", || node.send_raw(&asked("GET / HTTP/1.1")).unwrap().status() == 503);
     std::fs::remove_file(&path).unwrap();
 }
 
@@ -140,7 +140,7 @@
         let _ = gate.lock().unwrap().recv();
         ok_reply("fine")
     });
-    let node = Node::site(&site(
+    let node = Node::start_with_operator_file(&site(
         &servers.addresses,
         "",
         "max_connections = 1\nmax_waiting = 1\nmax_attempts = 1",
@@ -163,7 +163,7 @@
     assert_eq!((servers.connection_count(), servers.request_count()), (1, 1), "no other got through");
     drop(go);
     assert_eq!(read_message(&mut first).unwrap().status(), 200);
-    wait_until("the next is served", || node.raw(&asked("POST / HTTP/1.1")).unwrap().status() == 200);
+    wait_until("the next is served", || node.send_raw(&asked("POST / HTTP/1.1")).unwrap().status() == 200);
 }
 
 /// One server in two pools, and one address under two names: each is a server of its own.
@@ -172,9 +172,9 @@
     let servers = Servers::new(1, |_, _| ok_reply("fine"));
     let dial = servers.addresses[0];
     let twice = format!("[[pool]]\nname = \"more\"\nservers = [{{ address = \"{dial}\", name = \"a\" }}, {{ address = \"{dial}\", name = \"b\" }}]\n[[route]]\nname = \"more\"\npath_prefix = \"/more\"\npool = \"more\"");
-    let node = Node::site(&site(&servers.addresses, "", "", &twice));
+    let node = Node::start_with_operator_file(&site(&servers.addresses, "", "", &twice));
     for path in ["/", "/more", "/more/x", "/x"] {
-        assert_eq!(node.raw(&asked(&format!("GET {path} HTTP/1.1"))).unwrap().status(), 200, "{path}");
+        assert_eq!(node.send_raw(&asked(&format!("GET {path} HTTP/1.1"))).unwrap().status(), 200, "{path}");
     }
 }
 
@@ -197,10 +197,13 @@
     let second = "[[listener]]\nname = \"side\"\naddress = \"127.0.0.1:0\"\n";
     let class =
         |effect: &str| format!("[[class]]\nname = \"all\"\neffect = \"{effect}\"\nmethods = [\"POST\"]\n");
-    let mut node = Node::site(&format!("{second}{}", site(&old.addresses, "", "", &class("unsafe"))));
+    let mut node = Node::start_with_operator_file(&format!(
+        "{second}{}",
+        site(&old.addresses, "", "", &class("unsafe"))
+    ));
     let (web, side) = (node.listeners["web"], node.listeners["side"]);
     node.address = web;
-    assert_eq!(node.raw(&asked("POST /fail HTTP/1.1")).unwrap().status(), 503);
+    assert_eq!(node.send_raw(&asked("POST /fail HTTP/1.1")).unwrap().status(), 503);
     assert_eq!(old.request_count(), 1, "unsafe: once");
     let mut kept = TcpStream::connect(side).unwrap();
     kept.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
@@ -214,8 +217,8 @@
 
     for (k, bad) in ["[[listener]]\n", "nonsense", ""].into_iter().enumerate() {
         node.reload(bad);
-        node.says("not reloaded", k + 1);
-        assert_eq!(node.raw(&asked("GET / HTTP/1.1")).unwrap().body, b"old");
+        node.wait_for_log("not reloaded", k + 1);
+        assert_eq!(node.send_raw(&asked("GET / HTTP/1.1")).unwrap().body, b"old");
     }
 
     // Its class is safe now, its pool has another name, `side` is gone and `web` has moved.
@@ -223,11 +226,11 @@
         .replace("boxes", "others")
         .replace("name = \"web\"\naddress = \"127.0.0.1:0\"", "name = \"web\"\naddress = \"[::1]:0\"");
     node.reload(&moved);
-    node.says("reloaded: listeners: 1, routes: 1, pools: 1", 1);
+    node.wait_for_log("reloaded: listeners: 1, routes: 1, pools: 1", 1);
     let line = node.log.lock().unwrap().iter().rfind(|l| l.contains("listener web listening on")).cloned();
     node.address = line.unwrap().rsplit(' ').next().unwrap().parse().unwrap();
     assert!(node.address.is_ipv6());
-    assert_eq!(node.raw(&asked("GET / HTTP/1.1")).unwrap().body, b"new");
+    assert_eq!(node.send_raw(&asked("GET / HTTP/1.1")).unwrap().body, b"new");
     assert_eq!(
         kept.read(&mut [0]).unwrap(),
         0,
@@ -244,8 +247,8 @@
             |n, _| if n == 0 { Reply::Send(response("503 No", "", b"")) } else { ok_reply("new") },
         );
     node.reload(&moved.replace(&server_list(&new.addresses), &server_list(&failing.addresses)));
-    node.says("reloaded: listeners: 1", 2);
-    assert_eq!(node.raw(&asked("POST / HTTP/1.1")).unwrap().body, b"new");
+    node.wait_for_log("reloaded: listeners: 1", 2);
+    assert_eq!(node.send_raw(&asked("POST / HTTP/1.1")).unwrap().body, b"new");
     assert_eq!(failing.request_count(), 2, "safe: once more");
 }
 
@@ -253,7 +256,7 @@
 #[test]
 fn reloads_under_load_lose_nothing() {
     let servers = Servers::new(4, |_, _| ok_reply("fine"));
-    let node = Node::site(&site(&servers.addresses, "", "", ""));
+    let node = Node::start_with_operator_file(&site(&servers.addresses, "", "", ""));
     let address = node.address;
     let done = Arc::new(AtomicUsize::new(0));
     let clients: Vec<_> = (0..4)
@@ -277,7 +280,7 @@
     for k in 0..10 {
         let pool = if k % 2 == 0 { "max_attempts = 2" } else { "" };
         node.reload(&site(&servers.addresses[k % 3..], "", pool, ""));
-        node.says("corkhollow: reloaded: ", k + 1);
+        node.wait_for_log("corkhollow: reloaded: ", k + 1);
     }
     done.store(1, SeqCst);
     let served: usize = clients.into_iter().map(|c| c.join().unwrap()).sum();
@@ -299,7 +302,7 @@
     node.signal("-TERM");
     go.send(()).unwrap();
     assert_eq!(read_message(&mut client).unwrap().status(), 200);
-    assert!(node.exit().success());
+    assert!(node.wait_for_exit().success());
 }
 
 /// No bytes from a peer end the program, and it serves on.
@@ -340,7 +343,7 @@
     });
     let good = Servers::new(1, |_, _| ok_reply("fine"));
     let routes = format!("[[pool]]\nname = \"good\"\nservers = [{}]\n[[route]]\nname = \"good\"\npath = \"/good\"\npool = \"good\"", server_list(&good.addresses));
-    let node = Node::site(&site(&[dial], "", "", &routes));
+    let node = Node::start_with_operator_file(&site(&[dial], "", "", &routes));
     for k in 0..150 {
         let mut client = node.connect();
         let _ = client.write_all(&noise(1000 + k, 8));
@@ -355,7 +358,7 @@
         let _ = client.read_to_end(&mut out);
         assert!(out.starts_with(b"HTTP/1.1 "), "{k}");
     }
-    assert_eq!(node.raw(&asked("GET /good HTTP/1.1")).unwrap().body, b"fine");
+    assert_eq!(node.send_raw(&asked("GET /good HTTP/1.1")).unwrap().body, b"fine");
 }
 
 /// Before anything is learnt of how long answers take, a burst is no overload.
@@ -372,7 +375,7 @@
     let served = clients.iter_mut().map(status).filter(|s| *s == 200).count();
     assert_eq!(served, 48);
     // A pool of machines that do one thing at a time says so, and then late answers are refused at once.
-    let node = Node::site(&site(&servers.addresses, "", "concurrency = 1", ""));
+    let node = Node::start_with_operator_file(&site(&servers.addresses, "", "concurrency = 1", ""));
     let mut clients: Vec<_> = (0..48).map(|_| node.connect()).collect();
     clients.iter_mut().for_each(|c| c.write_all(&asked("GET / HTTP/1.1")).unwrap());
     let refused = clients.iter_mut().map(status).filter(|s| *s == 503).count();
@@ -389,14 +392,14 @@
         ok_reply("fine")
     });
     let text = site(&servers.addresses, "", "", "");
-    let node = Node::site(&text);
+    let node = Node::start_with_operator_file(&text);
     let mut client = node.connect();
     client.write_all(&asked("POST / HTTP/1.1")).unwrap();
     wait_until("it is under way", || servers.request_count() == 1);
     node.reload(&text.replace("\" }, ", "\", drain = true }, "));
-    node.says("corkhollow: reloaded: ", 1);
+    node.wait_for_log("corkhollow: reloaded: ", 1);
     let start = Instant::now();
-    let refused = node.raw(&asked("POST / HTTP/1.1")).unwrap();
+    let refused = node.send_raw(&asked("POST / HTTP/1.1")).unwrap();
     assert_eq!((refused.status(), refused.header("retry-after").is_some()), (503, true));
     assert!(start.elapsed() < Duration::from_secs(2), "{:?}", start.elapsed());
     go.send(()).unwrap();
--- a/crates/corkhollow/tests/size.rs
+++ b/crates/corkhollow/tests/size.rs
@@ -17,8 +17,8 @@
     const LENGTH: usize = 1 << 20;
     let servers = echo(8);
     let discovery = Discovery::new(vec![servers.list_json(1)], true);
-    let node = Node::start(discovery.address, &Options { memory_mb: 48, ..Options::default() });
-    node.ready();
+    let node = Node::start(discovery.address, &NodeOptions { memory_mb: 48, ..NodeOptions::default() });
+    node.wait_until_ready();
     let (under_way, go_on) = (AtomicUsize::new(0), AtomicBool::new(false));
     let (served, refused) = (AtomicUsize::new(0), AtomicUsize::new(0));
     std::thread::scope(|scope| {
@@ -55,21 +55,21 @@
     let (served, refused) = (served.load(SeqCst), refused.load(SeqCst));
     assert_eq!(served + refused, UPLOADS);
     assert!(served > UPLOADS / 4, "{served} served, {refused} refused");
-    assert!(node.peak_memory() < 48 << 20, "{} bytes at most", node.peak_memory());
-    wait_until("all is given back", || node.figure("gw_body_bytes") == Some(0.0));
+    assert!(node.peak_resident_bytes() < 48 << 20, "{} bytes at most", node.peak_resident_bytes());
+    wait_until("all is given back", || node.metric("gw_body_bytes") == Some(0.0));
 }
 
 /// A drain lets an upload that is under way come to its end, and ends its connection behind the answer.
 #[test]
 fn a_drain_waits_for_an_upload() {
     let servers = echo(1);
-    let (node, _discovery) = Node::with(&servers);
+    let (node, _discovery) = Node::start_with_servers(&servers);
     let mut client = node.connect();
     let bytes = post_request("/once/1", &vec![b'x'; 8 << 20]);
     let (first, rest) = bytes.split_at(3 << 20);
     client.write_all(first).unwrap();
-    wait_until("its beginning is there", || node.figure("gw_client_connections") == Some(1.0));
-    assert_eq!(node.call("POST", "/-/drain").unwrap().status(), 200);
+    wait_until("its beginning is there", || node.metric("gw_client_connections") == Some(1.0));
+    assert_eq!(node.call_operator("POST", "/-/drain").unwrap().status(), 200);
     // Longer than idle connections are let be.
     let told = Instant::now();
     while told.elapsed() < Duration::from_millis(900) {
@@ -86,7 +86,7 @@
 #[test]
 fn a_long_body_that_nobody_takes_is_answered() {
     let servers = echo(1);
-    let (node, _discovery) = Node::with(&servers);
+    let (node, _discovery) = Node::start_with_servers(&servers);
     let answer = node.post("/nowhere/1", &vec![b'x'; 6 << 20]).expect("the answer is lost");
     assert_eq!((answer.status(), answer.header("connection")), (404, Some("close")));
     assert_eq!(servers.request_count(), 0);
--- a/crates/corkhollow/tests/start.rs
+++ b/crates/corkhollow/tests/start.rs
@@ -57,7 +57,7 @@
 fn a_signal_to_reload_during_the_start_ends_no_process() {
     let servers = Servers::new(1, |_, _| ok_reply("fine"));
     let discovery = Discovery::new(vec![servers.list_json(1)], true);
-    let platform = config(discovery.address, &Options::default());
+    let platform = platform_config(discovery.address, &NodeOptions::default());
     let site = format!(
         "[[listener]]\nname = \"web\"\naddress = \"127.0.0.1:0\"\n[[pool]]\nname = \"main\"\n\
          servers = [{{ address = \"{}\" }}]\n[[route]]\nname = \"all\"\npool = \"main\"\n",
@@ -65,7 +65,7 @@
     );
     for (name, text) in [("platform", platform), ("site", site)] {
         let file = SlowFile::new(&format!("start-{name}"));
-        let mut command = Command::new(program());
+        let mut command = Command::new(program_path());
         match name {
             "platform" => command.arg("run").env("GW_CONFIG", file.path()),
             _ => command.args(["run", "--config"]).arg(file.path()),
@@ -89,7 +89,7 @@
 #[test]
 fn a_signal_to_end_during_the_start_ends_the_process() {
     let file = SlowFile::new("start-end");
-    let mut child = Command::new(program()).arg("run").env("GW_CONFIG", file.path()).spawn().unwrap();
+    let mut child = Command::new(program_path()).arg("run").env("GW_CONFIG", file.path()).spawn().unwrap();
     let writer = file.wait_for_reader();
     signal(&child, "-TERM");
     let begun = Instant::now();
--- a/crates/corkhollow/tests/terms.rs
+++ b/crates/corkhollow/tests/terms.rs
@@ -12,7 +12,7 @@
 
 /// Lists are pushed, or asked for with long deadlines.
 fn pushed(discovery: SocketAddr) -> String {
-    config(discovery, &Options { sockets: 64, ..Options::default() })
+    platform_config(discovery, &NodeOptions { max_sockets: 64, ..NodeOptions::default() })
 }
 
 fn asked(discovery: SocketAddr) -> String {
@@ -122,10 +122,10 @@
     let play = |name: &str, configured: Configured, met: Met| {
         let what = format!("{name}, {met:?}");
         let (change, mut agent) = (Change::new(), Agent::listen());
-        let node = Node::of(&configured(agent.address));
+        let node = Node::start_with_platform_file(&configured(agent.address));
         let mut watch = agent.call();
         watch.watch(&change.before());
-        node.ready();
+        node.wait_until_ready();
         drop(watch);
         let (address, down, mut open) = (agent.address, Instant::now(), Vec::new());
         let until_back = || Duration::from_millis(3500).saturating_sub(down.elapsed());
@@ -157,10 +157,10 @@
     let play = |name: &str, configured: Configured, silent: bool| {
         let what = format!("{name}, {}", if silent { "silent" } else { "reset" });
         let (change, agent) = (Change::new(), Agent::listen());
-        let node = Node::of(&configured(agent.address));
+        let node = Node::start_with_platform_file(&configured(agent.address));
         let mut watch = agent.call();
         watch.watch(&change.before());
-        node.ready();
+        node.wait_until_ready();
         drop(watch);
         let (down, mut open) = (Instant::now(), Vec::new());
         // Far more than the 64 descriptors that it may hold, and they go on coming.
@@ -201,24 +201,25 @@
     for closes in [true, false] {
         let servers = Servers::new(2, |_, _| ok_reply("fine"));
         let agent = Agent::listen();
-        let node = Node::start(agent.address, &Options::default());
+        let node = Node::start(agent.address, &NodeOptions::default());
         let mut watch = agent.call();
         let mut client = node.connect();
         client.write_all(&get_request("/safe/1", "")).unwrap();
-        wait_until("the request is there", || node.figure("gw_outstanding") == Some(1.0));
+        wait_until("the request is there", || node.metric("gw_outstanding") == Some(1.0));
         leave(client, closes);
-        wait_until("it is over", || node.figure("gw_outstanding") == Some(0.0));
+        wait_until("it is over", || node.metric("gw_outstanding") == Some(0.0));
         watch.watch(&servers.list_json(1));
-        node.ready();
+        node.wait_until_ready();
         // One that comes behind it is served, and it alone.
         assert_eq!(node.post("/once/2", b"").unwrap().body, b"fine");
         assert_eq!(servers.request_count(), 1, "closes: {closes}");
 
         let servers = Servers::new(2, |_, _| Reply::NoAnswer);
         let discovery = Discovery::new(vec![servers.list_json(1)], true);
-        let text = config(discovery.address, &Options::default());
-        let node = Node::of(&text.replace("\"secondCopies\":false", "\"secondCopies\":true"));
-        node.ready();
+        let text = platform_config(discovery.address, &NodeOptions::default());
+        let node =
+            Node::start_with_platform_file(&text.replace("\"secondCopies\":false", "\"secondCopies\":true"));
+        node.wait_until_ready();
         let ask = || {
             let mut client = node.connect();
             client.write_all(&get_request("/safe/1", "")).unwrap();
@@ -272,8 +273,8 @@
         warm.iter().enumerate().map(|(k, s)| host(&format!("w-{k}"), s.addresses[0], "active")).collect();
     let agents: Vec<_> = (0..PROCESSES).map(|_| Discovery::new(vec![list(1, true, &hosts)], true)).collect();
     let node = |(ordinal, agent): (usize, &Discovery)| {
-        let text = config(agent.address, &Options::default());
-        Node::of(
+        let text = platform_config(agent.address, &NodeOptions::default());
+        Node::start_with_platform_file(
             &text
                 .replace(
                     "\"groupSize\":1,\"ordinal\":0",
@@ -283,7 +284,7 @@
         )
     };
     let nodes: Vec<_> = agents.iter().enumerate().map(node).collect();
-    nodes.iter().for_each(Node::ready);
+    nodes.iter().for_each(Node::wait_until_ready);
     let begun = Instant::now();
     let came: Vec<Arc<Mutex<Vec<Instant>>>> = (0..COLD).map(|_| Arc::default()).collect();
     let new: Vec<_> = came
@@ -377,8 +378,9 @@
     let servers = Servers::new(4, |_, _| Reply::NoAnswer);
     for (name, configured) in BOTH {
         let discovery = Discovery::new(vec![servers.list_json(1)], true);
-        let mut nodes: Vec<_> = (0..10).map(|_| Node::of(&configured(discovery.address))).collect();
-        nodes.iter().for_each(Node::ready);
+        let mut nodes: Vec<_> =
+            (0..10).map(|_| Node::start_with_platform_file(&configured(discovery.address))).collect();
+        nodes.iter().for_each(Node::wait_until_ready);
         // Requests that hang, and idle clients beside them, far beyond the 64 descriptors of each.
         let hold = |node: &Node| -> Vec<TcpStream> {
             let client = |k: usize| {
@@ -398,12 +400,12 @@
             }
             for at in wave.clone() {
                 held[at].clear();
-                assert!(nodes[at].exit().success());
+                assert!(nodes[at].wait_for_exit().success());
             }
             for at in wave {
                 let begun = Instant::now();
-                nodes[at] = Node::of(&configured(discovery.address));
-                nodes[at].ready();
+                nodes[at] = Node::start_with_platform_file(&configured(discovery.address));
+                nodes[at].wait_until_ready();
                 took.push(begun.elapsed());
                 held[at] = hold(&nodes[at]);
             }
--- a/crates/corkhollow/tests/unread.rs
+++ b/crates/corkhollow/tests/unread.rs
@@ -24,7 +24,7 @@
         let size = message.header("x-size").and_then(|size| size.parse().ok()).unwrap_or(0);
         Reply::Send(response("200 OK", "", &vec![b'x'; size]))
     });
-    let node = Node::site(&format!(
+    let node = Node::start_with_operator_file(&format!(
         "[operator]\nlisten = \"127.0.0.1:0\"\n[limits]\nstall_timeout = \"2s\"\nidle_timeout = \"2s\"\n\
          [[listener]]\nname = \"web\"\naddress = \"127.0.0.1:0\"\n[[pool]]\nname = \"main\"\n\
          servers = [{{ address = \"{}\" }}]\n[[route]]\nname = \"all\"\npool = \"main\"\n",
@@ -52,9 +52,9 @@
         read
     });
     wait_until("they are connected", || {
-        node.figure("gw_client_connections").is_some_and(|open| open > 100.0)
+        node.metric("gw_client_connections").is_some_and(|open| open > 100.0)
     });
-    let held = || node.figure("gw_client_connections").unwrap_or(f64::MAX);
+    let held = || node.metric("gw_client_connections").unwrap_or(f64::MAX);
     let begun = Instant::now();
     while held() > 1.0 {
         assert!(begun.elapsed() < Duration::from_secs(12), "{} that read nothing are held", held());
--- a/crates/corkhollow/tests/upgrade.rs
+++ b/crates/corkhollow/tests/upgrade.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 fn is_ready(node: &Node) -> bool {
-    node.call("GET", "/-/ready").is_some_and(|m| m.status() == 200)
+    node.call_operator("GET", "/-/ready").is_some_and(|m| m.status() == 200)
 }
 
 /// Clients that come all the while, and one whose request is under way, lose nothing.
@@ -26,7 +26,7 @@
     let discovery = Discovery::new(vec![servers.list_json(1)], true);
     let folder = TempFolder::new("upgrade");
     let socket = TcpListener::bind("127.0.0.1:0").unwrap();
-    let start = || Node::handed(&socket, &folder.0, discovery.address, &Options::default());
+    let start = || Node::start_with_listener(&socket, &folder.0, discovery.address, &NodeOptions::default());
     let mut old = start();
     wait_until("the first process is ready", || is_ready(&old));
     // Taken by the old process, which is alone as yet.
@@ -61,14 +61,14 @@
         .collect();
     let new = start();
     wait_until("the second process is ready", || is_ready(&new));
-    let served = |node: &Node| node.figure("gw_succeeded{service=\"safe\"}").unwrap_or(0.0);
+    let served = |node: &Node| node.metric("gw_succeeded{service=\"safe\"}").unwrap_or(0.0);
     slow.write_all(&get_request("/safe/slow", "")).unwrap();
     old.signal("-TERM");
     let told = Instant::now();
     let answer = read_message(&mut slow).unwrap();
     assert_eq!((&answer.body[..], answer.header("connection")), (&b"late"[..], Some("close")));
     assert_eq!(idle.read(&mut [0]).unwrap(), 0, "the idle connection is not closed");
-    assert!(old.exit().success());
+    assert!(old.wait_for_exit().success());
     assert!(told.elapsed() < Duration::from_secs(8), "{:?}", told.elapsed());
     let before = served(&new);
     wait_until("the new process serves", || served(&new) > before + 50.0);
@@ -85,9 +85,9 @@
     let discovery = Discovery::new(vec![servers.list_json(1)], true);
     let folder = TempFolder::new("unready");
     let socket = TcpListener::bind("127.0.0.1:0").unwrap();
-    let old = Node::handed(&socket, &folder.0, discovery.address, &Options::default());
+    let old = Node::start_with_listener(&socket, &folder.0, discovery.address, &NodeOptions::default());
     wait_until("the first process is ready", || is_ready(&old));
-    let new = Node::handed(&socket, &folder.0, refusing_address(), &Options::default());
+    let new = Node::start_with_listener(&socket, &folder.0, refusing_address(), &NodeOptions::default());
     assert!(!is_ready(&new));
     for k in 0..30 {
         assert_eq!(old.get("/safe/1", "").unwrap().status(), 200, "request {k}");
@@ -119,10 +119,10 @@
     let discovery = Discovery::new(vec![list(1, true, &hosts)], true);
     let folder = TempFolder::new("handover");
     let socket = TcpListener::bind("127.0.0.1:0").unwrap();
-    let start = || Node::handed(&socket, &folder.0, discovery.address, &Options::default());
+    let start = || Node::start_with_listener(&socket, &folder.0, discovery.address, &NodeOptions::default());
     let old = start();
     wait_until("the first process is ready", || is_ready(&old));
-    let ejected = |node: &Node| node.figure("gw_ejected") == Some(1.0);
+    let ejected = |node: &Node| node.metric("gw_ejected") == Some(1.0);
     let eject = |node: &Node| {
         wait_until("the dead server is ejected", || {
             node.get("/safe/1", "");
@@ -134,8 +134,8 @@
         eject(&old);
         let new = start();
         wait_until("the second process is ready", || is_ready(&new));
-        wait_until("its figures are there", || new.figure("gw_discovered") == Some(3.0));
-        assert_eq!(new.figure("gw_forwards"), Some(0.0), "it has asked no server");
+        wait_until("its figures are there", || new.metric("gw_discovered") == Some(3.0));
+        assert_eq!(new.metric("gw_forwards"), Some(0.0), "it has asked no server");
         known += u32::from(ejected(&new));
     }
     assert!(known > 0, "no successor knew of the dead server");
@@ -154,10 +154,10 @@
     older.lock().unwrap();
     let left = folder.0.join(format!("corkhollow-knowledge-{address}"));
     std::fs::write(&left, b"corkhollow-handover 9\n....").unwrap();
-    let new = Node::handed(&socket, &folder.0, discovery.address, &Options::default());
+    let new = Node::start_with_listener(&socket, &folder.0, discovery.address, &NodeOptions::default());
     wait_until("it is ready", || is_ready(&new));
     wait_until("it serves", || new.get("/safe/1", "").is_some_and(|m| m.status() == 200));
-    new.says("begins cold", 1);
+    new.wait_for_log("begins cold", 1);
 }
 
 /// Started twice: the second successor takes nothing until the first is the node, and then comes to its place.
@@ -167,7 +167,7 @@
     let discovery = Discovery::new(vec![servers.list_json(1)], true);
     let folder = TempFolder::new("twice");
     let socket = TcpListener::bind("127.0.0.1:0").unwrap();
-    let start = || Node::handed(&socket, &folder.0, discovery.address, &Options::default());
+    let start = || Node::start_with_listener(&socket, &folder.0, discovery.address, &NodeOptions::default());
     let mut old = start();
     wait_until("the first process is ready", || is_ready(&old));
     let mut second = start();
@@ -182,16 +182,16 @@
     }
     // One that waits may be told to end at any time.
     fourth.signal("-TERM");
-    assert!(fourth.exit().success());
+    assert!(fourth.wait_for_exit().success());
     old.signal("-TERM");
-    assert!(old.exit().success());
+    assert!(old.wait_for_exit().success());
     wait_until("the third process is ready", || is_ready(&third));
     assert!(is_ready(&second), "the second is the node until it is told to end");
     second.signal("-TERM");
     for k in 0..30 {
         assert_eq!(third.get("/safe/1", "").unwrap().status(), 200, "request {k}");
     }
-    assert!(second.exit().success());
+    assert!(second.wait_for_exit().success());
 }
 
 /// The operator's word holds for the node, not for one process.
@@ -201,17 +201,17 @@
     let discovery = Discovery::new(vec![servers.list_json(1)], true);
     let folder = TempFolder::new("drained");
     let socket = TcpListener::bind("127.0.0.1:0").unwrap();
-    let start = || Node::handed(&socket, &folder.0, discovery.address, &Options::default());
+    let start = || Node::start_with_listener(&socket, &folder.0, discovery.address, &NodeOptions::default());
     let mut old = start();
     wait_until("the first process is ready", || is_ready(&old));
-    assert_eq!(old.call("POST", "/-/drain").unwrap().status(), 200);
+    assert_eq!(old.call_operator("POST", "/-/drain").unwrap().status(), 200);
     let new = start();
-    new.says("begins drained", 1);
+    new.wait_for_log("begins drained", 1);
     assert!(!is_ready(&new));
     old.signal("-TERM");
-    assert!(old.exit().success());
+    assert!(old.wait_for_exit().success());
     wait_until("the new process says no", || new.get("/up", "").is_some_and(|m| m.status() == 503));
-    assert_eq!(new.call("POST", "/-/resume").unwrap().status(), 200);
+    assert_eq!(new.call_operator("POST", "/-/resume").unwrap().status(), 200);
     wait_until("the new process says yes", || new.get("/up", "").is_some_and(|m| m.status() == 200));
     assert!(is_ready(&new));
 }
@@ -228,16 +228,16 @@
         socket.local_addr().unwrap(),
         servers.addresses[0]
     );
-    let start = || Node::activated(&socket, &folder.0, "127.0.0.1:0", &text);
+    let start = || Node::start_socket_activated(&socket, &folder.0, "127.0.0.1:0", &text);
     let mut old = start();
     wait_until("the first process is ready", || is_ready(&old));
     assert_eq!(old.get("/", "").unwrap().status(), 200);
     let new = start();
     wait_until("the second process is ready", || is_ready(&new));
     new.reload(&text);
-    wait_until("its file is read anew", || new.figure("gw_sighup_applied") == Some(1.0));
+    wait_until("its file is read anew", || new.metric("gw_sighup_applied") == Some(1.0));
     old.signal("-TERM");
-    assert!(old.exit().success());
+    assert!(old.wait_for_exit().success());
     for _ in 0..5 {
         assert_eq!(new.get("/", "").unwrap().status(), 200);
     }
@@ -250,7 +250,7 @@
     let discovery = Discovery::new(vec![servers.list_json(1)], true);
     let socket = TcpListener::bind("127.0.0.1:0").unwrap();
     let nowhere = std::env::temp_dir().join(format!("corkhollow-nowhere-{}", std::process::id()));
-    let node = Node::handed(&socket, &nowhere, discovery.address, &Options::default());
+    let node = Node::start_with_listener(&socket, &nowhere, discovery.address, &NodeOptions::default());
     wait_until("it is ready", || is_ready(&node));
     assert_eq!(node.get("/safe/1", "").unwrap().status(), 200);
 }
@@ -269,7 +269,7 @@
         // This test is the process that serves: it holds the lock, and writes what it knows.
         let serving = std::fs::File::create(path("serving")).unwrap();
         serving.lock().unwrap();
-        let next = Node::handed(&socket, &folder.0, discovery.address, &Options::default());
+        let next = Node::start_with_listener(&socket, &folder.0, discovery.address, &NodeOptions::default());
         let begun = Instant::now();
         let drains = || next.log.lock().unwrap().iter().any(|line| line.contains("begins drained"));
         while !drains() {
--- a/crates/soak/src/cluster.rs
+++ b/crates/soak/src/cluster.rs
@@ -3,7 +3,7 @@
 use crate::connection::Connection;
 use crate::discovery::Discovery;
 use crate::ledger::{Ledger, ProcessRecord, Time};
-use corkhollow_test_support::{config, get_request, Node, Options};
+use corkhollow_test_support::{get_request, platform_config, Node, NodeOptions};
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -94,9 +94,9 @@
 
     fn config(&self, slot: usize) -> String {
         let side = self.slots[slot].side.load(Ordering::SeqCst);
-        let options = Options { sockets: DESCRIPTORS, memory_mb: 64, ..Options::default() };
+        let options = NodeOptions { max_sockets: DESCRIPTORS, memory_mb: 64, ..NodeOptions::default() };
         let keyed = r#""classes":[{"name":"keyed","aimNs":1000000000,"giveUpNs":3000000000,"worth":5.0,"effect":"token","group":"all","windowNs":1000000000},"#;
-        let text = config(self.discovery.agent_addresses[slot][side], &options);
+        let text = platform_config(self.discovery.agent_addresses[slot][side], &options);
         let text = text.replace("\"classes\":[", keyed);
         match self.slots[slot].address() {
             Some(address) => {
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -14,7 +14,7 @@
 pub use fleet::{Draw, Load, Machine, Tally};
 pub use link::{End, Link, State, Way, Ways};
 pub use message::{read_message, response, Message};
-pub use program::{config, program, Node, Options};
+pub use program::{platform_config, program_path, Node, NodeOptions};
 pub use rig::{Fleet, Member, Rig};
 pub use servers::{
     ok_reply, refusing_address, reset_connection, spawn_raw_server, FullBacklogServer, Reply, Servers,
--- a/crates/test-support/src/rig.rs
+++ b/crates/test-support/src/rig.rs
@@ -81,7 +81,7 @@
 impl Fleet {
     /// Asks a node; none where it does not answer, or is in no fleet.
     pub fn of(node: &Node) -> Option<Self> {
-        let answer = node.call("GET", "/-/fleet").filter(|m| m.status() == 200)?;
+        let answer = node.call_operator("GET", "/-/fleet").filter(|m| m.status() == 200)?;
         let json = String::from_utf8(answer.body).ok()?;
         let (head, members) = json.split_once("\"members\":[")?;
         let member = |json: &str| Member {
@@ -157,7 +157,7 @@
     pub fn start(&mut self, number: usize) {
         let (shared, name) = (self.shared.clone(), format!("n{number}"));
         shared.tell(format!("{name} is started"));
-        let node = Node::site_heard(&self.file(number, &name), move |line| {
+        let node = Node::start_with_log_observer(&self.file(number, &name), move |line| {
             if let Some((_, real)) = line.split_once("hears datagrams at ") {
                 shared.real.lock().unwrap()[number] = real.parse().ok();
             }
@@ -192,13 +192,13 @@
             Action::Leave(number) => {
                 if let Some(mut node) = self.nodes[number].take() {
                     node.signal("-TERM");
-                    let status = node.exit();
+                    let status = node.wait_for_exit();
                     assert!(status.success(), "n{number} ends with {status}");
                     self.shared.real.lock().unwrap()[number] = None;
                 }
             }
             Action::Stall(number, lasts) => {
-                let pid = self.node(number).id().to_string();
+                let pid = self.node(number).process_id().to_string();
                 self.node(number).signal("-STOP");
                 let shared = self.shared.clone();
                 thread::spawn(move || {
