--- a/crates/plan/tests/config.rs
+++ b/crates/plan/tests/config.rs
@@ -449,7 +449,8 @@
         let mut servers = servers;
         for (index, server) in servers.iter_mut().enumerate() {
             server.name = server.name.take().map(|n| format!("{n}{index}"));
-            server.address.set_port(server.address.port() / 5 * 5 + index as u16);
+            let block = server.address.port().min(u16::MAX - 5) / 5 * 5;
+            server.address.set_port(block + index as u16);
         }
         let mut class = model::Class::new("own", model::Effect::Keyed, &["PUT"]);
         (class.aim, class.deadline, class.window, class.worth) = (aim, aim, aim, worth);
