--- a/crates/faults/src/network.rs
+++ b/crates/faults/src/network.rs
@@ -14,8 +14,8 @@
     pub delay: Millis,
     /// Maximum additional delay, with a heavy tail: three in four datagrams get less than a third of it.
     pub jitter: Millis,
-    /// Probability that a datagram is delivered a second time, later by at least the difference in delay plus
-    /// `jitter`.
+    /// Probability that a datagram is duplicated. The duplicate is delayed by a further `jitter`, so that it is
+    /// never delivered before the first copy.
     pub duplication: f64,
     /// Whether all datagrams are lost.
     pub blocked: bool,
@@ -78,7 +78,7 @@
     }
 
     /// The delay of each delivered copy of a datagram; empty if it is lost.
-    pub fn delivery_times(&mut self, from: usize, to: usize) -> Vec<Millis> {
+    pub fn delivery_delays(&mut self, from: usize, to: usize) -> Vec<Millis> {
         let faults = self.link_faults.get(&(from, to)).copied().unwrap_or(self.default_faults);
         if faults.blocked || (faults.loss > 0.0 && self.random_fraction() < faults.loss) {
             return Vec::new();
@@ -106,14 +106,14 @@
     #[test]
     fn links_are_independent_and_a_seed_determines_all_deliveries() {
         let mut network = Network::new(1);
-        assert_eq!(network.delivery_times(0, 1), [0]);
+        assert_eq!(network.delivery_delays(0, 1), [0]);
         network.block_link(0, 1);
-        assert!(network.delivery_times(0, 1).is_empty() && network.delivery_times(1, 0) == [0]);
+        assert!(network.delivery_delays(0, 1).is_empty() && network.delivery_delays(1, 0) == [0]);
         network.partition(&[vec![0, 1], vec![2]], 4);
         assert!(
-            network.delivery_times(0, 2).is_empty()
-                && network.delivery_times(3, 0).is_empty()
-                && network.delivery_times(1, 0) == [0]
+            network.delivery_delays(0, 2).is_empty()
+                && network.delivery_delays(3, 0).is_empty()
+                && network.delivery_delays(1, 0) == [0]
         );
         network.heal();
         network.set_all_links(LinkFaults {
@@ -125,7 +125,7 @@
         });
         let mut delays = |seed| {
             network.rng = Pcg64Mcg::seed_from_u64(seed);
-            (0..2000).map(|_| network.delivery_times(0, 1)).collect::<Vec<_>>()
+            (0..2000).map(|_| network.delivery_delays(0, 1)).collect::<Vec<_>>()
         };
         let first = delays(5);
         assert_eq!(first, delays(5));
--- a/crates/laboratory/src/membership.rs
+++ b/crates/laboratory/src/membership.rs
@@ -374,7 +374,7 @@
             self.sent.0 += 1;
             self.sent.1 += bytes.len() as u64;
             let to = number(to);
-            for time in self.network.delivery_times(node, to) {
+            for time in self.network.delivery_delays(node, to) {
                 // No network is quicker than a tenth of a millisecond.
                 self.due(self.now + time * MS + MS / 10, Due::Arrival(to, bytes.clone()));
             }
--- a/crates/standin/src/rig.rs
+++ b/crates/standin/src/rig.rs
@@ -305,7 +305,7 @@
             let from = self.real.lock().unwrap().iter().position(|real| *real == Some(source));
             // What a test sends by itself comes through.
             let copies = match from {
-                Some(from) => self.network.lock().unwrap().delivery_times(from, to),
+                Some(from) => self.network.lock().unwrap().delivery_delays(from, to),
                 None => vec![0],
             };
             for time in copies {
