--- a/crates/fleet/src/node/mod.rs
+++ b/crates/fleet/src/node/mod.rs
@@ -135,7 +135,7 @@
         /// New incarnation of the node.
         incarnation: u64,
     },
-    /// The node ran after its timers by this much, and postponed its deadlines.
+    /// The node ran this much later than its earliest timer, and postponed its deadlines.
     Stalled(Nanos),
     /// The node became a member beside this number of present members.
     Joined(usize),
@@ -182,7 +182,7 @@
     namesake: Option<Claim>,
     /// Whether any member has been heard.
     has_heard_member: bool,
-    /// Corrections that may still be sent before the next probe or gossip round.
+    /// Datagrams in reaction to outdated claims that may still be sent before the next probe or gossip round.
     remaining_corrections: u32,
     /// Sequence number of the last ping.
     last_seq: u32,
--- a/crates/fleet/src/node/timers.rs
+++ b/crates/fleet/src/node/timers.rs
@@ -11,9 +11,8 @@
 const INDIRECT_PROBES: usize = 3;
 /// Maximum number of members that receive each gossip round.
 const GOSSIP_FANOUT: usize = 3;
-/// Number of gossip rounds per probe interval.
-const GOSSIP_ROUNDS_PER_PROBE: u64 = 3;
-/// Maximum number of corrections from one probe or gossip round to the next.
+const GOSSIP_ROUNDS_PER_PROBE_INTERVAL: u64 = 3;
+/// Maximum number of datagrams in reaction to outdated claims, from one probe or gossip round to the next.
 pub(super) const MAX_CORRECTIONS: u32 = 4;
 
 impl Node {
@@ -32,7 +31,8 @@
                 self.start_probe(now);
             }
             if now >= self.next_gossip_at {
-                self.next_gossip_at = now + self.config.timing.probe_interval / GOSSIP_ROUNDS_PER_PROBE;
+                self.next_gossip_at =
+                    now + self.config.timing.probe_interval / GOSSIP_ROUNDS_PER_PROBE_INTERVAL;
                 self.remaining_corrections = MAX_CORRECTIONS;
                 self.send_gossip();
             }
--- a/crates/fleet/src/snapshot.rs
+++ b/crates/fleet/src/snapshot.rs
@@ -66,7 +66,7 @@
     pub state_changes: u64,
     /// Claims about the node itself that it has refuted.
     pub refutations: u64,
-    /// How late the node last ran after its own timers.
+    /// How late the node was at its last run, compared with its earliest timer.
     pub timer_lag: Nanos,
     /// Maximum of `timer_lag`.
     pub max_timer_lag: Nanos,
--- a/crates/fleet/src/suspicion.rs
+++ b/crates/fleet/src/suspicion.rs
@@ -51,7 +51,7 @@
         is_new
     }
 
-    /// Moves the deadline forward to `deadline` at the latest.
+    /// Limits the deadline to `deadline` at the latest.
     pub fn limit_deadline(&mut self, deadline: Nanos) {
         self.max_deadline = Some(self.max_deadline.map_or(deadline, |current| current.min(deadline)));
     }
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -7,7 +7,7 @@
 
 /// Largest datagram size that can be configured: within the MTU of Ethernet. Longer datagrams are rejected.
 pub const MAX_DATAGRAM_BYTES: usize = 1400;
-/// Smallest datagram size that can be configured: a header and one claim of maximum length fit.
+/// Smallest datagram size that can be configured: a gossip datagram still has room for a claim.
 pub const MIN_DATAGRAM_BYTES: usize = 256;
 /// First byte of each datagram.
 const PROTOCOL_VERSION: u8 = 0xc1;
@@ -77,7 +77,7 @@
     Digests { digests: [u32; DIGEST_BUCKETS], wants_digests: bool },
     /// Claims in answer to a join or to digests.
     Records,
-    /// Another process has the receiver's name; its uptime is in nanoseconds.
+    /// The sender has the same name as the receiver, and has been up for this many nanoseconds.
     NameConflict { uptime: u64 },
 }
 
--- a/crates/fleet/tests/node.rs
+++ b/crates/fleet/tests/node.rs
@@ -101,7 +101,7 @@
     assert!(fleet.node(1).is_settled(fleet.now));
 }
 
-/// Neither both may yield the name nor both keep it.
+/// Both must not yield the name, and both must not keep it.
 #[test]
 fn of_two_processes_that_start_together_exactly_one_keeps_the_name() {
     let mut fleet = Fleet::new();
@@ -134,7 +134,7 @@
     assert_eq!(fleet.node(6).status(), NodeStatus::Refused { by: address(1) });
 }
 
-/// It would otherwise take all of a fleet-wide limit.
+/// A node that counted only itself would take all of a fleet-wide limit.
 #[test]
 fn a_node_that_has_heard_no_member_counts_its_seeds_as_present() {
     let mut fleet = Fleet::new();
