--- a/crates/fleet/src/node/claims.rs
+++ b/crates/fleet/src/node/claims.rs
@@ -12,7 +12,8 @@
 const EXPECTED_VERIFIERS: usize = 4;
 
 impl Node {
-    /// Merges a claim that a present member sent, about any member.
+    /// Merges a claim that a present member sent, about any member. Of its claims about itself only a leave
+    /// counts here: its record in the header has been merged before.
     pub(super) fn merge_claim(
         &mut self,
         now: Nanos,
--- a/crates/fleet/src/probe.rs
+++ b/crates/fleet/src/probe.rs
@@ -38,9 +38,9 @@
                     return Some(name);
                 }
             }
-            let names = names();
-            let count = names.len();
-            self.0 = sample(rng, names, count).into_iter().map(str::to_owned).collect();
+            let all_names = names();
+            let count = all_names.len();
+            self.0 = sample(rng, all_names, count).into_iter().map(str::to_owned).collect();
         }
         None
     }
