--- a/crates/bench/benches/operations.rs
+++ b/crates/bench/benches/operations.rs
@@ -54,8 +54,8 @@
 
 fn told(dials: &[SocketAddr]) -> String {
     let hosts: Vec<_> =
-        dials.iter().enumerate().map(|(k, d)| host(&format!("s-{k}"), *d, "active")).collect();
-    list(1, true, &hosts)
+        dials.iter().enumerate().map(|(k, d)| host_json(&format!("s-{k}"), *d, "active")).collect();
+    list_json(1, true, &hosts)
 }
 
 /// What clients have seen.
--- a/crates/corkhollow/src/commands/demo.rs
+++ b/crates/corkhollow/src/commands/demo.rs
@@ -2,7 +2,7 @@
 
 use super::Failure;
 use crate::cli::DemoArgs;
-use corkhollow_test_support::{Load, Machine};
+use corkhollow_test_support::{DemoServer, LoadGenerator};
 use std::collections::VecDeque;
 use std::fmt::Write as _;
 use std::future::poll_fn;
@@ -61,11 +61,11 @@
         .into_iter()
         .map(signal)
         .collect::<Result<Vec<_>, _>>()?;
-    let machine = |k| Machine::start(&format!("box-{k}"), Duration::from_millis(8 + 4 * k), k);
+    let machine = |k| DemoServer::start(&format!("box-{k}"), Duration::from_millis(8 + 4 * k), k);
     let fleet = (1..=SERVERS).map(machine).collect::<Result<Vec<_>, _>>()?;
     let program = start(&fleet, args.port)?;
     let address = program.address.parse().map_err(|_| Failure::Request("it does not listen".to_owned()))?;
-    let load = Load::start(address, CLIENTS, Duration::from_millis(20), args.seed);
+    let load = LoadGenerator::start(address, CLIENTS, Duration::from_millis(20), args.seed);
     let out = std::io::stdout();
     println!("The program listens on http://{}/ before {SERVERS} stand-in servers. Try:\n", program.address);
     println!("  curl -i http://{}/status          # a safe request, served by a box", program.address);
@@ -97,15 +97,15 @@
             () = tokio::time::sleep(DRAW) => {}
         }
     }
-    let tally = load.tally.clone();
+    let tally = load.stats.clone();
     load.stop();
     let count = |n: &std::sync::atomic::AtomicU64| n.load(SeqCst);
     println!(
         "\nended: {} requests, {} served, {} refused, {} failed",
-        count(&tally.asked),
-        count(&tally.served),
-        count(&tally.refused),
-        count(&tally.failed)
+        count(&tally.requests),
+        count(&tally.successes),
+        count(&tally.rejections),
+        count(&tally.failures)
     );
     Ok(())
 }
@@ -119,7 +119,7 @@
     .await
 }
 
-fn start(fleet: &[Arc<Machine>], port: u16) -> Result<Program, Failure> {
+fn start(fleet: &[Arc<DemoServer>], port: u16) -> Result<Program, Failure> {
     let folder = std::env::temp_dir().join(format!("corkhollow-demo-{}", std::process::id()));
     std::fs::create_dir_all(&folder)?;
     list(fleet, &folder, None)?;
@@ -203,7 +203,7 @@
 "#;
 
 /// Writes the list that the program watches, whole or not at all.
-fn list(fleet: &[Arc<Machine>], folder: &Path, draining: Option<usize>) -> std::io::Result<()> {
+fn list(fleet: &[Arc<DemoServer>], folder: &Path, draining: Option<usize>) -> std::io::Result<()> {
     let mut text = String::new();
     for (k, machine) in fleet.iter().enumerate() {
         let _ = writeln!(text, "[[servers]]\nname = {:?}\naddress = \"{}\"", machine.name, machine.address);
@@ -216,28 +216,28 @@
     std::fs::rename(new, path)
 }
 
-fn happen(second: u64, fleet: &[Arc<Machine>], folder: &Path) -> std::io::Result<()> {
+fn happen(second: u64, fleet: &[Arc<DemoServer>], folder: &Path) -> std::io::Result<()> {
     match second {
         DRAIN_AT => list(fleet, folder, Some(DRAINS))?,
         RETURN_AT => list(fleet, folder, None)?,
-        DIE_AT => fleet[DIES].die(),
-        REVIVE_AT => drop(fleet[DIES].revive()),
+        DIE_AT => fleet[DIES].stop(),
+        REVIVE_AT => drop(fleet[DIES].restart()),
         _ => {}
     }
     Ok(())
 }
 
-fn table(fleet: &[Arc<Machine>], load: &Load, second: u64, program: &Program) -> String {
-    let tally = &load.tally;
+fn table(fleet: &[Arc<DemoServer>], load: &LoadGenerator, second: u64, program: &Program) -> String {
+    let tally = &load.stats;
     let count = |n: &std::sync::atomic::AtomicU64| n.load(SeqCst);
-    let (asked, served) = (count(&tally.asked), count(&tally.served));
-    let mean = count(&tally.micros) as f64 / 1000.0 / served.max(1) as f64;
+    let (asked, served) = (count(&tally.requests), count(&tally.successes));
+    let mean = count(&tally.success_micros) as f64 / 1000.0 / served.max(1) as f64;
     let mut out = String::new();
     let _ = writeln!(
         out,
         "{second:>4} s   requests {asked}   served {served}   refused {}   failed {}   mean {mean:.1} ms",
-        count(&tally.refused),
-        count(&tally.failed),
+        count(&tally.rejections),
+        count(&tally.failures),
     );
     let _ = writeln!(
         out,
@@ -247,11 +247,11 @@
     let round = second % ROUND;
     for (k, machine) in fleet.iter().enumerate() {
         let state = match () {
-            () if !machine.alive() => "dead",
+            () if !machine.is_up() => "dead",
             () if k == DRAINS && (DRAIN_AT..RETURN_AT).contains(&round) => "draining",
             () => "up",
         };
-        let (in_flight, served) = (machine.in_flight(), machine.served());
+        let (in_flight, served) = (machine.in_flight(), machine.answered_count());
         let address = machine.address.to_string();
         let _ = writeln!(out, "  {:<8} {address:<22} {state:<9} {in_flight:>9} {served:>8}", machine.name);
     }
--- a/crates/corkhollow/tests/attempts.rs
+++ b/crates/corkhollow/tests/attempts.rs
@@ -23,7 +23,7 @@
             let _ = stream.write_all(&answer.repeat(if number.fetch_add(1, SeqCst) == 0 { 2 } else { 1 }));
         }
     });
-    let discovery = Discovery::new(vec![list(1, true, &[host("s-0", dial, "active")])], true);
+    let discovery = Discovery::new(vec![list_json(1, true, &[host_json("s-0", dial, "active")])], true);
     let node = Node::start(discovery.address, &NodeOptions::default());
     node.wait_until_ready();
     let mut client = node.connect();
@@ -54,7 +54,7 @@
                 }
             }
         });
-        let discovery = Discovery::new(vec![list(1, true, &[host("s-0", dial, "active")])], true);
+        let discovery = Discovery::new(vec![list_json(1, true, &[host_json("s-0", dial, "active")])], true);
         let node = Node::start(discovery.address, &NodeOptions::default());
         node.wait_until_ready();
         let mut client = node.connect();
@@ -109,7 +109,7 @@
         let _ = stream.read_to_end(&mut all);
         let _ = tell.send(all.len());
     });
-    let discovery = Discovery::new(vec![list(1, true, &[host("s-0", dial, "active")])], true);
+    let discovery = Discovery::new(vec![list_json(1, true, &[host_json("s-0", dial, "active")])], true);
     let node = Node::start(discovery.address, &NodeOptions::default());
     node.wait_until_ready();
     let request = String::from_utf8(post_request("/once/1", &vec![b'x'; length])).unwrap();
@@ -142,7 +142,7 @@
     client.write_all(&post_request("/safe/1", b"body")).unwrap();
     wait_until("the request is under way", || first.request_count() == 1);
     let second = FullBacklogServer::new();
-    discovery.say(list(2, false, &[host("s-1", second.address, "active")]));
+    discovery.push_line(list_json(2, false, &[host_json("s-1", second.address, "active")]));
     wait_until("the list is taken in", || node.metric("gw_discovered") == Some(2.0));
     break_off.send(()).unwrap();
     wait_until("it is tried again", || node.metric("gw_retries{pool=\"platform\"}") == Some(1.0));
--- a/crates/corkhollow/tests/customers.rs
+++ b/crates/corkhollow/tests/customers.rs
@@ -14,7 +14,8 @@
 #[test]
 fn a_server_is_back_soon_whatever_the_deadlines() {
     let late = FullBacklogServer::new();
-    let discovery = Discovery::new(vec![list(1, true, &[host("s-0", late.address, "active")])], true);
+    let discovery =
+        Discovery::new(vec![list_json(1, true, &[host_json("s-0", late.address, "active")])], true);
     let node = Node::start_with_platform_file(&long(discovery.address));
     node.wait_until_ready();
     assert_eq!(node.post("/once/1", b"").unwrap().status(), 503, "nobody else could have it");
--- a/crates/corkhollow/tests/fleet.rs
+++ b/crates/corkhollow/tests/fleet.rs
@@ -271,10 +271,10 @@
     rig.settles("joined", SOON);
     let flood = UdpSocket::bind("127.0.0.1:0").unwrap();
     let target = rig.address(0);
-    let mut draw = Draw::new(3);
+    let mut draw = SeededRng::new(3);
     let served = (0..40).filter(|_| {
         for _ in 0..500 {
-            let bytes: Vec<u8> = (0..draw.number() % 600).map(|_| draw.number() as u8).collect();
+            let bytes: Vec<u8> = (0..draw.next_u64() % 600).map(|_| draw.next_u64() as u8).collect();
             let _ = flood.send_to(&bytes, target);
         }
         rig.node(0).get("/r", "").is_some_and(|m| m.status() == 200)
--- a/crates/corkhollow/tests/leaving.rs
+++ b/crates/corkhollow/tests/leaving.rs
@@ -18,8 +18,8 @@
 
 /// A node before so many servers, all at this address.
 fn before(dial: std::net::SocketAddr, servers: usize) -> (Node, Discovery) {
-    let hosts: Vec<_> = (0..servers).map(|k| host(&format!("s-{k}"), dial, "active")).collect();
-    let discovery = Discovery::new(vec![list(1, true, &hosts)], true);
+    let hosts: Vec<_> = (0..servers).map(|k| host_json(&format!("s-{k}"), dial, "active")).collect();
+    let discovery = Discovery::new(vec![list_json(1, true, &hosts)], true);
     let node = Node::start_with_platform_file(&patient(discovery.address));
     node.wait_until_ready();
     (node, discovery)
@@ -81,7 +81,8 @@
 fn nothing_whole_is_sent_for_a_client_that_left_behind_a_long_body() {
     let play = |resets: bool| {
         let server = FullBacklogServer::new();
-        let discovery = Discovery::new(vec![list(1, true, &[host("s-0", server.address, "active")])], true);
+        let discovery =
+            Discovery::new(vec![list_json(1, true, &[host_json("s-0", server.address, "active")])], true);
         // A sixteenth of the memory, 1 MiB, is kept of a body.
         let node = Node::start_with_platform_file(
             &patient(discovery.address).replace("\"memory_mb\":192", "\"memory_mb\":16"),
@@ -151,8 +152,8 @@
         std::thread::sleep(Duration::from_millis(700));
         ok_reply("fine")
     });
-    let hosts = [host("s-0", server.address, "active"), host("s-1", quick.addresses[0], "active")];
-    let discovery = Discovery::new(vec![list(1, true, &hosts)], true);
+    let hosts = [host_json("s-0", server.address, "active"), host_json("s-1", quick.addresses[0], "active")];
+    let discovery = Discovery::new(vec![list_json(1, true, &hosts)], true);
     let text = patient(discovery.address).replace("\"secondCopies\":false", "\"secondCopies\":true");
     let node = Node::start_with_platform_file(&text);
     node.wait_until_ready();
@@ -200,8 +201,8 @@
     let mut client = node.connect();
     client.write_all(&post_request("/once/1", b"body")).unwrap();
     outstanding(&node, 1);
-    let hosts = [host("s-0", server.address, "leaving"), host("s-1", other.addresses[0], "active")];
-    discovery.say(list(2, false, &hosts));
+    let hosts = [host_json("s-0", server.address, "leaving"), host_json("s-1", other.addresses[0], "active")];
+    discovery.push_line(list_json(2, false, &hosts));
     wait_until("the list is taken in", || node.metric("gw_discovered") == Some(2.0));
     let seen = server.accept_and_collect(COMES);
     assert!(seen.is_empty(), "{}", String::from_utf8_lossy(&seen));
--- a/crates/corkhollow/tests/lists.rs
+++ b/crates/corkhollow/tests/lists.rs
@@ -22,11 +22,11 @@
     }
 
     /// A node on this configuration that watches, and has been told of the old one.
-    fn watched(&self, config: impl Fn(SocketAddr) -> String) -> (Node, Agent, Call) {
-        let agent = Agent::listen();
+    fn watched(&self, config: impl Fn(SocketAddr) -> String) -> (Node, ManualDiscovery, ReceivedCall) {
+        let agent = ManualDiscovery::listen();
         let node = Node::start_with_platform_file(&config(agent.address));
-        let mut watch = agent.call();
-        watch.watch(&self.before());
+        let mut watch = agent.next_call();
+        watch.start_watch(&self.before());
         node.wait_until_ready();
         (node, agent, watch)
     }
@@ -36,9 +36,11 @@
     }
 
     fn after(&self, seq: u64, whole: bool) -> String {
-        let hosts =
-            [host("s-0", self.old.addresses[0], "leaving"), host("s-1", self.new.addresses[0], "active")];
-        list(seq, whole, &hosts) + "\n"
+        let hosts = [
+            host_json("s-0", self.old.addresses[0], "leaving"),
+            host_json("s-1", self.new.addresses[0], "active"),
+        ];
+        list_json(seq, whole, &hosts) + "\n"
     }
 }
 
@@ -55,22 +57,22 @@
 
 #[test]
 fn lists_may_come_indented() {
-    let (agent, change) = (Agent::listen(), Change::new());
+    let (agent, change) = (ManualDiscovery::listen(), Change::new());
     let node = Node::start(agent.address, &NodeOptions::default());
-    let mut watch = agent.call();
-    watch.watch(&indented(&change.before()));
+    let mut watch = agent.next_call();
+    watch.start_watch(&indented(&change.before()));
     node.wait_until_ready();
     assert!(served_by(&node, "old"));
     // Two in one piece, with a heartbeat between, and the second cut in the middle of a name.
     let (first, second) = (indented(&change.before()), indented(&change.after(2, false)));
     let cut = second.find("s-1").unwrap() + 2;
-    watch.say(&format!("{first}\n\n{}", &second[..cut]));
-    watch.say(&second[cut..]);
+    watch.write_chunk(&format!("{first}\n\n{}", &second[..cut]));
+    watch.write_chunk(&second[cut..]);
     wait_until("the list is taken in", || served_by(&node, "new"));
     let seen = change.old.request_count();
     assert!((0..20).all(|_| served_by(&node, "new")));
     assert_eq!(change.old.request_count(), seen);
-    assert!(agent.call_within(Duration::from_millis(300)).is_none(), "one watch does");
+    assert!(agent.next_call_within(Duration::from_millis(300)).is_none(), "one watch does");
 }
 
 /// A list that was cut short swallows neither the heartbeats nor the lists behind it: the watch is opened anew.
@@ -83,24 +85,24 @@
     let list = list.trim_end();
     for end in ["\n", "\n\n"] {
         for cut in [1, list.find("hosts").unwrap() + 8, list.find("leaving").unwrap() + 3, list.len() - 1] {
-            watch.say(&format!("{}{end}", &list[..cut]));
-            watch.say(&change.before());
-            watch.say(&change.before());
-            watch = agent.call();
-            watch.watch("\n");
+            watch.write_chunk(&format!("{}{end}", &list[..cut]));
+            watch.write_chunk(&change.before());
+            watch.write_chunk(&change.before());
+            watch = agent.next_call();
+            watch.start_watch("\n");
         }
     }
     // Nothing follows but heartbeats: that is silence.
-    watch.say(&list[..list.len() - 1]);
+    watch.write_chunk(&list[..list.len() - 1]);
     let begun = Instant::now();
     watch = loop {
-        watch.say("\n");
-        if let Some(next) = agent.call_within(Duration::from_millis(200)) {
+        watch.write_chunk("\n");
+        if let Some(next) = agent.next_call_within(Duration::from_millis(200)) {
             break next;
         }
         assert!(begun.elapsed() < Duration::from_secs(20), "the node waits for the rest for ever");
     };
-    watch.watch(list);
+    watch.start_watch(list);
     wait_until("the list is taken in", || served_by(&node, "new"));
 }
 
@@ -112,11 +114,11 @@
     let (node, agent, watch) =
         change.watched(|discovery| platform_config(discovery, &NodeOptions::default()));
     drop(watch);
-    let mut silent = vec![agent.call()];
+    let mut silent = vec![agent.next_call()];
     let asked = Instant::now();
-    let mut watch = agent.newest(&mut silent);
+    let mut watch = agent.newest_call(&mut silent);
     let waited = asked.elapsed();
-    watch.watch(&change.after(2, false));
+    watch.start_watch(&change.after(2, false));
     wait_until("the list is taken in", || served_by(&node, "new"));
     assert!(waited < Duration::from_millis(1200), "the next call came {waited:?} after a silent one");
 }
@@ -129,13 +131,13 @@
         change.watched(|discovery| platform_config(discovery, &NodeOptions::default()));
     for _ in 0..10 {
         watch.reset();
-        watch = agent.call();
+        watch = agent.next_call();
     }
     let failed = Instant::now();
     watch.reset();
-    watch = agent.call();
+    watch = agent.next_call();
     let waited = failed.elapsed();
-    watch.watch(&change.after(2, false));
+    watch.start_watch(&change.after(2, false));
     wait_until("the list is taken in", || served_by(&node, "new"));
     assert!(waited < Duration::from_millis(400), "the next call came after {waited:?}");
 }
@@ -147,27 +149,27 @@
     let change = Change::new();
     let (node, agent, mut watch) = change.watched(asked);
     // It stands for a while, as watches do, and the silence begins.
-    watch.say("\n");
+    watch.write_chunk("\n");
     let silent = Instant::now();
-    let mut next = agent.call();
+    let mut next = agent.next_call();
     assert!(silent.elapsed() < Duration::from_millis(3700), "{:?}", silent.elapsed());
-    next.watch(&change.after(2, false));
+    next.start_watch(&change.after(2, false));
     wait_until("the list is taken in", || served_by(&node, "new"));
 }
 
 /// Calls that fail are made again, later the second time, but never later than what they would tell counts as told.
 #[test]
 fn asked_lists_are_asked_for_again_in_time() {
-    let (agent, change) = (Agent::listen(), Change::new());
+    let (agent, change) = (ManualDiscovery::listen(), Change::new());
     let node = Node::start_with_platform_file(&asked(agent.address));
     let mut failed = Instant::now();
     for k in 0..4 {
-        agent.call().reset();
+        agent.next_call().reset();
         let waited = failed.elapsed();
         assert!(k == 0 || waited < Duration::from_millis(3500), "call {k} came after {waited:?}");
         failed = Instant::now();
     }
-    agent.call().watch(&change.before());
+    agent.next_call().start_watch(&change.before());
     node.wait_until_ready();
 }
 
@@ -175,19 +177,19 @@
 /// and none goes by the list of the earlier life.
 #[test]
 fn a_new_process_hears_the_agent_before_it_serves() {
-    let (agent, change) = (Agent::listen(), Change::new());
+    let (agent, change) = (ManualDiscovery::listen(), Change::new());
     let known = NodeOptions { known_servers_json: change.before(), ..NodeOptions::default() };
     let node = Node::start(agent.address, &known);
-    let mut watch = agent.call();
+    let mut watch = agent.next_call();
     let mut client = node.connect();
     client.write_all(&post_request("/once/1", b"")).unwrap();
     // An answer may take this long and still be in time.
     std::thread::sleep(Duration::from_millis(60));
-    watch.watch(&change.after(2, true));
+    watch.start_watch(&change.after(2, true));
     assert_eq!(read_message(&mut client).unwrap().body, b"new");
     assert_eq!(change.old.request_count(), 0);
     // Where it stays silent, the list of the earlier life has to do.
-    let agent = Agent::listen();
+    let agent = ManualDiscovery::listen();
     let node = Node::start(agent.address, &known);
     assert!(served_by(&node, "old"));
 }
--- a/crates/corkhollow/tests/platform.rs
+++ b/crates/corkhollow/tests/platform.rs
@@ -66,8 +66,9 @@
     }
     // Nobody listens at some of the addresses.
     let servers = Servers::new(1, |_, _| ok_reply("fine"));
-    let hosts = [host("s-0", servers.addresses[0], "active"), host("s-1", refusing_address(), "active")];
-    let discovery = Discovery::new(vec![list(1, true, &hosts)], true);
+    let hosts =
+        [host_json("s-0", servers.addresses[0], "active"), host_json("s-1", refusing_address(), "active")];
+    let discovery = Discovery::new(vec![list_json(1, true, &hosts)], true);
     let node = Node::start(discovery.address, &NodeOptions::default());
     node.wait_until_ready();
     for k in 0..20 {
@@ -87,8 +88,8 @@
         }
     });
     let servers = Servers::new(1, |_, _| ok_reply("fine"));
-    let hosts = [host("s-0", servers.addresses[0], "active"), host("s-1", dial, "active")];
-    let discovery = Discovery::new(vec![list(1, true, &hosts)], true);
+    let hosts = [host_json("s-0", servers.addresses[0], "active"), host_json("s-1", dial, "active")];
+    let discovery = Discovery::new(vec![list_json(1, true, &hosts)], true);
     let node = Node::start(discovery.address, &NodeOptions::default());
     node.wait_until_ready();
     // More than the sockets' buffers hold, so that the break comes before the end.
@@ -270,10 +271,10 @@
     let (node, discovery) = Node::start_with_servers(&servers);
     let other = Servers::new(1, |_, _| ok_reply("other"));
     let mut hosts: Vec<_> =
-        (0..2).map(|k| host(&format!("s-{k}"), servers.addresses[k], ["leaving", "left"][k])).collect();
-    hosts.push(host("s-2", other.addresses[0], "active"));
+        (0..2).map(|k| host_json(&format!("s-{k}"), servers.addresses[k], ["leaving", "left"][k])).collect();
+    hosts.push(host_json("s-2", other.addresses[0], "active"));
     assert_eq!(node.post("/once/1", b"").unwrap().status(), 200);
-    discovery.say(list(2, false, &hosts));
+    discovery.push_line(list_json(2, false, &hosts));
     wait_until("the list is taken in", || node.post("/once/1", b"").unwrap().body == b"other");
     let before = servers.request_count();
     for _ in 0..20 {
@@ -289,8 +290,8 @@
         let discovery = Discovery::new(vec![servers.list_json(1)], true);
         let node = Node::start(discovery.address, &NodeOptions::default());
         node.wait_until_ready();
-        discovery.say(nonsense.to_owned());
-        wait_until("the watch is opened again", || discovery.watched() == 2);
+        discovery.push_line(nonsense.to_owned());
+        wait_until("the watch is opened again", || discovery.watch_count() == 2);
         assert_eq!(node.post("/once/1", b"").unwrap().status(), 200);
     }
 }
@@ -300,16 +301,16 @@
 fn an_older_list_is_not_taken() {
     let servers = Servers::new(1, |_, _| ok_reply("old"));
     let other = Servers::new(1, |_, _| ok_reply("new"));
-    let new = list(
+    let new = list_json(
         9,
         true,
-        &[host("s-0", servers.addresses[0], "leaving"), host("s-1", other.addresses[0], "active")],
+        &[host_json("s-0", servers.addresses[0], "leaving"), host_json("s-1", other.addresses[0], "active")],
     );
     let discovery = Discovery::new(vec![new.clone(), servers.list_json(3), new], true);
     let node = Node::start(discovery.address, &NodeOptions::default());
     node.wait_until_ready();
-    discovery.say("broken".into());
-    wait_until("the stale copy has been refused", || discovery.watched() == 3);
+    discovery.push_line("broken".into());
+    wait_until("the stale copy has been refused", || discovery.watch_count() == 3);
     for _ in 0..10 {
         assert_eq!(node.post("/once/1", b"").unwrap().body, b"new");
     }
@@ -323,7 +324,7 @@
     let discovery = Discovery::new(vec![servers.list_json(1)], false);
     let node = Node::start(discovery.address, &NodeOptions::default());
     node.wait_until_ready();
-    wait_until("the watch is opened again", || discovery.watched() == 2);
+    wait_until("the watch is opened again", || discovery.watch_count() == 2);
 }
 
 #[test]
@@ -344,8 +345,8 @@
     let old = Servers::new(1, |_, _| ok_reply("old"));
     let (node, first) = Node::start_with_servers(&old);
     let new = Servers::new(1, |_, _| ok_reply("new"));
-    let hosts = [host("s-0", old.addresses[0], "leaving"), host("s-1", new.addresses[0], "active")];
-    let second = Discovery::new(vec![list(2, false, &hosts)], true);
+    let hosts = [host_json("s-0", old.addresses[0], "leaving"), host_json("s-1", new.addresses[0], "active")];
+    let second = Discovery::new(vec![list_json(2, false, &hosts)], true);
     for (k, bad) in ["{", "{}"].into_iter().enumerate() {
         node.reload(bad);
         node.wait_for_log("not reloaded", k + 1);
@@ -356,11 +357,11 @@
         node.wait_for_log("reloaded: discovery at", k + 1);
     }
     wait_until("the new list is taken in", || node.post("/once/1", b"").unwrap().body == b"new");
-    assert_eq!((first.watched(), second.watched()), (1, 1), "the same address again changes nothing");
-    second.say(list(
+    assert_eq!((first.watch_count(), second.watch_count()), (1, 1), "the same address again changes nothing");
+    second.push_line(list_json(
         3,
         false,
-        &[host("s-0", old.addresses[0], "active"), host("s-1", new.addresses[0], "left")],
+        &[host_json("s-0", old.addresses[0], "active"), host_json("s-1", new.addresses[0], "left")],
     ));
     wait_until("the new watch is followed", || node.post("/once/1", b"").unwrap().body == b"old");
 }
@@ -632,7 +633,7 @@
         reset_connection(stream);
     });
     for dial in [refusing_address(), bad] {
-        let discovery = Discovery::new(vec![list(1, true, &[host("s-0", dial, "active")])], true);
+        let discovery = Discovery::new(vec![list_json(1, true, &[host_json("s-0", dial, "active")])], true);
         let node = Node::start(discovery.address, &NodeOptions { memory_mb: 48, ..NodeOptions::default() });
         node.wait_until_ready();
         let mut client = node.connect();
--- a/crates/corkhollow/tests/retune.rs
+++ b/crates/corkhollow/tests/retune.rs
@@ -41,7 +41,7 @@
     // A client's connection and what the node has of servers' outlast both.
     kept.write_all(&get_request("/extra/1", "")).unwrap();
     assert_eq!(read_message(&mut kept).unwrap().status(), 200);
-    assert_eq!(discovery.watched(), 1, "the list was asked for anew");
+    assert_eq!(discovery.watch_count(), 1, "the list was asked for anew");
 }
 
 /// What was taken as unsafe is not sent again because its class is safe by now; what comes later is.
@@ -118,7 +118,11 @@
     node.reload(&told.replace("\"connectTimeoutNs\":120000000", "\"connectTimeoutNs\":250000000"));
     applied(&node, 1.0);
     assert_eq!(node.get("/safe/1", "").unwrap().status(), 200);
-    assert_eq!((servers.connection_count(), discovery.watched()), (connected, 1), "the pool was begun anew");
+    assert_eq!(
+        (servers.connection_count(), discovery.watch_count()),
+        (connected, 1),
+        "the pool was begun anew"
+    );
 }
 
 /// A quick class and one of 150 times its work, of one worth, before 20 idle servers, one caller at a time. The second was
--- a/crates/corkhollow/tests/shutdown.rs
+++ b/crates/corkhollow/tests/shutdown.rs
@@ -116,9 +116,9 @@
 /// SIGTERM before the node has heard of its servers, with requests there: they are answered, and it ends.
 #[test]
 fn a_node_that_is_told_to_end_at_its_start_answers() {
-    let agent = Agent::listen();
+    let agent = ManualDiscovery::listen();
     let mut node = Node::start(agent.address, &NodeOptions::default());
-    let silent = agent.call();
+    let silent = agent.next_call();
     let mut clients: Vec<_> = (0..5).map(|_| node.connect()).collect();
     for client in &mut clients {
         client.write_all(&post_request("/once/1", b"body")).unwrap();
--- a/crates/corkhollow/tests/terms.rs
+++ b/crates/corkhollow/tests/terms.rs
@@ -52,22 +52,22 @@
 
 impl Met {
     /// What a call gets; those that stay open are kept.
-    fn answer(self, mut call: Call, open: &mut Vec<Call>) {
+    fn answer(self, mut call: ReceivedCall, open: &mut Vec<ReceivedCall>) {
         match self {
             Met::Refused | Met::Ended => drop(call),
             Met::Reset => call.reset(),
             Met::Silence => open.push(call),
-            Met::Status => call.raw(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"),
+            Met::Status => call.write_raw(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"),
             Met::HalfAHead => {
-                call.raw(b"HTTP/1.1 200 OK\r\nTransfer-Enc");
+                call.write_raw(b"HTTP/1.1 200 OK\r\nTransfer-Enc");
                 open.push(call);
             }
-            Met::Nonsense => call.watch("these are no hosts\n"),
+            Met::Nonsense => call.start_watch("these are no hosts\n"),
             Met::AnEmptyWatch => {
-                call.raw(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n");
+                call.write_raw(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n");
             }
             Met::HalfAList => {
-                call.watch("{\"seq\":2,\"whole\":true,\"ho");
+                call.start_watch("{\"seq\":2,\"whole\":true,\"ho");
                 open.push(call);
             }
         }
@@ -90,18 +90,20 @@
     }
 
     fn after(&self) -> String {
-        let hosts =
-            [host("s-0", self.old.addresses[0], "leaving"), host("s-1", self.new.addresses[0], "active")];
-        list(2, true, &hosts) + "\n"
+        let hosts = [
+            host_json("s-0", self.old.addresses[0], "leaving"),
+            host_json("s-1", self.new.addresses[0], "active"),
+        ];
+        list_json(2, true, &hosts) + "\n"
     }
 
     /// Discovery is back: calls that come are answered, one of those that have come by now among them.
-    fn answers(&self, agent: &Agent, open: &mut Vec<Call>) {
-        let mut next = Some(agent.newest(open));
+    fn answers(&self, agent: &ManualDiscovery, open: &mut Vec<ReceivedCall>) {
+        let mut next = Some(agent.newest_call(open));
         while let Some(mut call) = next {
-            call.watch(&self.after());
+            call.start_watch(&self.after());
             open.push(call);
-            next = agent.call_within(Duration::from_millis(200));
+            next = agent.next_call_within(Duration::from_millis(200));
         }
     }
 
@@ -121,10 +123,10 @@
 fn a_change_is_told_in_time_whatever_calls_met() {
     let play = |name: &str, configured: Configured, met: Met| {
         let what = format!("{name}, {met:?}");
-        let (change, mut agent) = (Change::new(), Agent::listen());
+        let (change, mut agent) = (Change::new(), ManualDiscovery::listen());
         let node = Node::start_with_platform_file(&configured(agent.address));
-        let mut watch = agent.call();
-        watch.watch(&change.before());
+        let mut watch = agent.next_call();
+        watch.start_watch(&change.before());
         node.wait_until_ready();
         drop(watch);
         let (address, down, mut open) = (agent.address, Instant::now(), Vec::new());
@@ -132,9 +134,9 @@
         if met == Met::Refused {
             agent.close();
             thread::sleep(until_back());
-            agent = Agent::listen_at(address);
+            agent = ManualDiscovery::listen_at(address);
         } else {
-            while let Some(call) = agent.call_within(until_back()) {
+            while let Some(call) = agent.next_call_within(until_back()) {
                 met.answer(call, &mut open);
             }
         }
@@ -156,16 +158,16 @@
 fn a_list_is_heard_while_idle_clients_hold_all_descriptors() {
     let play = |name: &str, configured: Configured, silent: bool| {
         let what = format!("{name}, {}", if silent { "silent" } else { "reset" });
-        let (change, agent) = (Change::new(), Agent::listen());
+        let (change, agent) = (Change::new(), ManualDiscovery::listen());
         let node = Node::start_with_platform_file(&configured(agent.address));
-        let mut watch = agent.call();
-        watch.watch(&change.before());
+        let mut watch = agent.next_call();
+        watch.start_watch(&change.before());
         node.wait_until_ready();
         drop(watch);
         let (down, mut open) = (Instant::now(), Vec::new());
         // Far more than the 64 descriptors that it may hold, and they go on coming.
         let mut idle: Vec<_> = (0..200).map(|_| node.connect()).collect();
-        while let Some(call) = agent.call_within(Duration::from_secs(3).saturating_sub(down.elapsed())) {
+        while let Some(call) = agent.next_call_within(Duration::from_secs(3).saturating_sub(down.elapsed())) {
             match silent {
                 true => open.push(call),
                 false => call.reset(),
@@ -200,15 +202,15 @@
     };
     for closes in [true, false] {
         let servers = Servers::new(2, |_, _| ok_reply("fine"));
-        let agent = Agent::listen();
+        let agent = ManualDiscovery::listen();
         let node = Node::start(agent.address, &NodeOptions::default());
-        let mut watch = agent.call();
+        let mut watch = agent.next_call();
         let mut client = node.connect();
         client.write_all(&get_request("/safe/1", "")).unwrap();
         wait_until("the request is there", || node.metric("gw_outstanding") == Some(1.0));
         leave(client, closes);
         wait_until("it is over", || node.metric("gw_outstanding") == Some(0.0));
-        watch.watch(&servers.list_json(1));
+        watch.start_watch(&servers.list_json(1));
         node.wait_until_ready();
         // One that comes behind it is served, and it alone.
         assert_eq!(node.post("/once/2", b"").unwrap().body, b"fine");
@@ -269,9 +271,13 @@
             Servers::new(1, move |_, _| work())
         })
         .collect();
-    let hosts: Vec<_> =
-        warm.iter().enumerate().map(|(k, s)| host(&format!("w-{k}"), s.addresses[0], "active")).collect();
-    let agents: Vec<_> = (0..PROCESSES).map(|_| Discovery::new(vec![list(1, true, &hosts)], true)).collect();
+    let hosts: Vec<_> = warm
+        .iter()
+        .enumerate()
+        .map(|(k, s)| host_json(&format!("w-{k}"), s.addresses[0], "active"))
+        .collect();
+    let agents: Vec<_> =
+        (0..PROCESSES).map(|_| Discovery::new(vec![list_json(1, true, &hosts)], true)).collect();
     let node = |(ordinal, agent): (usize, &Discovery)| {
         let text = platform_config(agent.address, &NodeOptions::default());
         Node::start_with_platform_file(
@@ -317,11 +323,11 @@
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis();
         let born = format!("\"born_ms\":{}", born_ms(now));
         let host = |(k, s): (usize, &Servers)| {
-            host(&format!("c-{k}"), s.addresses[0], "active").replace("\"born_ms\":0", &born)
+            host_json(&format!("c-{k}"), s.addresses[0], "active").replace("\"born_ms\":0", &born)
         };
         let hosts: Vec<_> = new.iter().enumerate().map(host).collect();
         let told = Instant::now();
-        agents.iter().for_each(|agent| agent.say(list(2, false, &hosts)));
+        agents.iter().for_each(|agent| agent.push_line(list_json(2, false, &hosts)));
         let served: usize = clients.into_iter().map(|client| client.join().unwrap()).sum();
         let asked = f64::from(PROCESSES) * RATE * over.as_secs_f64();
         let since = |came: &Arc<Mutex<Vec<Instant>>>| {
--- a/crates/corkhollow/tests/upgrade.rs
+++ b/crates/corkhollow/tests/upgrade.rs
@@ -115,8 +115,8 @@
     let servers = Servers::new(2, |_, _| ok_reply("fine"));
     let hosts = [servers.addresses[0], servers.addresses[1], refusing_address()];
     let hosts: Vec<_> =
-        hosts.iter().enumerate().map(|(k, d)| host(&format!("s-{k}"), *d, "active")).collect();
-    let discovery = Discovery::new(vec![list(1, true, &hosts)], true);
+        hosts.iter().enumerate().map(|(k, d)| host_json(&format!("s-{k}"), *d, "active")).collect();
+    let discovery = Discovery::new(vec![list_json(1, true, &hosts)], true);
     let folder = TempFolder::new("handover");
     let socket = TcpListener::bind("127.0.0.1:0").unwrap();
     let start = || Node::start_with_listener(&socket, &folder.0, discovery.address, &NodeOptions::default());
--- a/crates/soak/src/clients.rs
+++ b/crates/soak/src/clients.rs
@@ -3,7 +3,7 @@
 use crate::cluster::{Cluster, SlotState};
 use crate::connection::{Connection, NoMessage};
 use crate::ledger::{Effect, Ledger, Outcome, RequestRecord, StalledClient, Time};
-use corkhollow_test_support::Draw;
+use corkhollow_test_support::SeededRng;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
 use std::thread;
@@ -42,8 +42,8 @@
 }
 
 impl ClientBehaviour {
-    fn draw(draw: &mut Draw) -> Self {
-        match draw.number() % 100 {
+    fn draw(draw: &mut SeededRng) -> Self {
+        match draw.next_u64() % 100 {
             0..=5 => ClientBehaviour::Slow,
             6..=8 => ClientBehaviour::LongBody,
             9..=10 => ClientBehaviour::LongAnswer,
@@ -89,7 +89,7 @@
     /// Starts a client of a slot.
     pub fn begin(self: &Arc<Self>, slot: usize, seed: u64) -> thread::JoinHandle<()> {
         let clients = self.clone();
-        thread::spawn(move || clients.ask_on(slot, Draw::new(seed)))
+        thread::spawn(move || clients.ask_on(slot, SeededRng::new(seed)))
     }
 
     /// Has all of them end behind what they are doing.
@@ -101,10 +101,10 @@
         self.stop.load(Ordering::SeqCst)
     }
 
-    fn ask_on(&self, slot: usize, mut draw: Draw) {
+    fn ask_on(&self, slot: usize, mut draw: SeededRng) {
         let mut kept: Option<Kept> = None;
         while !self.stopped() {
-            thread::sleep(draw.time(PAUSE));
+            thread::sleep(draw.next_duration(PAUSE));
             let Some(client) = kept.take().or_else(|| self.connect(slot)) else {
                 thread::sleep(Duration::from_millis(20));
                 continue;
@@ -137,15 +137,15 @@
         })
     }
 
-    fn draft(&self, long: bool, long_body: bool, draw: &mut Draw) -> Draft {
+    fn draft(&self, long: bool, long_body: bool, draw: &mut SeededRng) -> Draft {
         let id = self.next_id.fetch_add(1, Ordering::SeqCst);
-        let effect = match draw.number() % 3 {
+        let effect = match draw.next_u64() % 3 {
             _ if long => Effect::Safe,
             0 => Effect::Safe,
             1 => Effect::Keyed,
             _ => Effect::Unsafe,
         };
-        let patience = Duration::from_millis(300 + draw.number() % 1_200);
+        let patience = Duration::from_millis(300 + draw.next_u64() % 1_200);
         let (method, class, key) = match effect {
             Effect::Safe => ("GET", "safe", String::new()),
             Effect::Keyed => ("POST", "keyed", format!("Idempotency-Key: {id:x}\r\n")),
@@ -153,8 +153,8 @@
         };
         let length = match (effect, long_body) {
             (Effect::Safe, _) => 0,
-            (_, true) => 200_000 + draw.number() as usize % 700_000,
-            (_, false) => draw.number() as usize % 600,
+            (_, true) => 200_000 + draw.next_u64() as usize % 700_000,
+            (_, false) => draw.next_u64() as usize % 600,
         };
         let path = if long { "long" } else { "short" };
         let mut bytes = format!(
@@ -170,13 +170,13 @@
         Draft { id, effect, patience, bytes }
     }
 
-    fn ask(&self, mut client: Kept, behaviour: ClientBehaviour, draw: &mut Draw) -> Option<Kept> {
+    fn ask(&self, mut client: Kept, behaviour: ClientBehaviour, draw: &mut SeededRng) -> Option<Kept> {
         let long_body =
             matches!(behaviour, ClientBehaviour::LongBody | ClientBehaviour::LeavesBehindLongBody);
         let draft = self.draft(behaviour == ClientBehaviour::LongAnswer, long_body, draw);
         let leaves = matches!(behaviour, ClientBehaviour::Leaves | ClientBehaviour::LeavesBehindLongBody);
-        let resets = leaves && draw.number().is_multiple_of(2);
-        let leaves_after = Duration::from_millis(draw.number() % 200);
+        let resets = leaves && draw.next_u64().is_multiple_of(2);
+        let leaves_after = Duration::from_millis(draw.next_u64() % 200);
         let written = match behaviour {
             ClientBehaviour::Slow => write_slowly(&mut client.connection, &draft.bytes, draw),
             _ => client.connection.write(&draft.bytes),
@@ -211,7 +211,7 @@
             }
         }
         if behaviour == ClientBehaviour::LongAnswer {
-            thread::sleep(Duration::from_millis(draw.number() % 300));
+            thread::sleep(Duration::from_millis(draw.next_u64() % 300));
         }
         let until = Instant::now() + draft.patience + BEYOND;
         let read = client.connection.read(until, false);
@@ -233,7 +233,7 @@
     }
 
     /// Stops in the middle of a request and stays, until it is let go or long after it should have been.
-    fn stop_in(&self, mut client: Kept, stopped_in: &'static str, draw: &mut Draw) -> Option<Kept> {
+    fn stop_in(&self, mut client: Kept, stopped_in: &'static str, draw: &mut SeededRng) -> Option<Kept> {
         let draft = self.draft(false, false, draw);
         let head = draft.bytes.windows(4).position(|w| w == b"\r\n\r\n").map_or(0, |at| at + 4);
         let id = draft.id;
@@ -268,10 +268,10 @@
 }
 
 /// Writes a request in a few pieces, with pauses that the platform allows.
-fn write_slowly(connection: &mut Connection, bytes: &[u8], draw: &mut Draw) -> bool {
+fn write_slowly(connection: &mut Connection, bytes: &[u8], draw: &mut SeededRng) -> bool {
     let size = (bytes.len() / 4).max(1);
     bytes.chunks(size).all(|piece| {
-        thread::sleep(Duration::from_millis(draw.number() % 150));
+        thread::sleep(Duration::from_millis(draw.next_u64() % 150));
         connection.write(piece)
     })
 }
--- a/crates/soak/src/discovery.rs
+++ b/crates/soak/src/discovery.rs
@@ -2,7 +2,7 @@
 
 use crate::connection::Connection;
 use crate::ledger::Ledger;
-use corkhollow_test_support::{host, list};
+use corkhollow_test_support::{host_json, list_json};
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
@@ -219,7 +219,7 @@
                 Listing::Leaving => "leaving",
                 Listing::Absent => "left",
             };
-            host(&format!("s-{server}"), self.servers[server], health)
+            host_json(&format!("s-{server}"), self.servers[server], health)
         };
         match notified.filter(|notified| *notified >= 1 && *notified <= state.version) {
             Some(notified) => {
@@ -227,11 +227,11 @@
                 changed.sort_unstable();
                 changed.dedup();
                 let entries: Vec<_> = changed.into_iter().map(entry).collect();
-                list(state.version, false, &entries)
+                list_json(state.version, false, &entries)
             }
             None => {
                 let listed = (0..self.servers.len()).filter(|s| state.listings[*s] != Listing::Absent);
-                list(state.version, true, &listed.map(entry).collect::<Vec<_>>())
+                list_json(state.version, true, &listed.map(entry).collect::<Vec<_>>())
             }
         }
     }
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -1,7 +1,7 @@
 //! What goes wrong when: a script drawn from a seed, in which faults come in groups that overlap.
 
 use crate::servers::Behaviour;
-use corkhollow_test_support::Draw;
+use corkhollow_test_support::SeededRng;
 use std::fmt;
 use std::time::Duration;
 
@@ -113,16 +113,16 @@
 impl Script {
     /// The script of a seed: groups of two to four faults, at one slot or one server where that is possible, so that they overlap.
     pub fn draw(seed: u64, size: Size) -> Self {
-        let mut draw = Draw::new(seed);
+        let mut draw = SeededRng::new(seed);
         let span = size.time.saturating_sub(QUIET_START + QUIET_END);
         let groups = (size.slots as u64).max(size.time.as_secs() * 2);
         let mut faults = Vec::new();
         for _ in 0..groups {
-            let begin = QUIET_START + span.mul_f64(draw.share());
-            let slot = draw.number() as usize % size.slots;
-            let server = draw.number() as usize % size.servers;
-            for _ in 0..2 + draw.number() % 3 {
-                let at = begin + Duration::from_millis(draw.number() % GROUP);
+            let begin = QUIET_START + span.mul_f64(draw.next_fraction());
+            let slot = draw.next_u64() as usize % size.slots;
+            let server = draw.next_u64() as usize % size.servers;
+            for _ in 0..2 + draw.next_u64() % 3 {
+                let at = begin + Duration::from_millis(draw.next_u64() % GROUP);
                 faults.push((at, fault(&mut draw, slot, server, size)));
             }
         }
@@ -131,16 +131,17 @@
     }
 }
 
-fn fault(draw: &mut Draw, slot: usize, server: usize, size: Size) -> Fault {
-    let time = |draw: &mut Draw, least: u64, more: u64| Duration::from_millis(least + draw.number() % more);
-    match draw.number() % 20 {
+fn fault(draw: &mut SeededRng, slot: usize, server: usize, size: Size) -> Fault {
+    let time =
+        |draw: &mut SeededRng, least: u64, more: u64| Duration::from_millis(least + draw.next_u64() % more);
+    match draw.next_u64() % 20 {
         0..=2 => {
-            let hang_up = draw.number().is_multiple_of(2);
+            let hang_up = draw.next_u64().is_multiple_of(2);
             let after = time(draw, 3, 17);
             Fault::Restart { slot, hang_up_after: hang_up.then_some(after) }
         }
         3 => Fault::Kill { slot },
-        4 | 5 => Fault::Reload { slot, broken: draw.number().is_multiple_of(4) },
+        4 | 5 => Fault::Reload { slot, broken: draw.next_u64().is_multiple_of(4) },
         6 | 7 => Fault::Pause { slot, time: time(draw, 20, 130) },
         8..=11 => {
             let behaviours = [
@@ -151,17 +152,17 @@
                 Behaviour::TurnsAway,
                 Behaviour::Closes,
             ];
-            let behaviour = behaviours[draw.number() as usize % behaviours.len()];
+            let behaviour = behaviours[draw.next_u64() as usize % behaviours.len()];
             Fault::Misbehave { server, behaviour, time: time(draw, 500, 2_000) }
         }
         12..=14 => Fault::Drain { server, time: time(draw, 800, 2_000) },
         15 if size.late > 0 => {
-            let number = draw.number() as usize % size.late;
+            let number = draw.next_u64() as usize % size.late;
             Fault::LateServer { number, time: time(draw, 300, 1_200) }
         }
         15 | 16 => Fault::DiscoveryDown {
             slot,
-            silent: draw.number().is_multiple_of(2),
+            silent: draw.next_u64().is_multiple_of(2),
             time: time(draw, 500, 2_500),
         },
         17 => Fault::SilentWatch { slot },
--- a/crates/soak/src/servers.rs
+++ b/crates/soak/src/servers.rs
@@ -2,7 +2,7 @@
 
 use crate::connection::{Connection, Message};
 use crate::ledger::{AttemptRecord, Ledger, Treatment};
-use corkhollow_test_support::Draw;
+use corkhollow_test_support::SeededRng;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::{Arc, Mutex, PoisonError};
 use std::thread;
@@ -116,15 +116,15 @@
 
     fn listen(self: Arc<Self>, number: usize, listener: TcpListener, seed: u64) {
         thread::spawn(move || {
-            let mut draws = Draw::new(seed ^ (number as u64) << 32);
+            let mut draws = SeededRng::new(seed ^ (number as u64) << 32);
             for stream in listener.incoming().flatten() {
-                let (servers, draw) = (self.clone(), Draw::new(draws.number()));
+                let (servers, draw) = (self.clone(), SeededRng::new(draws.next_u64()));
                 thread::spawn(move || servers.serve(number, Connection::new(stream), draw));
             }
         });
     }
 
-    fn serve(&self, server: usize, mut connection: Connection, mut draw: Draw) {
+    fn serve(&self, server: usize, mut connection: Connection, mut draw: SeededRng) {
         while let Ok(request) = connection.read(Instant::now() + KEPT_FOR, false) {
             let behaviour = *self.behaviours[server].lock().unwrap_or_else(PoisonError::into_inner);
             let Some(id) = request.header("x-request-id").and_then(|id| u64::from_str_radix(id, 16).ok())
@@ -139,7 +139,7 @@
                     false
                 }
                 Behaviour::Resets => {
-                    thread::sleep(draw.time(SERVICE_TIME));
+                    thread::sleep(draw.next_duration(SERVICE_TIME));
                     self.end(attempt);
                     return connection.reset();
                 }
@@ -149,7 +149,7 @@
                 }
                 Behaviour::Usual | Behaviour::Slow | Behaviour::Closes => {
                     let more = if behaviour == Behaviour::Slow { 250 } else { 0 };
-                    thread::sleep(draw.time(SERVICE_TIME) + Duration::from_millis(more));
+                    thread::sleep(draw.next_duration(SERVICE_TIME) + Duration::from_millis(more));
                     let long = request.head.contains("/long");
                     self.serve_one(attempt, id, long, &mut connection, &mut draw)
                         && behaviour != Behaviour::Closes
@@ -168,13 +168,13 @@
         id: u64,
         long: bool,
         connection: &mut Connection,
-        draw: &mut Draw,
+        draw: &mut SeededRng,
     ) -> bool {
         let mut body = format!("id={id:x} ").into_bytes();
         if long {
             body.resize(LONG_ANSWER, b'x');
         }
-        match draw.number() % 40 {
+        match draw.next_u64() % 40 {
             0 if !long => {
                 self.end(attempt);
                 let _ = connection.write(b"HTTP/1.1 200 OK\r\n\r\n") && connection.write(&body);
@@ -192,7 +192,7 @@
             2 => {
                 let again = response("200 OK", "", &body);
                 let written = self.answer(attempt, connection, "200 OK", "", &body);
-                thread::sleep(Duration::from_millis(1 + draw.number() % 6));
+                thread::sleep(Duration::from_millis(1 + draw.next_u64() % 6));
                 written && connection.write(&again)
             }
             _ => self.answer(attempt, connection, "200 OK", "", &body),
--- a/crates/test-support/src/fleet.rs
+++ b/crates/test-support/src/demo.rs
@@ -12,58 +12,58 @@
 
 /// Numbers that look random and are the same for the same seed.
 #[derive(Clone, Debug)]
-pub struct Draw(Pcg64Mcg);
+pub struct SeededRng(Pcg64Mcg);
 
-impl Draw {
+impl SeededRng {
     /// Numbers of this seed.
     pub fn new(seed: u64) -> Self {
-        Draw(Pcg64Mcg::seed_from_u64(seed))
+        SeededRng(Pcg64Mcg::seed_from_u64(seed))
     }
 
     /// The next number.
-    pub fn number(&mut self) -> u64 {
+    pub fn next_u64(&mut self) -> u64 {
         self.0.next_u64()
     }
 
     /// The next number, from 0 up to 1.
-    pub fn share(&mut self) -> f64 {
-        (self.number() >> 11) as f64 / (1u64 << 53) as f64
+    pub fn next_fraction(&mut self) -> f64 {
+        (self.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
     /// A time with this mean, exponentially distributed and cut at eight times the mean.
-    pub fn time(&mut self, mean: Duration) -> Duration {
-        mean.mul_f64((-(1.0 - self.share()).ln()).min(8.0))
+    pub fn next_duration(&mut self, mean: Duration) -> Duration {
+        mean.mul_f64((-(1.0 - self.next_fraction()).ln()).min(8.0))
     }
 }
 
 /// One server of a fleet.
-pub struct Machine {
+pub struct DemoServer {
     /// Its name.
     pub name: String,
     /// Where it listens, also after it has come back.
     pub address: SocketAddr,
     /// The mean time that a request takes.
-    pub mean: Duration,
+    pub mean_service_time: Duration,
     alive: AtomicBool,
     in_flight: AtomicUsize,
-    served: AtomicU64,
+    answered_count: AtomicU64,
     connections: Mutex<Vec<TcpStream>>,
-    draw: Mutex<Draw>,
+    draw: Mutex<SeededRng>,
 }
 
-impl Machine {
+impl DemoServer {
     /// Starts a server on a free port.
-    pub fn start(name: &str, mean: Duration, seed: u64) -> std::io::Result<Arc<Self>> {
+    pub fn start(name: &str, mean_service_time: Duration, seed: u64) -> std::io::Result<Arc<Self>> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
-        let machine = Arc::new(Machine {
+        let machine = Arc::new(DemoServer {
             name: name.to_owned(),
             address: listener.local_addr()?,
-            mean,
+            mean_service_time,
             alive: AtomicBool::new(true),
             in_flight: AtomicUsize::new(0),
-            served: AtomicU64::new(0),
+            answered_count: AtomicU64::new(0),
             connections: Mutex::default(),
-            draw: Mutex::new(Draw::new(seed)),
+            draw: Mutex::new(SeededRng::new(seed)),
         });
         machine.clone().listen(listener);
         Ok(machine)
@@ -73,7 +73,7 @@
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 // The one that wakes a dying server is nobody's.
-                if !self.alive() {
+                if !self.is_up() {
                     return;
                 }
                 let machine = self.clone();
@@ -90,21 +90,25 @@
         }
         while let Some(request) = read_message(&mut stream).filter(|m| m.is_complete) {
             self.in_flight.fetch_add(1, Ordering::SeqCst);
-            let time = self.draw.lock().map(|mut d| d.time(self.mean)).unwrap_or(self.mean);
+            let time = self
+                .draw
+                .lock()
+                .map(|mut d| d.next_duration(self.mean_service_time))
+                .unwrap_or(self.mean_service_time);
             thread::sleep(time);
             self.in_flight.fetch_sub(1, Ordering::SeqCst);
             let line = request.head.lines().next().unwrap_or_default();
             let body = format!("{} from {}\n", line, self.name);
             let headers = format!("X-Server: {}\r\nContent-Type: text/plain\r\n", self.name);
-            if !self.alive() || stream.write_all(&response("200 OK", &headers, body.as_bytes())).is_err() {
+            if !self.is_up() || stream.write_all(&response("200 OK", &headers, body.as_bytes())).is_err() {
                 return;
             }
-            self.served.fetch_add(1, Ordering::SeqCst);
+            self.answered_count.fetch_add(1, Ordering::SeqCst);
         }
     }
 
     /// Whether it is up.
-    pub fn alive(&self) -> bool {
+    pub fn is_up(&self) -> bool {
         self.alive.load(Ordering::SeqCst)
     }
 
@@ -114,12 +118,12 @@
     }
 
     /// Requests that it has answered.
-    pub fn served(&self) -> u64 {
-        self.served.load(Ordering::SeqCst)
+    pub fn answered_count(&self) -> u64 {
+        self.answered_count.load(Ordering::SeqCst)
     }
 
     /// Dies: its connections break, and new ones are refused.
-    pub fn die(&self) {
+    pub fn stop(&self) {
         self.alive.store(false, Ordering::SeqCst);
         let _ = TcpStream::connect(self.address);
         if let Ok(mut all) = self.connections.lock() {
@@ -128,7 +132,7 @@
     }
 
     /// Comes back at its address. False where somebody else has taken it.
-    pub fn revive(self: &Arc<Self>) -> bool {
+    pub fn restart(self: &Arc<Self>) -> bool {
         let Ok(listener) = TcpListener::bind(self.address) else { return false };
         self.alive.store(true, Ordering::SeqCst);
         self.clone().listen(listener);
@@ -138,38 +142,38 @@
 
 /// What clients have seen.
 #[derive(Debug, Default)]
-pub struct Tally {
+pub struct LoadStats {
     /// Requests sent.
-    pub asked: AtomicU64,
+    pub requests: AtomicU64,
     /// Good answers.
-    pub served: AtomicU64,
+    pub successes: AtomicU64,
     /// Answers that a repeat is harmless.
-    pub refused: AtomicU64,
+    pub rejections: AtomicU64,
     /// Other answers, and none.
-    pub failed: AtomicU64,
+    pub failures: AtomicU64,
     /// Time of the good answers, in microseconds.
-    pub micros: AtomicU64,
+    pub success_micros: AtomicU64,
 }
 
 /// Clients that ask one thing after the other, each on a kept connection, until told to stop.
-pub struct Load {
+pub struct LoadGenerator {
     stop: Arc<AtomicBool>,
     threads: Vec<thread::JoinHandle<()>>,
     /// What they have seen.
-    pub tally: Arc<Tally>,
+    pub stats: Arc<LoadStats>,
 }
 
-impl Load {
+impl LoadGenerator {
     /// So many clients, each waiting for `pause` on average between two requests.
     pub fn start(address: SocketAddr, clients: u64, pause: Duration, seed: u64) -> Self {
-        let (stop, tally) = (Arc::new(AtomicBool::new(false)), Arc::new(Tally::default()));
+        let (stop, stats) = (Arc::new(AtomicBool::new(false)), Arc::new(LoadStats::default()));
         let client = |k: u64| {
-            let (stop, tally) = (stop.clone(), tally.clone());
-            let draw = Draw::new(seed.wrapping_add(k));
-            thread::spawn(move || ask_on(address, &stop, &tally, pause, draw))
+            let (stop, stats) = (stop.clone(), stats.clone());
+            let draw = SeededRng::new(seed.wrapping_add(k));
+            thread::spawn(move || ask_on(address, &stop, &stats, pause, draw))
         };
         let threads = (0..clients).map(client).collect();
-        Load { stop, threads, tally }
+        LoadGenerator { stop, threads, stats }
     }
 
     /// Ends them, each with its last answer.
@@ -181,17 +185,17 @@
     }
 }
 
-fn ask_on(address: SocketAddr, stop: &AtomicBool, tally: &Tally, pause: Duration, mut draw: Draw) {
+fn ask_on(address: SocketAddr, stop: &AtomicBool, stats: &LoadStats, pause: Duration, mut draw: SeededRng) {
     let mut kept: Option<TcpStream> = None;
     while !stop.load(Ordering::SeqCst) {
-        thread::sleep(draw.time(pause));
-        let request = match draw.number() % 4 {
+        thread::sleep(draw.next_duration(pause));
+        let request = match draw.next_u64() % 4 {
             0 => "POST /acknowledge HTTP/1.1\r\nHost: demo\r\nContent-Length: 2\r\n\r\nok",
             1 => "GET /gauges HTTP/1.1\r\nHost: demo\r\n\r\n",
             _ => "GET /status HTTP/1.1\r\nHost: demo\r\n\r\n",
         };
         let start = Instant::now();
-        tally.asked.fetch_add(1, Ordering::SeqCst);
+        stats.requests.fetch_add(1, Ordering::SeqCst);
         let answer = kept.take().or_else(|| TcpStream::connect(address).ok()).and_then(|mut stream| {
             let _ = stream.set_nodelay(true);
             let _ = stream.set_read_timeout(Some(Duration::from_secs(10)));
@@ -204,11 +208,11 @@
         });
         match answer.map_or(0, |a| a.status()) {
             200 => {
-                tally.served.fetch_add(1, Ordering::SeqCst);
-                tally.micros.fetch_add(start.elapsed().as_micros() as u64, Ordering::SeqCst);
+                stats.successes.fetch_add(1, Ordering::SeqCst);
+                stats.success_micros.fetch_add(start.elapsed().as_micros() as u64, Ordering::SeqCst);
             }
-            503 | 429 => drop(tally.refused.fetch_add(1, Ordering::SeqCst)),
-            _ => drop(tally.failed.fetch_add(1, Ordering::SeqCst)),
+            503 | 429 => drop(stats.rejections.fetch_add(1, Ordering::SeqCst)),
+            _ => drop(stats.failures.fetch_add(1, Ordering::SeqCst)),
         }
     }
 }
--- a/crates/test-support/src/discovery.rs
+++ b/crates/test-support/src/discovery.rs
@@ -10,14 +10,14 @@
 use std::time::Duration;
 
 /// One server in the words of discovery.
-pub fn host(name: &str, dial: SocketAddr, health: &str) -> String {
+pub fn host_json(name: &str, dial: SocketAddr, health: &str) -> String {
     format!(
         r#"{{"host":"{name}","dial":"{dial}","site":"a","class":"std","block":0,"health":"{health}","share":1.0,"born_ms":0}}"#
     )
 }
 
 /// A line of discovery.
-pub fn list(seq: u64, whole: bool, hosts: &[String]) -> String {
+pub fn list_json(seq: u64, whole: bool, hosts: &[String]) -> String {
     format!(r#"{{"seq":{seq},"whole":{whole},"hosts":[{}]}}"#, hosts.join(","))
 }
 
@@ -26,8 +26,8 @@
     /// Where it listens.
     pub address: SocketAddr,
     /// Watches opened so far.
-    pub watches: Arc<AtomicUsize>,
-    say: Arc<Mutex<Vec<mpsc::Sender<String>>>>,
+    pub watch_count: Arc<AtomicUsize>,
+    watch_senders: Arc<Mutex<Vec<mpsc::Sender<String>>>>,
 }
 
 impl Discovery {
@@ -36,20 +36,20 @@
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let discovery = Discovery {
             address: listener.local_addr().unwrap(),
-            watches: Arc::default(),
-            say: Arc::default(),
+            watch_count: Arc::default(),
+            watch_senders: Arc::default(),
         };
-        let (watches, say) = (discovery.watches.clone(), discovery.say.clone());
+        let (watch_count, watch_senders) = (discovery.watch_count.clone(), discovery.watch_senders.clone());
         thread::spawn(move || {
             for mut stream in listener.incoming().flatten() {
                 if read_message(&mut stream).is_none() {
                     continue;
                 }
                 let (sender, lines) = mpsc::channel::<String>();
-                let opening = &openings[watches.load(Ordering::SeqCst).min(openings.len() - 1)];
+                let opening = &openings[watch_count.load(Ordering::SeqCst).min(openings.len() - 1)];
                 sender.send(opening.clone()).unwrap();
-                say.lock().unwrap().push(sender);
-                watches.fetch_add(1, Ordering::SeqCst);
+                watch_senders.lock().unwrap().push(sender);
+                watch_count.fetch_add(1, Ordering::SeqCst);
                 thread::spawn(move || {
                     let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                     loop {
@@ -71,33 +71,33 @@
     }
 
     /// Says a line on the newest watch.
-    pub fn say(&self, line: String) {
-        let _ = self.say.lock().unwrap().last().unwrap().send(line);
+    pub fn push_line(&self, line: String) {
+        let _ = self.watch_senders.lock().unwrap().last().unwrap().send(line);
     }
 
     /// Watches so far.
-    pub fn watched(&self) -> usize {
-        self.watches.load(Ordering::SeqCst)
+    pub fn watch_count(&self) -> usize {
+        self.watch_count.load(Ordering::SeqCst)
     }
 }
 
 /// Discovery whose calls a test answers itself, one by one: it stands at each point of each call.
-pub struct Agent {
+pub struct ManualDiscovery {
     /// Where it listens.
     pub address: SocketAddr,
-    calls: mpsc::Receiver<Call>,
+    calls: mpsc::Receiver<ReceivedCall>,
     closes: Arc<AtomicBool>,
     listening: thread::JoinHandle<()>,
 }
 
 /// A call that has come. Dropped, its connection is closed.
-pub struct Call {
+pub struct ReceivedCall {
     /// What was asked for: path and query.
     pub target: String,
     stream: TcpStream,
 }
 
-impl Agent {
+impl ManualDiscovery {
     /// Takes calls.
     pub fn listen() -> Self {
         Self::listen_at(SocketAddr::from(([127, 0, 0, 1], 0)))
@@ -117,13 +117,13 @@
                 }
                 if let Some(message) = read_message(&mut stream) {
                     let target = message.head.split(' ').nth(1).unwrap_or_default().to_owned();
-                    if sender.send(Call { target, stream }).is_err() {
+                    if sender.send(ReceivedCall { target, stream }).is_err() {
                         return;
                     }
                 }
             }
         });
-        Agent { address, calls, closes, listening }
+        ManualDiscovery { address, calls, closes, listening }
     }
 
     /// Refuses connections from here on, and ends all calls that nobody has taken.
@@ -135,18 +135,18 @@
     }
 
     /// The next call.
-    pub fn call(&self) -> Call {
+    pub fn next_call(&self) -> ReceivedCall {
         self.calls.recv_timeout(WAIT_TIMEOUT).expect("the node calls")
     }
 
     /// A call that comes within this.
-    pub fn call_within(&self, time: Duration) -> Option<Call> {
+    pub fn next_call_within(&self, time: Duration) -> Option<ReceivedCall> {
         self.calls.recv_timeout(time).ok()
     }
 
     /// The newest of the calls that have come by now, and of the next one where none has; the others go on being silent.
-    pub fn newest(&self, silent: &mut Vec<Call>) -> Call {
-        let mut newest = self.call();
+    pub fn newest_call(&self, silent: &mut Vec<ReceivedCall>) -> ReceivedCall {
+        let mut newest = self.next_call();
         while let Ok(newer) = self.calls.try_recv() {
             silent.push(std::mem::replace(&mut newest, newer));
         }
@@ -154,21 +154,21 @@
     }
 }
 
-impl Call {
+impl ReceivedCall {
     /// Begins the answer of a watch, and says this on it.
-    pub fn watch(&mut self, words: &str) {
+    pub fn start_watch(&mut self, words: &str) {
         let _ = self.stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        self.say(words);
+        self.write_chunk(words);
     }
 
     /// Says more, as it stands.
-    pub fn say(&mut self, words: &str) {
+    pub fn write_chunk(&mut self, words: &str) {
         let chunk = format!("{:x}\r\n{words}\r\n", words.len());
         let _ = self.stream.write_all(chunk.as_bytes());
     }
 
     /// Writes these bytes as they stand.
-    pub fn raw(&mut self, bytes: &[u8]) {
+    pub fn write_raw(&mut self, bytes: &[u8]) {
         let _ = self.stream.write_all(bytes);
     }
 
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -1,8 +1,9 @@
 //! Scripted peers on loopback sockets: servers, clients, discovery, and the program between them.
 
 mod clients;
+mod demo;
 mod discovery;
-mod fleet;
+
 mod link;
 mod message;
 mod program;
@@ -10,8 +11,8 @@
 mod servers;
 
 pub use clients::{get_request, half_close, post_request};
-pub use discovery::{host, list, Agent, Call, Discovery};
-pub use fleet::{Draw, Load, Machine, Tally};
+pub use demo::{DemoServer, LoadGenerator, LoadStats, SeededRng};
+pub use discovery::{host_json, list_json, Discovery, ManualDiscovery, ReceivedCall};
 pub use link::{End, Link, State, Way, Ways};
 pub use message::{read_message, response, Message};
 pub use program::{platform_config, program_path, Node, NodeOptions};
--- a/crates/test-support/src/servers.rs
+++ b/crates/test-support/src/servers.rs
@@ -1,6 +1,6 @@
 //! Servers that follow a script.
 
-use crate::discovery::{host, list};
+use crate::discovery::{host_json, list_json};
 use crate::message::{read_message, response, Message};
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -105,9 +105,13 @@
 
     /// All of them as a whole list.
     pub fn list_json(&self, seq: u64) -> String {
-        let all: Vec<_> =
-            self.addresses.iter().enumerate().map(|(k, d)| host(&format!("s-{k}"), *d, "active")).collect();
-        list(seq, true, &all)
+        let all: Vec<_> = self
+            .addresses
+            .iter()
+            .enumerate()
+            .map(|(k, d)| host_json(&format!("s-{k}"), *d, "active"))
+            .collect();
+        list_json(seq, true, &all)
     }
 }
 
