--- a/crates/bench/benches/fleet.rs
+++ b/crates/bench/benches/fleet.rs
@@ -36,8 +36,8 @@
 
 /// How long it takes until all views are equal and right, and until all nodes say that they have settled.
 fn both(rig: &Rig, what: &str) -> String {
-    let agreed = rig.agrees(what, WITHIN).as_secs_f64();
-    format!("{agreed:.2}, {:.2}", agreed + rig.settles(what, WITHIN).as_secs_f64())
+    let agreed = rig.wait_until_agreed(what, WITHIN).as_secs_f64();
+    format!("{agreed:.2}, {:.2}", agreed + rig.wait_until_settled(what, WITHIN).as_secs_f64())
 }
 
 /// Processes and servers of the second part, and clients at each process.
@@ -72,7 +72,7 @@
     let mut alone = Vec::new();
     if in_a_fleet {
         rig.start_all(0..NODES);
-        rig.agrees("joined", WITHIN);
+        rig.wait_until_agreed("joined", WITHIN);
     } else {
         alone.extend((0..NODES).map(|_| Node::start_with_operator_file(&site)));
     }
@@ -143,7 +143,7 @@
     let mut alone = Vec::new();
     if in_a_fleet {
         rig.start_all(0..NODES);
-        rig.agrees("joined", WITHIN);
+        rig.wait_until_agreed("joined", WITHIN);
     } else {
         alone.extend((0..NODES).map(|_| Node::start_with_operator_file(&site)));
     }
@@ -179,7 +179,7 @@
         let start = Instant::now();
         rig.start(NODES);
         let took = start.elapsed().as_millis();
-        (Fleet::of(rig.node(NODES)).map_or(0, |fleet| fleet.size), took)
+        (FleetView::fetch(rig.node(NODES)).map_or(0, |fleet| fleet.size), took)
     });
     over.store(true, SeqCst);
     clients.into_iter().for_each(|client| drop(client.join()));
@@ -205,11 +205,11 @@
         let mut rig = Rig::new(count, 1, &[0], "", move |_| site.clone());
         rig.start_all(0..count);
         let joined = both(&rig, "joined");
-        rig.act(&Action::Kill(count - 1));
+        rig.apply(&Action::Kill(count - 1));
         let crashed = both(&rig, "crashed");
-        rig.act(&Action::Partition(vec![(0..count / 2).collect(), (count / 2..count - 1).collect()]));
+        rig.apply(&Action::Partition(vec![(0..count / 2).collect(), (count / 2..count - 1).collect()]));
         std::thread::sleep(Duration::from_secs(15));
-        rig.act(&Action::Heal);
+        rig.apply(&Action::Heal);
         let healed = both(&rig, "healed");
         let (before, start) = (sums(&rig), Instant::now());
         std::thread::sleep(Duration::from_secs(10));
--- a/crates/bench/benches/scale/members.rs
+++ b/crates/bench/benches/scale/members.rs
@@ -5,7 +5,7 @@
 use crate::process;
 use corkhollow_fleet::{Config, Extensions, Timing};
 use corkhollow_proxy::fleet::Fleet;
-use corkhollow_test_support::{Fleet as Told, Node};
+use corkhollow_test_support::{FleetView as Told, Node};
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
 use std::time::{Duration, Instant};
 
@@ -48,7 +48,7 @@
 /// How long it takes until all real processes count so many.
 fn counted(nodes: &[Node], size: usize) -> f64 {
     let begun = Instant::now();
-    let all = || nodes.iter().all(|node| Told::of(node).is_some_and(|fleet| fleet.size == size));
+    let all = || nodes.iter().all(|node| Told::fetch(node).is_some_and(|fleet| fleet.size == size));
     while !all() {
         if begun.elapsed() > LONGEST {
             return f64::INFINITY;
--- a/crates/corkhollow/tests/fleet.rs
+++ b/crates/corkhollow/tests/fleet.rs
@@ -108,62 +108,73 @@
 fn a_fleet_lives_through_what_befalls_it() {
     let servers = Servers::new(3, |_, _| ok_reply("fine"));
     // One of the servers is reached by a slow link, one by a link that cuts every ninth connection before an answer.
-    let late = Ways {
-        back: corkhollow_test_support::Way {
+    let late = ConnectionFaults {
+        to_client: corkhollow_test_support::DirectionFaults {
             delay: Duration::from_millis(20),
             jitter: Duration::from_millis(20),
             ..Default::default()
         },
-        ..Ways::default()
+        ..ConnectionFaults::default()
     };
     let slow = Link::new(servers.addresses[0], 1, move |_| late);
-    let cut = Ways {
-        back: corkhollow_test_support::Way { end: Some((0, End::Cut)), ..Default::default() },
-        ..Ways::default()
+    let cut = ConnectionFaults {
+        to_client: corkhollow_test_support::DirectionFaults {
+            end: Some((0, LinkEnd::Reset)),
+            ..Default::default()
+        },
+        ..ConnectionFaults::default()
     };
-    let lossy = Link::new(servers.addresses[1], 2, move |n| if n % 9 == 8 { cut } else { Ways::default() });
+    let lossy =
+        Link::new(
+            servers.addresses[1],
+            2,
+            move |n| if n % 9 == 8 { cut } else { ConnectionFaults::default() },
+        );
     let text = site(&[slow.address, lossy.address, servers.addresses[2]]);
     let mut rig = Rig::new(7, 7, &[0, 1], TIMES, move |_| text.clone());
     rig.start_all(0..6);
-    rig.settles("joined", SOON);
+    rig.wait_until_settled("joined", SOON);
     let clients = Clients::start(6);
     clients.open(&rig, Some(5));
-    rig.act(&Action::Kill(5));
+    rig.apply(&Action::Kill(5));
     away(&rig, "n5", "dead");
-    rig.settles("crashed", SOON);
+    rig.wait_until_settled("crashed", SOON);
     // Under its name, with nothing.
-    rig.act(&Action::Start(5));
-    rig.settles("came back", SOON);
-    assert!(Fleet::of(rig.node(0)).unwrap().member("n5").unwrap().incarnation > 1);
-    rig.act(&Action::Start(6));
-    rig.settles("joined later", SOON);
+    rig.apply(&Action::Start(5));
+    rig.wait_until_settled("came back", SOON);
+    assert!(FleetView::fetch(rig.node(0)).unwrap().member("n5").unwrap().incarnation > 1);
+    rig.apply(&Action::Start(6));
+    rig.wait_until_settled("joined later", SOON);
     clients.open(&rig, Some(4));
-    rig.play(&Script::new().at(0, Action::Stall(4, 5_000)));
-    rig.settles("went on", SOON);
-    let others = rig.said("n4: corkhollow: fleet: n");
-    let given_up = |name: &str| rig.said(&format!("n4: corkhollow: fleet: {name} is dead"));
+    rig.run_script(&Script::new().at(0, Action::Stall(4, 5_000)));
+    rig.wait_until_settled("went on", SOON);
+    let others = rig.count_timeline_lines("n4: corkhollow: fleet: n");
+    let given_up = |name: &str| rig.count_timeline_lines(&format!("n4: corkhollow: fleet: {name} is dead"));
     assert!(
         others > 0 && [0, 1, 2, 3, 6].iter().all(|k| given_up(&format!("n{k}")) == 0),
         "{}",
         rig.timeline().join("\n")
     );
     clients.open(&rig, None);
-    rig.act(&Action::Partition(vec![vec![0, 2, 4, 6], vec![1, 3, 5]]));
+    rig.apply(&Action::Partition(vec![vec![0, 2, 4, 6], vec![1, 3, 5]]));
     wait_until("each side counts its own", || {
         let sizes: Vec<_> = rig.views().iter().flatten().map(|fleet| fleet.size).collect();
         sizes == [4, 3, 4, 3, 4, 3, 4]
     });
-    rig.act(&Action::Heal);
-    rig.settles("healed", SOON);
+    rig.apply(&Action::Heal);
+    rig.wait_until_settled("healed", SOON);
     for number in 0..7 {
         clients.open(&rig, Some(number));
-        rig.act(&Action::Leave(number));
+        rig.apply(&Action::Leave(number));
         away(&rig, &format!("n{number}"), "left");
-        rig.act(&Action::Start(number));
+        rig.apply(&Action::Start(number));
     }
     clients.open(&rig, None);
-    rig.settles("rolled", SOON);
-    assert_eq!(rig.said("counts as number"), rig.said("fleet: counts as number"));
+    rig.wait_until_settled("rolled", SOON);
+    assert_eq!(
+        rig.count_timeline_lines("counts as number"),
+        rig.count_timeline_lines("fleet: counts as number")
+    );
     let (asked, wrong) = clients.end();
     assert!(asked > 500 && wrong.is_empty(), "{asked} asked: {wrong:#?}\n{}", rig.timeline().join("\n"));
     let mut runs = BTreeMap::new();
@@ -179,16 +190,16 @@
 fn a_one_way_cut_and_a_bad_network_take_nobody_out() {
     let (mut rig, _servers) = rig(5, &[0], "datagram_bytes = 256");
     rig.start_all(0..5);
-    rig.settles("joined", SOON);
+    rig.wait_until_settled("joined", SOON);
     let bad = LinkFaults { loss: 0.1, delay: 1, jitter: 60, duplication: 0.2, blocked: false };
     let script = Script::new()
         .at(0, Action::SetAllLinks(bad))
         .at(0, Action::BlockLink(3, 1))
         .at(0, Action::BlockLink(0, 4));
-    rig.play(&script.at(8_000, Action::Heal));
-    rig.act(&Action::SetAllLinks(LinkFaults::default()));
-    rig.settles("healed", SOON);
-    assert_eq!(rig.said(" is dead"), 0, "{}", rig.timeline().join("\n"));
+    rig.run_script(&script.at(8_000, Action::Heal));
+    rig.apply(&Action::SetAllLinks(LinkFaults::default()));
+    rig.wait_until_settled("healed", SOON);
+    assert_eq!(rig.count_timeline_lines(" is dead"), 0, "{}", rig.timeline().join("\n"));
 }
 
 /// A process that leaves says so, one that is emptied says so too, and both are known at once.
@@ -196,18 +207,18 @@
 fn what_a_node_says_of_itself_is_known_everywhere() {
     let (mut rig, _servers) = rig(3, &[0], "");
     rig.start_all(0..3);
-    rig.settles("joined", SOON);
+    rig.wait_until_settled("joined", SOON);
     assert_eq!(rig.node(2).call_operator("POST", "/-/drain").unwrap().status(), 200);
     let drains = |told: bool| {
-        rig.views().iter().flatten().all(|fleet| fleet.member("n2").is_some_and(|m| m.drains == told))
+        rig.views().iter().flatten().all(|fleet| fleet.member("n2").is_some_and(|m| m.is_draining == told))
     };
     wait_until("all know that it drains", || drains(true));
     assert_eq!(rig.node(2).call_operator("POST", "/-/resume").unwrap().status(), 200);
     wait_until("all know that it resumes", || drains(false));
-    rig.act(&Action::Leave(2));
+    rig.apply(&Action::Leave(2));
     away(&rig, "n2", "left");
-    assert_eq!(rig.said("n2 is suspect"), 0);
-    rig.settles("left", SOON);
+    assert_eq!(rig.count_timeline_lines("n2 is suspect"), 0);
+    rig.wait_until_settled("left", SOON);
     for figure in ["gw_fleet_members{state=\"alive\"}", "gw_fleet_size"] {
         wait_until(figure, || rig.node(0).metric(figure) == Some(2.0));
     }
@@ -229,14 +240,14 @@
 fn a_second_process_under_a_name_does_not_start() {
     let (mut rig, _servers) = rig(3, &[0], "");
     rig.start_all(0..2);
-    rig.settles("joined", SOON);
-    let before = Fleet::of(rig.node(0)).unwrap();
+    rig.wait_until_settled("joined", SOON);
+    let before = FleetView::fetch(rig.node(0)).unwrap();
     // At an address of its own, under the first's name.
     let path = std::env::temp_dir().join(format!("corkhollow-double-{}.toml", std::process::id()));
     let text = rig
-        .file(2, "n1")
+        .config_text(2, "n1")
         .replace("127.0.0.1:0\"\nadvertise", "127.0.0.1:0\"\n#")
-        .replace(&format!("# = \"{}\"", rig.address(2)), "");
+        .replace(&format!("# = \"{}\"", rig.relay_address(2)), "");
     std::fs::write(&path, text).unwrap();
     let mut double = Command::new(program_path());
     double.args(["run", "--config"]).arg(&path).stdout(Stdio::null());
@@ -248,16 +259,17 @@
     let taken = UdpSocket::bind("127.0.0.1:0").unwrap();
     let address = taken.local_addr().unwrap();
     let path = std::env::temp_dir().join(format!("corkhollow-taken-{}.toml", std::process::id()));
-    let file = rig.file(2, "n2").replace("127.0.0.1:0\"\nadvertise", &format!("{address}\"\nadvertise"));
+    let file =
+        rig.config_text(2, "n2").replace("127.0.0.1:0\"\nadvertise", &format!("{address}\"\nadvertise"));
     std::fs::write(&path, file).unwrap();
     let output = Command::new(program_path()).args(["run", "--config"]).arg(&path).output().unwrap();
     std::fs::remove_file(&path).unwrap();
     let told = String::from_utf8(output.stderr).unwrap();
     assert!(!output.status.success() && told.contains(&format!("cannot listen on {address}")), "{told}");
-    let words = format!("the name n1 is taken: the process at {} has it", rig.address(1));
+    let words = format!("the name n1 is taken: the process at {} has it", rig.relay_address(1));
     assert!(said.contains(&words), "{said}");
-    assert_eq!(Fleet::of(rig.node(0)).unwrap().view, before.view);
-    rig.settles("unshaken", SOON);
+    assert_eq!(FleetView::fetch(rig.node(0)).unwrap().view_digest, before.view_digest);
+    rig.wait_until_settled("unshaken", SOON);
 }
 
 /// Garbage, cut and replayed datagrams by the thousand, and another fleet's: counted by their reason, and requests go on.
@@ -268,9 +280,9 @@
     std::fs::write(&path, "ab".repeat(32)).unwrap();
     let (mut rig, _servers) = rig(3, &[0], &format!("key_file = \"{}\"", path.display()));
     rig.start_all(0..3);
-    rig.settles("joined", SOON);
+    rig.wait_until_settled("joined", SOON);
     let flood = UdpSocket::bind("127.0.0.1:0").unwrap();
-    let target = rig.address(0);
+    let target = rig.relay_address(0);
     let mut draw = SeededRng::new(3);
     let served = (0..40).filter(|_| {
         for _ in 0..500 {
@@ -281,8 +293,8 @@
     });
     assert_eq!(served.count(), 40);
     wait_until("it is counted", || rig.node(0).metric("gw_fleet_refused{reason=\"garbled\"}") > Some(100.0));
-    rig.settles("unharmed", SOON);
-    assert_eq!(rig.said(" is dead"), 0);
+    rig.wait_until_settled("unharmed", SOON);
+    assert_eq!(rig.count_timeline_lines(" is dead"), 0);
 }
 
 /// What can be taken over while it runs is; a file that changes more is turned down whole.
@@ -290,8 +302,8 @@
 fn a_new_file_is_taken_whole_or_not_at_all() {
     let (mut rig, _servers) = rig(2, &[0], "");
     rig.start_all(0..2);
-    rig.settles("joined", SOON);
-    let file = rig.file(0, "n0");
+    rig.wait_until_settled("joined", SOON);
+    let file = rig.config_text(0, "n0");
     let node = rig.node(0);
     let renamed =
         file.replace("node = \"n0\"", "node = \"n9\"").replace("deadline = \"8s\"", "deadline = \"9s\"");
@@ -311,8 +323,8 @@
     }
     node.reload(&file.replace("probe_every = \"250ms\"", "probe_every = \"300ms\""));
     node.wait_for_log("reloaded: listeners", 1);
-    rig.settles("goes on", SOON);
-    assert_eq!(Fleet::of(rig.node(0)).unwrap().size, 2);
+    rig.wait_until_settled("goes on", SOON);
+    assert_eq!(FleetView::fetch(rig.node(0)).unwrap().size, 2);
 }
 
 /// A process that comes to another's place takes over its name and its address: nobody holds it for gone, or for a double.
@@ -331,12 +343,12 @@
     let file = text.replace("127.0.0.1:0", &listener.local_addr().unwrap().to_string());
     let file = format!(
         "[fleet]\nname = \"rig\"\nnode = \"x\"\nlisten = \"{free}\"\nseeds = [\"{}\"]\n{TIMES}\n{file}",
-        rig.address(0)
+        rig.relay_address(0)
     );
     let run = || Node::start_socket_activated(&listener, &folder.0, "127.0.0.1:0", &file);
     let mut first = run();
     let other = |seen: fn(&Member) -> bool| {
-        let fleet = Fleet::of(rig.node(0));
+        let fleet = FleetView::fetch(rig.node(0));
         fleet.is_some_and(|fleet| fleet.size == 2 && fleet.member("x").is_some_and(seen))
     };
     wait_until("the first is there", || other(|m| m.state == "alive"));
@@ -349,7 +361,9 @@
     first.signal("-TERM");
     assert!(first.wait_for_exit().success());
     wait_until("the second has its place", || other(|m| m.state == "alive" && m.incarnation > 1));
-    wait_until("it says so", || Fleet::of(&second).is_some_and(|fleet| fleet.size == 2 && fleet.settled));
+    wait_until("it says so", || {
+        FleetView::fetch(&second).is_some_and(|fleet| fleet.size == 2 && fleet.is_settled)
+    });
     let said = rig.timeline();
     assert!(!said.iter().any(|line| line.contains("x is left") || line.contains("x is dead")), "{said:#?}");
 }
@@ -363,15 +377,15 @@
     std::fs::write(&path, "ab".repeat(32)).unwrap();
     let (mut rig, _servers) = rig(3, &[0], &format!("key_file = \"{}\"", path.display()));
     rig.start_all(0..2);
-    rig.settles("joined", SOON);
+    rig.wait_until_settled("joined", SOON);
     // One who overhears what a third says when it joins: it takes him for a seed.
     let overhears = UdpSocket::bind("127.0.0.1:0").unwrap();
     overhears.set_read_timeout(Some(SOON)).unwrap();
     let seeds = format!("seeds = [\"{}\", ", overhears.local_addr().unwrap());
-    let own = rig.file(2, "n2").replace(&format!("advertise = \"{}\"\n", rig.address(2)), "");
+    let own = rig.config_text(2, "n2").replace(&format!("advertise = \"{}\"\n", rig.relay_address(2)), "");
     let mut third = Node::start_with_operator_file(&own.replace("seeds = [", &seeds));
     let knows = |k: usize, name: &str, state: &str| {
-        Fleet::of(rig.node(k)).is_some_and(|f| f.member(name).is_some_and(|m| m.state == state))
+        FleetView::fetch(rig.node(k)).is_some_and(|f| f.member(name).is_some_and(|m| m.state == state))
     };
     wait_until("it has joined", || (0..2).all(|k| knows(k, "n2", "alive")));
     let mut bytes = [0; 1500];
@@ -381,7 +395,7 @@
     wait_until("it has left", || (0..2).all(|k| knows(k, "n2", "left")));
     let replay = || {
         for _ in 0..300 {
-            overhears.send_to(&bytes[..size], rig.address(0)).unwrap();
+            overhears.send_to(&bytes[..size], rig.relay_address(0)).unwrap();
         }
     };
     replay();
@@ -394,15 +408,15 @@
     assert!((0..2).all(|k| knows(k, "n2", "left")));
     // Another key for the first alone.
     std::fs::write(&path, "cd".repeat(32)).unwrap();
-    rig.node(0).reload(&rig.file(0, "n0"));
+    rig.node(0).reload(&rig.config_text(0, "n0"));
     wait_until("it is refused", || refused(1, "key") > 0.0);
     wait_until("it is given up", || knows(1, "n0", "dead"));
     assert!((0..2).all(|k| rig.node(k).get("/r", "").is_some_and(|m| m.status() == 200)));
     let before = refused(0, "key");
     replay();
     wait_until("they are under another key", || refused(0, "key") > before);
-    rig.node(1).reload(&rig.file(1, "n1"));
-    rig.settles("both have it", SOON);
+    rig.node(1).reload(&rig.config_text(1, "n1"));
+    rig.wait_until_settled("both have it", SOON);
 }
 
 /// Nodes meet over IPv6, where the machine has it.
@@ -431,8 +445,8 @@
     let seed = format!("\"{}\"", address.lock().unwrap().unwrap());
     let nodes = [first, node("n1", &seed)];
     wait_until("both have met", || {
-        nodes
-            .iter()
-            .all(|n| Fleet::of(n).is_some_and(|f| f.size == 2 && f.settled && f.member("n1").is_some()))
+        nodes.iter().all(|n| {
+            FleetView::fetch(n).is_some_and(|f| f.size == 2 && f.is_settled && f.member("n1").is_some())
+        })
     });
 }
--- a/crates/corkhollow/tests/link.rs
+++ b/crates/corkhollow/tests/link.rs
@@ -18,16 +18,17 @@
     ))
 }
 
-fn back(way: Way) -> Ways {
-    Ways { back: way, ..Ways::default() }
+fn back(way: DirectionFaults) -> ConnectionFaults {
+    ConnectionFaults { to_client: way, ..ConnectionFaults::default() }
 }
 
 /// A late link is waited for, and its time is part of the request's.
 #[test]
 fn a_late_link_is_waited_for() {
     let servers = Servers::new(1, |_, m| ok_reply(&m.head.len().to_string()));
-    let way = Way { delay: 60 * MS, jitter: 10 * MS, ..Way::default() };
-    let link = Link::new(servers.addresses[0], 1, move |_| Ways { there: way, back: way });
+    let way = DirectionFaults { delay: 60 * MS, jitter: 10 * MS, ..DirectionFaults::default() };
+    let link =
+        Link::new(servers.addresses[0], 1, move |_| ConnectionFaults { to_server: way, to_client: way });
     let node = site(&[link.address], "10s", "");
     for _ in 0..3 {
         let start = Instant::now();
@@ -43,11 +44,18 @@
     for place in 0..14 {
         let servers = Servers::new(2, |_, _| ok_reply("0123456789"));
         let cut = move |n: usize| match (n, place) {
-            (0, 0..7) => {
-                Ways { there: Way { end: Some((place * 30, End::Cut)), ..Way::default() }, ..Ways::default() }
-            }
-            (0, _) => back(Way { end: Some(((place - 7) * 7, End::Cut)), ..Way::default() }),
-            _ => Ways::default(),
+            (0, 0..7) => ConnectionFaults {
+                to_server: DirectionFaults {
+                    end: Some((place * 30, LinkEnd::Reset)),
+                    ..DirectionFaults::default()
+                },
+                ..ConnectionFaults::default()
+            },
+            (0, _) => back(DirectionFaults {
+                end: Some(((place - 7) * 7, LinkEnd::Reset)),
+                ..DirectionFaults::default()
+            }),
+            _ => ConnectionFaults::default(),
         };
         let first = Link::new(servers.addresses[0], 1, cut);
         let second = Link::new(servers.addresses[1], 2, cut);
@@ -72,7 +80,7 @@
 #[test]
 fn a_half_open_link_costs_no_safe_request() {
     let servers = [Servers::new(1, |_, _| ok_reply("fine")), Servers::new(1, |_, _| ok_reply("fine"))];
-    let links = servers.each_ref().map(|s| Link::plain(s.addresses[0]));
+    let links = servers.each_ref().map(|s| Link::transparent(s.addresses[0]));
     let node = site(&[links[0].address, links[1].address], "4s", "");
     let burst = |method: &str, path: &str| {
         let ask = |_| {
@@ -91,7 +99,7 @@
         assert!(burst("GET", "/").iter().all(|s| *s == 200));
     }
     assert!(servers.iter().all(|s| s.request_count() > 0), "both have connections now");
-    links[0].set(State::Silent);
+    links[0].set_state(LinkState::Blackholed);
     let (start, before) = (Instant::now(), servers[0].request_count());
     let seen = burst("GET", "/silent");
     assert!(seen.iter().all(|s| *s == 200), "{seen:?}");
@@ -99,13 +107,13 @@
     assert!(seen.iter().all(|s| matches!(s, 200 | 502..=504)), "{seen:?}");
     assert!(start.elapsed() < Duration::from_secs(15), "{:?}", start.elapsed());
     assert_eq!(servers[0].request_count(), before, "nothing reaches it");
-    links[0].set(State::Up);
+    links[0].set_state(LinkState::Up);
     let reached = || servers[0].requests.lock().unwrap().iter().any(|m| m.head.contains("/again"));
     wait_until("it is used again", || {
         burst("GET", "/again");
         reached()
     });
-    links[1].set(State::Cut);
+    links[1].set_state(LinkState::Reset);
     wait_until("the first serves alone", || burst("GET", "/alone").iter().all(|s| *s == 200));
 }
 
@@ -113,7 +121,9 @@
 #[test]
 fn a_lossy_link_spoils_its_own_only() {
     let servers = Servers::new(2, |_, _| ok_reply(&"0123456789".repeat(20)));
-    let lossy = Link::new(servers.addresses[0], 3, |_| back(Way { loss: 0.02, ..Way::default() }));
+    let lossy = Link::new(servers.addresses[0], 3, |_| {
+        back(DirectionFaults { loss_ratio: 0.02, ..DirectionFaults::default() })
+    });
     let node = site(&[lossy.address, servers.addresses[1]], "2s", "[limits]\nstall_timeout = \"1s\"");
     let mut good = 0;
     for _ in 0..12 {
@@ -137,13 +147,16 @@
         false => ok_reply("fine"),
     });
     let node = site(&servers.addresses, "5s", "[limits]\nheader_timeout = \"1s\"");
-    let crawl = Way { pace: Some(1), ..Way::default() };
+    let crawl = DirectionFaults { bytes_per_second: Some(1), ..DirectionFaults::default() };
     let to = node.address;
-    let slow_client = Link::new(to, 1, move |_| Ways { there: crawl, ..Ways::default() });
+    let slow_client =
+        Link::new(to, 1, move |_| ConnectionFaults { to_server: crawl, ..ConnectionFaults::default() });
     let mut head = TcpStream::connect(slow_client.address).unwrap();
     head.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
     head.write_all(b"GET / HTTP/1.1\r\nHost: a\r\n\r\n").unwrap();
-    let slow_reader = Link::new(to, 2, move |_| back(Way { pace: Some(100), ..Way::default() }));
+    let slow_reader = Link::new(to, 2, move |_| {
+        back(DirectionFaults { bytes_per_second: Some(100), ..DirectionFaults::default() })
+    });
     let mut reader = TcpStream::connect(slow_reader.address).unwrap();
     reader.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
     reader.write_all(b"GET /slow HTTP/1.1\r\nHost: a\r\n\r\n").unwrap();
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -13,10 +13,10 @@
 pub use clients::{get_request, half_close, post_request};
 pub use demo::{DemoServer, LoadGenerator, LoadStats, SeededRng};
 pub use discovery::{host_json, list_json, Discovery, ManualDiscovery, ReceivedCall};
-pub use link::{End, Link, State, Way, Ways};
+pub use link::{ConnectionFaults, DirectionFaults, Link, LinkEnd, LinkState};
 pub use message::{read_message, response, Message};
 pub use program::{platform_config, program_path, Node, NodeOptions};
-pub use rig::{Fleet, Member, Rig};
+pub use rig::{FleetView, Member, Rig};
 pub use servers::{
     ok_reply, refusing_address, reset_connection, spawn_raw_server, FullBacklogServer, Reply, Servers,
 };
--- a/crates/test-support/src/link.rs
+++ b/crates/test-support/src/link.rs
@@ -26,69 +26,69 @@
 
 /// What becomes of the bytes that go one way.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Way {
+pub struct DirectionFaults {
     /// Each byte comes out this much later.
     pub delay: Duration,
     /// And, drawn for each piece, up to this much later still. Bytes keep their order.
     pub jitter: Duration,
     /// Part of the bytes that is lost; which ones is drawn.
-    pub loss: f64,
+    pub loss_ratio: f64,
     /// Bytes a second.
-    pub pace: Option<u64>,
+    pub bytes_per_second: Option<u64>,
     /// What happens once this many bytes have gone in.
-    pub end: Option<(u64, End)>,
+    pub end: Option<(u64, LinkEnd)>,
 }
 
 /// How a link ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum LinkEnd {
     /// Both peers see an orderly end.
     Close,
     /// Both peers see a reset.
-    Cut,
+    Reset,
     /// Nothing passes any more either way, and nobody is told.
-    Silence,
+    Blackhole,
 }
 
 /// What one connection is in for.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Ways {
+pub struct ConnectionFaults {
     /// From the one that connects.
-    pub there: Way,
+    pub to_server: DirectionFaults,
     /// To the one that connects.
-    pub back: Way,
+    pub to_client: DirectionFaults,
 }
 
 /// What holds for all of a link's connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
+pub enum LinkState {
     /// Each goes its scripted ways.
     Up,
     /// Nothing passes, until it is up again.
-    Silent,
+    Blackholed,
     /// Those that are there are reset, and so is each new one.
-    Cut,
+    Reset,
 }
 
 /// The bytes of one way, apart from any socket.
 struct Passage {
-    way: Way,
+    way: DirectionFaults,
     taken: u64,
     due: Duration,
     draw: Pcg64,
 }
 
 impl Passage {
-    fn new(way: Way, seed: u64) -> Self {
+    fn new(way: DirectionFaults, seed: u64) -> Self {
         Passage { way, taken: 0, due: Duration::ZERO, draw: Pcg64::seed_from_u64(seed) }
     }
 
     fn lost(&mut self) -> bool {
-        (self.draw.next_u64() as f64) < self.way.loss * u64::MAX as f64
+        (self.draw.next_u64() as f64) < self.way.loss_ratio * u64::MAX as f64
     }
 
     /// What comes out of these bytes, which went in at this time, and when; and whether the way ends behind them.
-    fn take(&mut self, at: Duration, bytes: &[u8]) -> (Vec<(Duration, Vec<u8>)>, Option<End>) {
+    fn take(&mut self, at: Duration, bytes: &[u8]) -> (Vec<(Duration, Vec<u8>)>, Option<LinkEnd>) {
         let (room, mut end) = match self.way.end {
             Some((limit, end)) => (limit.saturating_sub(self.taken), Some(end)),
             None => (u64::MAX, None),
@@ -103,14 +103,15 @@
             most => Duration::from_nanos(self.draw.next_u64() % most),
         };
         self.due = self.due.max(at + self.way.delay + jitter);
-        let piece = self.way.pace.map_or(bytes.len(), |pace| pace.div_ceil(PIECES) as usize).max(1);
+        let piece =
+            self.way.bytes_per_second.map_or(bytes.len(), |pace| pace.div_ceil(PIECES) as usize).max(1);
         let mut out = Vec::new();
         for part in bytes.chunks(piece) {
-            if let Some(pace) = self.way.pace {
+            if let Some(pace) = self.way.bytes_per_second {
                 self.due += Duration::from_secs_f64(part.len() as f64 / pace.max(1) as f64);
             }
             let mut kept = part.to_vec();
-            if self.way.loss > 0.0 {
+            if self.way.loss_ratio > 0.0 {
                 kept.retain(|_| !self.lost());
             }
             if !kept.is_empty() {
@@ -127,16 +128,20 @@
     pub address: SocketAddr,
     /// Connections so far.
     pub connections: Arc<AtomicUsize>,
-    state: watch::Sender<State>,
+    state: watch::Sender<LinkState>,
 }
 
 impl Link {
     /// A link whose script gets the number of the connection, from 0. The seed settles what is drawn.
-    pub fn new(to: SocketAddr, seed: u64, script: impl Fn(usize) -> Ways + Send + 'static) -> Self {
+    pub fn new(
+        to: SocketAddr,
+        seed: u64,
+        script: impl Fn(usize) -> ConnectionFaults + Send + 'static,
+    ) -> Self {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         listener.set_nonblocking(true).unwrap();
         let address = listener.local_addr().unwrap();
-        let (state, follow) = watch::channel(State::Up);
+        let (state, follow) = watch::channel(LinkState::Up);
         let connections = Arc::new(AtomicUsize::new(0));
         let count = connections.clone();
         thread::spawn(move || {
@@ -162,21 +167,21 @@
     }
 
     /// A link that passes all as it comes, for as long as it is up.
-    pub fn plain(to: SocketAddr) -> Self {
-        Link::new(to, 0, |_| Ways::default())
+    pub fn transparent(to: SocketAddr) -> Self {
+        Link::new(to, 0, |_| ConnectionFaults::default())
     }
 
     /// Changes what holds for all its connections.
-    pub fn set(&self, state: State) {
+    pub fn set_state(&self, state: LinkState) {
         self.state.send_replace(state);
     }
 }
 
-async fn gone(state: &mut watch::Receiver<State>) {
+async fn gone(state: &mut watch::Receiver<LinkState>) {
     while state.changed().await.is_ok() {}
 }
 
-async fn until(state: &mut watch::Receiver<State>, wanted: impl FnMut(&State) -> bool) {
+async fn until(state: &mut watch::Receiver<LinkState>, wanted: impl FnMut(&LinkState) -> bool) {
     if state.wait_for(wanted).await.is_err() {
         pending::<()>().await;
     }
@@ -189,43 +194,43 @@
 async fn connection(
     mut near: TcpStream,
     to: SocketAddr,
-    ways: Ways,
+    ways: ConnectionFaults,
     seed: u64,
-    mut state: watch::Receiver<State>,
+    mut state: watch::Receiver<LinkState>,
 ) {
     let Ok(mut far) = TcpStream::connect(to).await else { return reset(&near) };
     let _ = (near.set_nodelay(true), far.set_nodelay(true));
     let end = {
         let ((near_read, near_write), (far_read, far_write)) = (near.split(), far.split());
-        let there = carry(near_read, far_write, Passage::new(ways.there, seed), state.clone());
-        let back = carry(far_read, near_write, Passage::new(ways.back, !seed), state.clone());
+        let there = carry(near_read, far_write, Passage::new(ways.to_server, seed), state.clone());
+        let back = carry(far_read, near_write, Passage::new(ways.to_client, !seed), state.clone());
         tokio::select! {
             end = both(there, back) => end,
-            () = until(&mut state, |s| *s == State::Cut) => End::Cut,
+            () = until(&mut state, |s| *s == LinkState::Reset) => LinkEnd::Reset,
         }
     };
     match end {
-        End::Close => {}
-        End::Cut => {
+        LinkEnd::Close => {}
+        LinkEnd::Reset => {
             reset(&near);
             reset(&far);
         }
-        End::Silence => until(&mut state, |s| *s == State::Cut).await,
+        LinkEnd::Blackhole => until(&mut state, |s| *s == LinkState::Reset).await,
     }
 }
 
 /// Both ways to their orderly ends, or the first that ends in another manner.
 async fn both(
-    there: impl std::future::Future<Output = io::Result<Option<End>>>,
-    back: impl std::future::Future<Output = io::Result<Option<End>>>,
-) -> End {
-    let told = |end: io::Result<Option<End>>| match end {
+    there: impl std::future::Future<Output = io::Result<Option<LinkEnd>>>,
+    back: impl std::future::Future<Output = io::Result<Option<LinkEnd>>>,
+) -> LinkEnd {
+    let told = |end: io::Result<Option<LinkEnd>>| match end {
         Ok(None) => Ok(()),
         Ok(Some(end)) => Err(end),
-        Err(_) => Err(End::Cut),
+        Err(_) => Err(LinkEnd::Reset),
     };
     let ends = tokio::try_join!(async { told(there.await) }, async { told(back.await) });
-    ends.err().unwrap_or(End::Close)
+    ends.err().unwrap_or(LinkEnd::Close)
 }
 
 /// Carries the bytes of one way until its peer ends it (none) or its script does.
@@ -233,8 +238,8 @@
     mut from: ReadHalf<'_>,
     mut to: WriteHalf<'_>,
     mut passage: Passage,
-    mut state: watch::Receiver<State>,
-) -> io::Result<Option<End>> {
+    mut state: watch::Receiver<LinkState>,
+) -> io::Result<Option<LinkEnd>> {
     let start = Instant::now();
     let mut queue: VecDeque<(Duration, Vec<u8>)> = VecDeque::new();
     let (mut underway, mut over, mut end) = (0, false, None);
@@ -246,7 +251,7 @@
             }
             return Ok(end);
         }
-        until(&mut state, |s| *s == State::Up).await;
+        until(&mut state, |s| *s == LinkState::Up).await;
         let due = start + queue.front().map_or(Duration::ZERO, |piece| piece.0);
         tokio::select! {
             read = from.read(&mut buffer), if !over && underway < UNDERWAY => {
@@ -272,7 +277,7 @@
     use super::*;
     use std::io::{Read, Write};
 
-    fn out(way: Way, cuts: usize) -> Vec<u8> {
+    fn out(way: DirectionFaults, cuts: usize) -> Vec<u8> {
         let bytes: Vec<u8> = (0..=255).cycle().take(4096).collect();
         let mut passage = Passage::new(way, 7);
         bytes.chunks(cuts).flat_map(|part| passage.take(Duration::ZERO, part).0).flat_map(|p| p.1).collect()
@@ -281,23 +286,26 @@
     /// The same bytes are lost however they were cut into pieces.
     #[test]
     fn loss_is_drawn_by_byte() {
-        let lossy = Way { loss: 0.1, ..Way::default() };
+        let lossy = DirectionFaults { loss_ratio: 0.1, ..DirectionFaults::default() };
         let whole = out(lossy, 4096);
         assert!((3500..3800).contains(&whole.len()), "{}", whole.len());
         for cuts in [1, 7, 1000] {
             assert_eq!(out(lossy, cuts), whole);
         }
-        assert_eq!(out(Way::default(), 100).len(), 4096);
+        assert_eq!(out(DirectionFaults::default(), 100).len(), 4096);
     }
 
     #[test]
     fn bytes_come_late_in_order_and_at_their_pace() {
         let second = Duration::from_secs(1);
-        let mut slow = Passage::new(Way { delay: 2 * second, pace: Some(1), ..Way::default() }, 1);
+        let mut slow = Passage::new(
+            DirectionFaults { delay: 2 * second, bytes_per_second: Some(1), ..DirectionFaults::default() },
+            1,
+        );
         let (pieces, _) = slow.take(second, b"abc");
         let due: Vec<_> = pieces.iter().map(|p| (p.0.as_secs(), p.1[0])).collect();
         assert_eq!(due, [(4, b'a'), (5, b'b'), (6, b'c')]);
-        let way = Way { delay: second, jitter: second, ..Way::default() };
+        let way = DirectionFaults { delay: second, jitter: second, ..DirectionFaults::default() };
         let mut shaky = Passage::new(way, 1);
         let due: Vec<_> = (0..50).map(|k| shaky.take(Duration::from_millis(k * 10), b"x").0[0].0).collect();
         assert!(due.is_sorted() && due[0] >= second && due[49] <= Duration::from_millis(2490), "{due:?}");
@@ -306,10 +314,11 @@
 
     #[test]
     fn a_way_ends_behind_its_last_byte() {
-        let mut passage = Passage::new(Way { end: Some((5, End::Cut)), ..Way::default() }, 1);
+        let mut passage =
+            Passage::new(DirectionFaults { end: Some((5, LinkEnd::Reset)), ..DirectionFaults::default() }, 1);
         assert_eq!(passage.take(Duration::ZERO, b"abc"), (vec![(Duration::ZERO, b"abc".to_vec())], None));
         let (pieces, end) = passage.take(Duration::ZERO, b"defg");
-        assert_eq!((pieces[0].1.as_slice(), end), (&b"de"[..], Some(End::Cut)));
+        assert_eq!((pieces[0].1.as_slice(), end), (&b"de"[..], Some(LinkEnd::Reset)));
     }
 
     fn echo() -> SocketAddr {
@@ -331,10 +340,10 @@
 
     #[test]
     fn ends_are_seen_as_they_are() {
-        let ends = [End::Close, End::Cut];
-        let link = Link::new(echo(), 1, move |n| Ways {
-            back: Way { end: Some((2, ends[n])), ..Way::default() },
-            ..Ways::default()
+        let ends = [LinkEnd::Close, LinkEnd::Reset];
+        let link = Link::new(echo(), 1, move |n| ConnectionFaults {
+            to_client: DirectionFaults { end: Some((2, ends[n])), ..DirectionFaults::default() },
+            ..ConnectionFaults::default()
         });
         let mut closed = connect(&link);
         closed.write_all(b"abc").unwrap();
@@ -350,20 +359,20 @@
     /// What was sent into the silence comes out when it ends.
     #[test]
     fn silence_holds_and_a_cut_resets() {
-        let link = Link::plain(echo());
+        let link = Link::transparent(echo());
         let mut stream = connect(&link);
         let mut byte = [0];
         stream.write_all(b"a").unwrap();
         stream.read_exact(&mut byte).unwrap();
-        link.set(State::Silent);
+        link.set_state(LinkState::Blackholed);
         stream.write_all(b"b").unwrap();
         stream.set_read_timeout(Some(Duration::from_millis(50))).unwrap();
         assert!(stream.read(&mut byte).is_err(), "nothing passes");
-        link.set(State::Up);
+        link.set_state(LinkState::Up);
         stream.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
         stream.read_exact(&mut byte).unwrap();
         assert_eq!(byte, *b"b");
-        link.set(State::Cut);
+        link.set_state(LinkState::Reset);
         assert!(stream.read(&mut byte).is_err(), "a reset");
         let mut other = connect(&link);
         assert!(other.read(&mut byte).is_err(), "and for new ones");
--- a/crates/test-support/src/rig.rs
+++ b/crates/test-support/src/rig.rs
@@ -46,11 +46,11 @@
 
 /// What a node tells of its fleet, as far as tests look at it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Fleet {
+pub struct FleetView {
     /// The digest of its view.
-    pub view: String,
+    pub view_digest: String,
     /// Whether it says that it has settled.
-    pub settled: bool,
+    pub is_settled: bool,
     /// How many it counts as there.
     pub size: usize,
     /// Its number among them.
@@ -63,13 +63,13 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
     /// Its name.
-    pub node: String,
+    pub name: String,
     /// Its state.
     pub state: String,
     /// Its incarnation.
     pub incarnation: u64,
     /// Whether it is being emptied.
-    pub drains: bool,
+    pub is_draining: bool,
 }
 
 fn value<'j>(json: &'j str, key: &str) -> &'j str {
@@ -78,21 +78,21 @@
     rest[..end].trim_matches('"')
 }
 
-impl Fleet {
+impl FleetView {
     /// Asks a node; none where it does not answer, or is in no fleet.
-    pub fn of(node: &Node) -> Option<Self> {
+    pub fn fetch(node: &Node) -> Option<Self> {
         let answer = node.call_operator("GET", "/-/fleet").filter(|m| m.status() == 200)?;
         let json = String::from_utf8(answer.body).ok()?;
         let (head, members) = json.split_once("\"members\":[")?;
         let member = |json: &str| Member {
-            node: value(json, "node").to_owned(),
+            name: value(json, "node").to_owned(),
             state: value(json, "state").to_owned(),
             incarnation: value(json, "incarnation").parse().unwrap(),
-            drains: value(json, "drains") == "true",
+            is_draining: value(json, "drains") == "true",
         };
-        Some(Fleet {
-            view: value(head, "view").to_owned(),
-            settled: value(head, "settled") == "true",
+        Some(FleetView {
+            view_digest: value(head, "view").to_owned(),
+            is_settled: value(head, "settled") == "true",
             size: value(head, "size").parse().unwrap(),
             ordinal: value(head, "ordinal").parse().unwrap(),
             members: members.split('{').skip(1).map(member).collect(),
@@ -101,7 +101,7 @@
 
     /// One member.
     pub fn member(&self, name: &str) -> Option<&Member> {
-        self.members.iter().find(|member| member.node == name)
+        self.members.iter().find(|member| member.name == name)
     }
 }
 
@@ -136,17 +136,18 @@
     }
 
     /// Where the others reach a process.
-    pub fn address(&self, number: usize) -> SocketAddr {
+    pub fn relay_address(&self, number: usize) -> SocketAddr {
         self.shared.relays[number].local_addr().unwrap()
     }
 
     /// The file of a process, under a name.
-    pub fn file(&self, number: usize, name: &str) -> String {
-        let seeds: Vec<_> = self.seeds.iter().map(|seed| format!("\"{}\"", self.address(*seed))).collect();
+    pub fn config_text(&self, number: usize, name: &str) -> String {
+        let seeds: Vec<_> =
+            self.seeds.iter().map(|seed| format!("\"{}\"", self.relay_address(*seed))).collect();
         format!(
             "[operator]\nlisten = \"127.0.0.1:0\"\n[fleet]\nname = \"rig\"\nnode = \"{name}\"\nlisten = \"127.0.0.1:0\"\n\
              advertise = \"{}\"\nseeds = [{}]\n{}\n{}",
-            self.address(number),
+            self.relay_address(number),
             seeds.join(", "),
             self.times,
             (self.text)(number)
@@ -157,7 +158,7 @@
     pub fn start(&mut self, number: usize) {
         let (shared, name) = (self.shared.clone(), format!("n{number}"));
         shared.tell(format!("{name} is started"));
-        let node = Node::start_with_log_observer(&self.file(number, &name), move |line| {
+        let node = Node::start_with_log_observer(&self.config_text(number, &name), move |line| {
             if let Some((_, real)) = line.split_once("hears datagrams at ") {
                 shared.real.lock().unwrap()[number] = real.parse().ok();
             }
@@ -177,7 +178,7 @@
     }
 
     /// Does one thing at once. What it takes to leave or start is waited for; a stall ends by itself.
-    pub fn act(&mut self, act: &Action) {
+    pub fn apply(&mut self, act: &Action) {
         self.shared.tell(act.to_string());
         let count = self.nodes.len();
         if Script::apply_to_network(act, &mut self.shared.network.lock().unwrap(), count) {
@@ -213,27 +214,27 @@
     }
 
     /// Plays a script from now on, to its end.
-    pub fn play(&mut self, script: &Script) {
+    pub fn run_script(&mut self, script: &Script) {
         let start = Instant::now();
         for (time, act) in script.actions() {
             let due = start + Duration::from_millis(*time);
             thread::sleep(due.saturating_duration_since(Instant::now()));
-            self.act(act);
+            self.apply(act);
         }
         let end = start + Duration::from_millis(script.end());
         thread::sleep(end.saturating_duration_since(Instant::now()));
     }
 
     /// What each running process tells of its fleet.
-    pub fn views(&self) -> Vec<Option<Fleet>> {
-        self.nodes.iter().flatten().map(Fleet::of).collect()
+    pub fn views(&self) -> Vec<Option<FleetView>> {
+        self.nodes.iter().flatten().map(FleetView::fetch).collect()
     }
 
     /// Waits until all that run hold the same view, which is right; how long that took.
     ///
     /// # Panics
     /// With the timeline, where it takes longer than `within`.
-    pub fn agrees(&self, what: &str, within: Duration) -> Duration {
+    pub fn wait_until_agreed(&self, what: &str, within: Duration) -> Duration {
         self.waits(what, within, |_| true)
     }
 
@@ -241,20 +242,20 @@
     ///
     /// # Panics
     /// With the timeline, where it takes longer than `within`.
-    pub fn settles(&self, what: &str, within: Duration) -> Duration {
-        self.waits(what, within, |fleet| fleet.settled)
+    pub fn wait_until_settled(&self, what: &str, within: Duration) -> Duration {
+        self.waits(what, within, |fleet| fleet.is_settled)
     }
 
-    fn waits(&self, what: &str, within: Duration, holds: impl Fn(&Fleet) -> bool) -> Duration {
+    fn waits(&self, what: &str, within: Duration, holds: impl Fn(&FleetView) -> bool) -> Duration {
         let start = Instant::now();
         let running = self.nodes.iter().flatten().count();
         loop {
             let views = self.views();
-            let first = views.iter().flatten().next().map(|fleet| fleet.view.clone());
-            let right = |fleet: &Option<Fleet>| {
+            let first = views.iter().flatten().next().map(|fleet| fleet.view_digest.clone());
+            let right = |fleet: &Option<FleetView>| {
                 fleet
                     .as_ref()
-                    .is_some_and(|f| holds(f) && f.size == running && Some(&f.view) == first.as_ref())
+                    .is_some_and(|f| holds(f) && f.size == running && Some(&f.view_digest) == first.as_ref())
             };
             if views.iter().all(right) {
                 return start.elapsed();
@@ -277,7 +278,7 @@
     }
 
     /// Lines of the timeline that hold these words.
-    pub fn said(&self, words: &str) -> usize {
+    pub fn count_timeline_lines(&self, words: &str) -> usize {
         self.timeline().iter().filter(|line| line.contains(words)).count()
     }
 }
