--- a/crates/bench/benches/memory.rs
+++ b/crates/bench/benches/memory.rs
@@ -1,7 +1,7 @@
 //! The program's memory: while one long body passes each way, and while thousands of clients stand idle.
 //! `--bytes N` sets the length of the bodies (1 GB), `--clients N` the number of clients (5,000).
 
-use corkhollow_standin::{raw, read, response, Node};
+use corkhollow_test_support::{read_message, response, spawn_raw_server, Node};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::process::Command;
@@ -16,7 +16,7 @@
 
 /// Takes all of a body, or sends one of this length, by the method that it is asked with.
 fn server(long: u64) -> SocketAddr {
-    raw(move |mut stream| {
+    spawn_raw_server(move |mut stream| {
         let mut head = Vec::new();
         let mut byte = [0];
         while stream.read(&mut byte).is_ok_and(|n| n == 1) {
@@ -51,12 +51,12 @@
 
 fn ask(stream: &mut TcpStream) {
     stream.write_all(b"GET /short HTTP/1.1\r\nHost: bench.example.org\r\n\r\n").expect("it takes requests");
-    assert_eq!(read(stream).expect("an answer").status(), 200);
+    assert_eq!(read_message(stream).expect("an answer").status(), 200);
 }
 
 /// Passes one body each way; what memory grew by at most, in bytes, and how long it took, in seconds.
 fn pass(node: &Node, long: u64, up: bool) -> (u64, f64) {
-    let before = node.memory();
+    let before = node.resident_bytes();
     let (mut most, start) = (before, Instant::now());
     let mut client = node.connect();
     let mut chunk = vec![b'y'; CHUNK];
@@ -79,11 +79,11 @@
         }
         if done - looked > 4_000_000 {
             looked = done;
-            most = most.max(node.memory());
+            most = most.max(node.resident_bytes());
         }
     }
     if up {
-        let answer = read(&mut client).expect("an answer");
+        let answer = read_message(&mut client).expect("an answer");
         assert_eq!(answer.body, long.to_string().into_bytes(), "all of it came");
     }
     (most.saturating_sub(before), start.elapsed().as_secs_f64())
@@ -95,14 +95,14 @@
     let build = ["build", "--release", "--locked", "-p", "corkhollow"];
     assert!(Command::new(cargo).args(build).status().expect("cargo").success());
     let (long, clients) = (argument("--bytes", 1_000_000_000), argument("--clients", 5_000));
-    let node = Node::site(&format!(
+    let node = Node::start_with_operator_file(&format!(
         "[limits]\ndescriptors = {}\n[[listener]]\nname = \"web\"\naddress = \"127.0.0.1:0\"\n\
          [[pool]]\nname = \"one\"\nservers = [{{ address = \"{}\" }}]\n[[route]]\nname = \"all\"\npool = \"one\"\n",
         2 * clients + 2_000,
         server(long),
     ));
     ask(&mut node.connect());
-    println!("at the start: {:.1} MB", node.memory() as f64 / 1e6);
+    println!("at the start: {:.1} MB", node.resident_bytes() as f64 / 1e6);
     for (what, up) in [("from a server", false), ("to a server", true)] {
         let (more, seconds) = pass(&node, long, up);
         let rate = long as f64 / 1e6 / seconds;
@@ -112,13 +112,13 @@
             more as f64 / 1e6
         );
     }
-    let before = node.memory();
+    let before = node.resident_bytes();
     let mut open: Vec<_> = (0..clients).map(|_| node.connect()).collect();
     // The last one is answered: all before it have been taken.
     ask(open.last_mut().expect("a client"));
-    let silent = node.memory() - before;
+    let silent = node.resident_bytes() - before;
     open.iter_mut().for_each(ask);
-    let asked = node.memory() - before;
+    let asked = node.resident_bytes() - before;
     for (what, bytes) in [("that have said nothing", silent), ("idle behind an answer", asked)] {
         let each = bytes as f64 / clients as f64 / 1e3;
         println!("{clients} clients {what}: {:.1} MB more, {each:.1} kB each", bytes as f64 / 1e6);
--- a/crates/corkhollow/tests/terms.rs
+++ b/crates/corkhollow/tests/terms.rs
@@ -1,6 +1,6 @@
 //! Terms that are in force ahead of the bench's next edition, each forced over loopback sockets.
 
-use corkhollow_standin::*;
+use corkhollow_test_support::*;
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
 use std::sync::{Arc, Mutex};
@@ -12,7 +12,7 @@
 
 /// Lists are pushed, or asked for with long deadlines.
 fn pushed(discovery: SocketAddr) -> String {
-    config(discovery, &Options { sockets: 64, ..Options::default() })
+    platform_config(discovery, &NodeOptions { max_sockets: 64, ..NodeOptions::default() })
 }
 
 fn asked(discovery: SocketAddr) -> String {
@@ -52,22 +52,22 @@
 
 impl Met {
     /// What a call gets; those that stay open are kept.
-    fn answer(self, mut call: Call, open: &mut Vec<Call>) {
+    fn answer(self, mut call: ReceivedCall, open: &mut Vec<ReceivedCall>) {
         match self {
             Met::Refused | Met::Ended => drop(call),
             Met::Reset => call.reset(),
             Met::Silence => open.push(call),
-            Met::Status => call.raw(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"),
+            Met::Status => call.write_raw(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"),
             Met::HalfAHead => {
-                call.raw(b"HTTP/1.1 200 OK\r\nTransfer-Enc");
+                call.write_raw(b"HTTP/1.1 200 OK\r\nTransfer-Enc");
                 open.push(call);
             }
-            Met::Nonsense => call.watch("these are no hosts\n"),
+            Met::Nonsense => call.start_watch("these are no hosts\n"),
             Met::AnEmptyWatch => {
-                call.raw(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n");
+                call.write_raw(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n");
             }
             Met::HalfAList => {
-                call.watch("{\"seq\":2,\"whole\":true,\"ho");
+                call.start_watch("{\"seq\":2,\"whole\":true,\"ho");
                 open.push(call);
             }
         }
@@ -82,36 +82,39 @@
 
 impl Change {
     fn new() -> Self {
-        Change { old: Servers::new(1, |_, _| ok("old")), new: Servers::new(1, |_, _| ok("new")) }
+        Change { old: Servers::new(1, |_, _| ok_reply("old")), new: Servers::new(1, |_, _| ok_reply("new")) }
     }
 
     fn before(&self) -> String {
-        self.old.list(1) + "\n"
+        self.old.list_json(1) + "\n"
     }
 
     fn after(&self) -> String {
-        let hosts = [host("s-0", self.old.dials[0], "leaving"), host("s-1", self.new.dials[0], "active")];
-        list(2, true, &hosts) + "\n"
+        let hosts = [
+            host_json("s-0", self.old.addresses[0], "leaving"),
+            host_json("s-1", self.new.addresses[0], "active"),
+        ];
+        list_json(2, true, &hosts) + "\n"
     }
 
     /// Discovery is back: calls that come are answered, one of those that have come by now among them.
-    fn answers(&self, agent: &Agent, open: &mut Vec<Call>) {
-        let mut next = Some(agent.newest(open));
+    fn answers(&self, agent: &ManualDiscovery, open: &mut Vec<ReceivedCall>) {
+        let mut next = Some(agent.newest_call(open));
         while let Some(mut call) = next {
-            call.watch(&self.after());
+            call.start_watch(&self.after());
             open.push(call);
-            next = agent.call_within(Duration::from_millis(200));
+            next = agent.next_call_within(Duration::from_millis(200));
         }
     }
 
     /// Waits until the node goes by the change; nothing goes to the old server from then on.
     fn is_told(&self, node: &Node, back: Instant, what: &str) {
         let served = |name: &[u8]| node.post("/once/1", b"").is_some_and(|m| m.body == name);
-        until(what, || served(b"new"));
+        wait_until(what, || served(b"new"));
         assert!(back.elapsed() < TOLD, "{what}: told after {:?}", back.elapsed());
-        let seen = self.old.seen();
-        until(what, || served(b"new"));
-        assert_eq!(self.old.seen(), seen, "{what}");
+        let seen = self.old.request_count();
+        wait_until(what, || served(b"new"));
+        assert_eq!(self.old.request_count(), seen, "{what}");
     }
 }
 
@@ -120,20 +123,20 @@
 fn a_change_is_told_in_time_whatever_calls_met() {
     let play = |name: &str, configured: Configured, met: Met| {
         let what = format!("{name}, {met:?}");
-        let (change, mut agent) = (Change::new(), Agent::listen());
-        let node = Node::of(&configured(agent.address));
-        let mut watch = agent.call();
-        watch.watch(&change.before());
-        node.ready();
+        let (change, mut agent) = (Change::new(), ManualDiscovery::listen());
+        let node = Node::start_with_platform_file(&configured(agent.address));
+        let mut watch = agent.next_call();
+        watch.start_watch(&change.before());
+        node.wait_until_ready();
         drop(watch);
         let (address, down, mut open) = (agent.address, Instant::now(), Vec::new());
         let until_back = || Duration::from_millis(3500).saturating_sub(down.elapsed());
         if met == Met::Refused {
             agent.close();
             thread::sleep(until_back());
-            agent = Agent::listen_at(address);
+            agent = ManualDiscovery::listen_at(address);
         } else {
-            while let Some(call) = agent.call_within(until_back()) {
+            while let Some(call) = agent.next_call_within(until_back()) {
                 met.answer(call, &mut open);
             }
         }
@@ -155,16 +158,16 @@
 fn a_list_is_heard_while_idle_clients_hold_all_descriptors() {
     let play = |name: &str, configured: Configured, silent: bool| {
         let what = format!("{name}, {}", if silent { "silent" } else { "reset" });
-        let (change, agent) = (Change::new(), Agent::listen());
-        let node = Node::of(&configured(agent.address));
-        let mut watch = agent.call();
-        watch.watch(&change.before());
-        node.ready();
+        let (change, agent) = (Change::new(), ManualDiscovery::listen());
+        let node = Node::start_with_platform_file(&configured(agent.address));
+        let mut watch = agent.next_call();
+        watch.start_watch(&change.before());
+        node.wait_until_ready();
         drop(watch);
         let (down, mut open) = (Instant::now(), Vec::new());
         // Far more than the 64 descriptors that it may hold, and they go on coming.
         let mut idle: Vec<_> = (0..200).map(|_| node.connect()).collect();
-        while let Some(call) = agent.call_within(Duration::from_secs(3).saturating_sub(down.elapsed())) {
+        while let Some(call) = agent.next_call_within(Duration::from_secs(3).saturating_sub(down.elapsed())) {
             match silent {
                 true => open.push(call),
                 false => call.reset(),
@@ -198,40 +201,41 @@
         }
     };
     for closes in [true, false] {
-        let servers = Servers::new(2, |_, _| ok("fine"));
-        let agent = Agent::listen();
-        let node = Node::start(agent.address, &Options::default());
-        let mut watch = agent.call();
+        let servers = Servers::new(2, |_, _| ok_reply("fine"));
+        let agent = ManualDiscovery::listen();
+        let node = Node::start(agent.address, &NodeOptions::default());
+        let mut watch = agent.next_call();
         let mut client = node.connect();
-        client.write_all(&get("/safe/1", "")).unwrap();
-        until("the request is there", || node.figure("gw_outstanding") == Some(1.0));
+        client.write_all(&get_request("/safe/1", "")).unwrap();
+        wait_until("the request is there", || node.metric("gw_outstanding") == Some(1.0));
         leave(client, closes);
-        until("it is over", || node.figure("gw_outstanding") == Some(0.0));
-        watch.watch(&servers.list(1));
-        node.ready();
+        wait_until("it is over", || node.metric("gw_outstanding") == Some(0.0));
+        watch.start_watch(&servers.list_json(1));
+        node.wait_until_ready();
         // One that comes behind it is served, and it alone.
         assert_eq!(node.post("/once/2", b"").unwrap().body, b"fine");
-        assert_eq!(servers.seen(), 1, "closes: {closes}");
+        assert_eq!(servers.request_count(), 1, "closes: {closes}");
 
-        let servers = Servers::new(2, |_, _| Reply::Silence);
-        let discovery = Discovery::new(vec![servers.list(1)], true);
-        let text = config(discovery.address, &Options::default());
-        let node = Node::of(&text.replace("\"secondCopies\":false", "\"secondCopies\":true"));
-        node.ready();
+        let servers = Servers::new(2, |_, _| Reply::NoAnswer);
+        let discovery = Discovery::new(vec![servers.list_json(1)], true);
+        let text = platform_config(discovery.address, &NodeOptions::default());
+        let node =
+            Node::start_with_platform_file(&text.replace("\"secondCopies\":false", "\"secondCopies\":true"));
+        node.wait_until_ready();
         let ask = || {
             let mut client = node.connect();
-            client.write_all(&get("/safe/1", "")).unwrap();
+            client.write_all(&get_request("/safe/1", "")).unwrap();
             client
         };
         let (client, begun) = (ask(), Instant::now());
-        until("the first copy is there", || servers.seen() == 1);
+        wait_until("the first copy is there", || servers.request_count() == 1);
         leave(client, closes);
         // A second copy goes out half an aim after the first, which is 500 ms: that of another client tells when.
         let other = ask();
-        until("the other's first copy is there", || servers.seen() >= 2);
-        until("the other's second copy is there", || servers.seen() >= 3);
+        wait_until("the other's first copy is there", || servers.request_count() >= 2);
+        wait_until("the other's second copy is there", || servers.request_count() >= 3);
         assert!(begun.elapsed() > Duration::from_millis(450), "copies come at once");
-        assert_eq!(servers.seen(), 3, "closes: {closes}");
+        assert_eq!(servers.request_count(), 3, "closes: {closes}");
         drop(other);
     }
 }
@@ -258,7 +262,7 @@
         move || {
             let _core = core.lock().unwrap();
             thread::sleep(WORK);
-            ok("fine")
+            ok_reply("fine")
         }
     };
     let warm: Vec<_> = (0..WARM)
@@ -267,12 +271,16 @@
             Servers::new(1, move |_, _| work())
         })
         .collect();
-    let hosts: Vec<_> =
-        warm.iter().enumerate().map(|(k, s)| host(&format!("w-{k}"), s.dials[0], "active")).collect();
-    let agents: Vec<_> = (0..PROCESSES).map(|_| Discovery::new(vec![list(1, true, &hosts)], true)).collect();
+    let hosts: Vec<_> = warm
+        .iter()
+        .enumerate()
+        .map(|(k, s)| host_json(&format!("w-{k}"), s.addresses[0], "active"))
+        .collect();
+    let agents: Vec<_> =
+        (0..PROCESSES).map(|_| Discovery::new(vec![list_json(1, true, &hosts)], true)).collect();
     let node = |(ordinal, agent): (usize, &Discovery)| {
-        let text = config(agent.address, &Options::default());
-        Node::of(
+        let text = platform_config(agent.address, &NodeOptions::default());
+        Node::start_with_platform_file(
             &text
                 .replace(
                     "\"groupSize\":1,\"ordinal\":0",
@@ -282,7 +290,7 @@
         )
     };
     let nodes: Vec<_> = agents.iter().enumerate().map(node).collect();
-    nodes.iter().for_each(Node::ready);
+    nodes.iter().for_each(Node::wait_until_ready);
     let begun = Instant::now();
     let came: Vec<Arc<Mutex<Vec<Instant>>>> = (0..COLD).map(|_| Arc::default()).collect();
     let new: Vec<_> = came
@@ -304,8 +312,8 @@
             if begun.elapsed() > over {
                 return served;
             }
-            client.write_all(&get("/safe/1", "")).unwrap();
-            served += usize::from(read(&mut client).expect("an answer").status() == 200);
+            client.write_all(&get_request("/safe/1", "")).unwrap();
+            served += usize::from(read_message(&mut client).expect("an answer").status() == 200);
         }
         served
     };
@@ -315,11 +323,11 @@
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis();
         let born = format!("\"born_ms\":{}", born_ms(now));
         let host = |(k, s): (usize, &Servers)| {
-            host(&format!("c-{k}"), s.dials[0], "active").replace("\"born_ms\":0", &born)
+            host_json(&format!("c-{k}"), s.addresses[0], "active").replace("\"born_ms\":0", &born)
         };
         let hosts: Vec<_> = new.iter().enumerate().map(host).collect();
         let told = Instant::now();
-        agents.iter().for_each(|agent| agent.say(list(2, false, &hosts)));
+        agents.iter().for_each(|agent| agent.push_line(list_json(2, false, &hosts)));
         let served: usize = clients.into_iter().map(|client| client.join().unwrap()).sum();
         let asked = f64::from(PROCESSES) * RATE * over.as_secs_f64();
         let since = |came: &Arc<Mutex<Vec<Instant>>>| {
@@ -373,17 +381,18 @@
 /// clients again within 10 s.
 #[test]
 fn restarted_processes_are_soon_ready() {
-    let servers = Servers::new(4, |_, _| Reply::Silence);
+    let servers = Servers::new(4, |_, _| Reply::NoAnswer);
     for (name, configured) in BOTH {
-        let discovery = Discovery::new(vec![servers.list(1)], true);
-        let mut nodes: Vec<_> = (0..10).map(|_| Node::of(&configured(discovery.address))).collect();
-        nodes.iter().for_each(Node::ready);
+        let discovery = Discovery::new(vec![servers.list_json(1)], true);
+        let mut nodes: Vec<_> =
+            (0..10).map(|_| Node::start_with_platform_file(&configured(discovery.address))).collect();
+        nodes.iter().for_each(Node::wait_until_ready);
         // Requests that hang, and idle clients beside them, far beyond the 64 descriptors of each.
         let hold = |node: &Node| -> Vec<TcpStream> {
             let client = |k: usize| {
                 let mut client = node.connect();
                 if k < 20 {
-                    let _ = client.write_all(&get("/safe/1", ""));
+                    let _ = client.write_all(&get_request("/safe/1", ""));
                 }
                 client
             };
@@ -397,12 +406,12 @@
             }
             for at in wave.clone() {
                 held[at].clear();
-                assert!(nodes[at].exit().success());
+                assert!(nodes[at].wait_for_exit().success());
             }
             for at in wave {
                 let begun = Instant::now();
-                nodes[at] = Node::of(&configured(discovery.address));
-                nodes[at].ready();
+                nodes[at] = Node::start_with_platform_file(&configured(discovery.address));
+                nodes[at].wait_until_ready();
                 took.push(begun.elapsed());
                 held[at] = hold(&nodes[at]);
             }
