--- a/crates/bench/benches/fleet.rs
+++ b/crates/bench/benches/fleet.rs
@@ -23,7 +23,7 @@
 
 /// Bytes that a node has sent.
 fn sent(node: &Node) -> f64 {
-    let page = node.call("GET", "/-/metrics").expect("it answers").body;
+    let page = node.call_operator("GET", "/-/metrics").expect("it answers").body;
     let page = String::from_utf8(page).expect("text");
     let counts = page.lines().filter(|l| l.starts_with("gw_fleet_bytes{") && l.contains("way=\"out\""));
     counts.filter_map(|line| line.rsplit(' ').next()?.parse::<f64>().ok()).sum()
@@ -31,13 +31,13 @@
 
 fn sums(rig: &Rig) -> (f64, f64) {
     let nodes = || rig.nodes.iter().flatten();
-    (nodes().map(sent).sum(), nodes().map(|node| processor(node.id())).sum())
+    (nodes().map(sent).sum(), nodes().map(|node| processor(node.process_id())).sum())
 }
 
 /// How long it takes until all views are equal and right, and until all nodes say that they have settled.
 fn both(rig: &Rig, what: &str) -> String {
-    let agreed = rig.agrees(what, WITHIN).as_secs_f64();
-    format!("{agreed:.2}, {:.2}", agreed + rig.settles(what, WITHIN).as_secs_f64())
+    let agreed = rig.wait_until_agreed(what, WITHIN).as_secs_f64();
+    format!("{agreed:.2}, {:.2}", agreed + rig.wait_until_settled(what, WITHIN).as_secs_f64())
 }
 
 /// Processes and servers of the second part, and clients at each process.
@@ -50,12 +50,12 @@
 fn cold(in_a_fleet: bool) -> (Vec<usize>, Vec<usize>) {
     let work = |_: usize, _: &Message| {
         std::thread::sleep(Duration::from_millis(4));
-        ok("fine")
+        ok_reply("fine")
     };
     let warm: Vec<_> = (0..SERVERS).map(|_| Servers::new(1, work)).collect();
     let cold = Servers::new(1, work);
-    let dials: Vec<_> = warm.iter().map(|server| server.dials[0]).collect();
-    let folder = Folder::new(if in_a_fleet { "cold-fleet" } else { "cold-alone" });
+    let dials: Vec<_> = warm.iter().map(|server| server.addresses[0]).collect();
+    let folder = TempFolder::new(if in_a_fleet { "cold-fleet" } else { "cold-alone" });
     let list = folder.0.join("servers.toml");
     let write = |dials: &[SocketAddr]| {
         let servers: String = dials.iter().map(|d| format!("[[servers]]\naddress = \"{d}\"\n")).collect();
@@ -72,9 +72,9 @@
     let mut alone = Vec::new();
     if in_a_fleet {
         rig.start_all(0..NODES);
-        rig.agrees("joined", WITHIN);
+        rig.wait_until_agreed("joined", WITHIN);
     } else {
-        alone.extend((0..NODES).map(|_| Node::site(&site)));
+        alone.extend((0..NODES).map(|_| Node::start_with_operator_file(&site)));
     }
     let over = Arc::new(AtomicBool::new(false));
     let addresses = rig.nodes.iter().flatten().chain(&alone).map(|node| node.address);
@@ -86,8 +86,8 @@
                 while !over.load(SeqCst) {
                     let stream = std::net::TcpStream::connect(address).ok();
                     let _ = stream.and_then(|mut stream| {
-                        std::io::Write::write_all(&mut stream, &get("/", "")).ok()?;
-                        read(&mut stream)
+                        std::io::Write::write_all(&mut stream, &get_request("/", "")).ok()?;
+                        read_message(&mut stream)
                     });
                     std::thread::sleep(Duration::from_millis(5));
                 }
@@ -95,18 +95,19 @@
         })
         .collect();
     std::thread::sleep(Duration::from_secs(6));
-    write(&[&dials[..], &cold.dials[..]].concat());
-    until("the cold server is known", || cold.seen() > 0);
-    let start: Vec<_> = warm.iter().map(Servers::seen).collect();
-    let mut before = cold.seen();
+    write(&[&dials[..], &cold.addresses[..]].concat());
+    wait_until("the cold server is known", || cold.request_count() > 0);
+    let start: Vec<_> = warm.iter().map(Servers::request_count).collect();
+    let mut before = cold.request_count();
     let mut halves = Vec::new();
     for _ in 0..10 {
         std::thread::sleep(Duration::from_millis(500));
-        let now = cold.seen();
+        let now = cold.request_count();
         halves.push(now - before);
         before = now;
     }
-    let mut others: Vec<_> = warm.iter().zip(start).map(|(server, before)| server.seen() - before).collect();
+    let mut others: Vec<_> =
+        warm.iter().zip(start).map(|(server, before)| server.request_count() - before).collect();
     others.sort_unstable();
     over.store(true, SeqCst);
     clients.into_iter().for_each(|client| drop(client.join()));
@@ -122,13 +123,13 @@
         Servers::new(1, move |_, _| {
             let _turn = turn.lock();
             std::thread::sleep(Duration::from_millis(4));
-            ok("fine")
+            ok_reply("fine")
         })
     };
     let servers: Vec<_> = (0..SERVERS).map(|_| server()).collect();
     let dials: String = servers
         .iter()
-        .flat_map(|server| &server.dials)
+        .flat_map(|server| &server.addresses)
         .map(|d| format!("{{ address = \"{d}\" }}, "))
         .collect();
     let site = format!(
@@ -142,9 +143,9 @@
     let mut alone = Vec::new();
     if in_a_fleet {
         rig.start_all(0..NODES);
-        rig.agrees("joined", WITHIN);
+        rig.wait_until_agreed("joined", WITHIN);
     } else {
-        alone.extend((0..NODES).map(|_| Node::site(&site)));
+        alone.extend((0..NODES).map(|_| Node::start_with_operator_file(&site)));
     }
     let served: Arc<[AtomicUsize; 2]> = Arc::default();
     let over = Arc::new(AtomicBool::new(false));
@@ -159,8 +160,8 @@
                 while !over.load(SeqCst) {
                     let stream = std::net::TcpStream::connect(address).ok();
                     let answer = stream.and_then(|mut stream| {
-                        std::io::Write::write_all(&mut stream, &get("/", header)).ok()?;
-                        read(&mut stream)
+                        std::io::Write::write_all(&mut stream, &get_request("/", header)).ok()?;
+                        read_message(&mut stream)
                     });
                     match answer.map(|m| m.status()) {
                         Some(200) => drop(served[tenant].fetch_add(1, SeqCst)),
@@ -178,7 +179,7 @@
         let start = Instant::now();
         rig.start(NODES);
         let took = start.elapsed().as_millis();
-        (Fleet::of(rig.node(NODES)).map_or(0, |fleet| fleet.size), took)
+        (FleetView::fetch(rig.node(NODES)).map_or(0, |fleet| fleet.size), took)
     });
     over.store(true, SeqCst);
     clients.into_iter().for_each(|client| drop(client.join()));
@@ -195,8 +196,8 @@
     println!("| processes | joined: equal, said, s | crash | healed | bytes a node and second | processor, ms a node and second |");
     println!("| --- | --- | --- | --- | --- | --- |");
     for count in counts {
-        let servers = Servers::new(2, |_, _| ok("fine"));
-        let dials: String = servers.dials.iter().map(|d| format!("{{ address = \"{d}\" }}, ")).collect();
+        let servers = Servers::new(2, |_, _| ok_reply("fine"));
+        let dials: String = servers.addresses.iter().map(|d| format!("{{ address = \"{d}\" }}, ")).collect();
         let site = format!(
             "[[listener]]\nname = \"web\"\naddress = \"127.0.0.1:0\"\n[[pool]]\nname = \"boxes\"\n\
              servers = [{dials}]\n[[route]]\nname = \"all\"\npool = \"boxes\"\n"
@@ -204,11 +205,11 @@
         let mut rig = Rig::new(count, 1, &[0], "", move |_| site.clone());
         rig.start_all(0..count);
         let joined = both(&rig, "joined");
-        rig.act(&Action::Kill(count - 1));
+        rig.apply(&Action::Kill(count - 1));
         let crashed = both(&rig, "crashed");
-        rig.act(&Action::Partition(vec![(0..count / 2).collect(), (count / 2..count - 1).collect()]));
+        rig.apply(&Action::Partition(vec![(0..count / 2).collect(), (count / 2..count - 1).collect()]));
         std::thread::sleep(Duration::from_secs(15));
-        rig.act(&Action::Heal);
+        rig.apply(&Action::Heal);
         let healed = both(&rig, "healed");
         let (before, start) = (sums(&rig), Instant::now());
         std::thread::sleep(Duration::from_secs(10));
--- a/crates/laboratory/src/membership.rs
+++ b/crates/laboratory/src/membership.rs
@@ -389,7 +389,7 @@
             self.sent.0 += 1;
             self.sent.1 += bytes.len() as u64;
             let to = node_index(to);
-            for time in self.network.delivery_times(node, to) {
+            for time in self.network.delivery_delays(node, to) {
                 // Delivery takes at least 0.1 ms.
                 self.schedule(self.now + time * MS + MS / 10, ScheduledEvent::Arrival(to, bytes.clone()));
             }
