--- a/crates/bench/benches/scale/load.rs
+++ b/crates/bench/benches/scale/load.rs
@@ -1,4 +1,4 @@
-//! Clients that ask without a pause to speak of, and what they waited for.
+//! Clients that send requests one after another and record how long the answers take.
 
 use corkhollow_test_support::read_message;
 use hdrhistogram::Histogram;
@@ -9,12 +9,12 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// A client waits no longer than this.
-const PATIENCE: Duration = Duration::from_secs(300);
-/// Between two requests of a client that watches.
-const PAUSE: Duration = Duration::from_millis(1);
+/// How long a client waits for an answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(300);
+/// Pause between two requests of a [`LatencyMonitor`].
+const MONITOR_PAUSE: Duration = Duration::from_millis(1);
 
-/// One client on one connection.
+/// A client with one connection, which repeats the same request.
 pub struct Client {
     stream: TcpStream,
     request: Vec<u8>,
@@ -24,83 +24,88 @@
     pub fn new(address: SocketAddr, host: &str, path: &str) -> std::io::Result<Self> {
         let stream = TcpStream::connect(address)?;
         stream.set_nodelay(true)?;
-        stream.set_read_timeout(Some(PATIENCE))?;
+        stream.set_read_timeout(Some(ANSWER_TIMEOUT))?;
         Ok(Client { stream, request: format!("GET {path} HTTP/1.1\r\nHost: {host}\r\n\r\n").into_bytes() })
     }
 
-    /// Asks once; how long the answer took, and its status.
-    pub fn ask(&mut self) -> (Duration, u16) {
-        let begun = Instant::now();
+    /// Sends the request and returns the time until the answer and its status, or 0 if there was no answer.
+    pub fn send(&mut self) -> (Duration, u16) {
+        let start = Instant::now();
         let sent = self.stream.write_all(&self.request).is_ok();
         let status = if sent { read_message(&mut self.stream).map_or(0, |m| m.status()) } else { 0 };
-        (begun.elapsed(), status)
+        (start.elapsed(), status)
     }
 }
 
-/// How long so many requests in a row took, in microseconds. All have to be answered with 200.
-pub fn timed(mut client: Client, requests: usize) -> Histogram<u64> {
+/// Measures the answer times of this many requests, in microseconds. All must be answered with 200.
+pub fn measure_answer_times(mut client: Client, requests: usize) -> Histogram<u64> {
     let mut times = Histogram::new(3).expect("three digits");
     for _ in 0..100 {
-        client.ask();
+        client.send();
     }
     for _ in 0..requests {
-        let (took, status) = client.ask();
+        let (elapsed, status) = client.send();
         assert_eq!(status, 200, "{}", String::from_utf8_lossy(&client.request));
-        times.saturating_record(took.as_micros() as u64);
+        times.saturating_record(elapsed.as_micros() as u64);
     }
     times
 }
 
-/// A client that asks again and again and remembers when it asked, and for how long it waited.
-pub struct Watch {
-    over: Arc<AtomicBool>,
-    waits: Arc<Mutex<Vec<Wait>>>,
+/// A client that sends requests until it is dropped, and records when it sent each and how long the answer took.
+pub struct LatencyMonitor {
+    stop: Arc<AtomicBool>,
+    records: Arc<Mutex<Vec<RequestRecord>>>,
     client: Option<JoinHandle<()>>,
 }
 
-/// When it asked, and how long it took to get which status; none where it still waits.
-type Wait = (Instant, Option<(Duration, u16)>);
+/// When a request was sent, and the time and status of its answer; none while it is open.
+type RequestRecord = (Instant, Option<(Duration, u16)>);
 
-impl Watch {
+impl LatencyMonitor {
     pub fn start(mut client: Client) -> Self {
-        let (over, waits) = (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::new(Vec::new())));
-        let (ends, all) = (over.clone(), waits.clone());
-        let ask = move || {
-            while !ends.load(SeqCst) {
-                let wait = |answer| {
-                    all.lock().map(|mut all: std::sync::MutexGuard<'_, Vec<Wait>>| match answer {
-                        None => all.push((Instant::now(), None)),
-                        answer => all.last_mut().into_iter().for_each(|last| last.1 = answer),
+        let (stop, records) = (Arc::new(AtomicBool::new(false)), Arc::new(Mutex::new(Vec::new())));
+        let (is_stopped, shared_records) = (stop.clone(), records.clone());
+        let send = move || {
+            while !is_stopped.load(SeqCst) {
+                let record = |answer| {
+                    shared_records.lock().map(|mut records: std::sync::MutexGuard<'_, Vec<RequestRecord>>| {
+                        match answer {
+                            None => records.push((Instant::now(), None)),
+                            answer => records.last_mut().into_iter().for_each(|last| last.1 = answer),
+                        }
                     })
                 };
-                let _ = wait(None);
-                let answer = client.ask();
-                let _ = wait(Some(answer));
-                std::thread::sleep(PAUSE);
+                let _ = record(None);
+                let answer = client.send();
+                let _ = record(Some(answer));
+                std::thread::sleep(MONITOR_PAUSE);
             }
         };
-        Watch { over, waits, client: Some(std::thread::spawn(ask)) }
+        LatencyMonitor { stop, records, client: Some(std::thread::spawn(send)) }
     }
 
-    /// The longest wait of those that fell between two moments, in seconds, and how many of these were not answered with 200, or
-    /// not yet.
-    pub fn longest(&self, from: Instant, to: Instant) -> (f64, usize) {
-        let waits = self.waits.lock().map(|w| w.clone()).unwrap_or_default();
-        let over = |(at, answer): &Wait| at.checked_add(answer.map_or(Duration::MAX, |(took, _)| took));
-        let within = || waits.iter().filter(|w| w.0 <= to && over(w).is_none_or(|over| over >= from));
-        let took = |(at, answer): &Wait| {
+    /// The longest answer time, in seconds, of the requests that were open between two moments, and how many of them were not
+    /// answered with 200.
+    pub fn longest_wait(&self, from: Instant, to: Instant) -> (f64, usize) {
+        let records = self.records.lock().map(|w| w.clone()).unwrap_or_default();
+        let answered_at = |(at, answer): &RequestRecord| {
+            at.checked_add(answer.map_or(Duration::MAX, |(elapsed, _)| elapsed))
+        };
+        let overlapping =
+            || records.iter().filter(|w| w.0 <= to && answered_at(w).is_none_or(|end| end >= from));
+        let elapsed = |(at, answer): &RequestRecord| {
             answer.map_or_else(|| to.saturating_duration_since(*at), |a| a.0).as_secs_f64()
         };
-        let longest = within().map(took).fold(0.0, f64::max);
-        // One is always under way.
-        let unserved = |w: &&Wait| w.1.map_or(took(w) > 1.0, |(_, status)| status != 200);
-        (longest, within().filter(unserved).count())
+        let longest_wait = overlapping().map(elapsed).fold(0.0, f64::max);
+        // The request that is still open counts only after a second, as one always is.
+        let unserved = |w: &&RequestRecord| w.1.map_or(elapsed(w) > 1.0, |(_, status)| status != 200);
+        (longest_wait, overlapping().filter(unserved).count())
     }
 }
 
-impl Drop for Watch {
+impl Drop for LatencyMonitor {
     fn drop(&mut self) {
-        self.over.store(true, SeqCst);
+        self.stop.store(true, SeqCst);
         let _ = self.client.take().map(JoinHandle::join);
     }
 }
--- a/crates/bench/benches/scale/members.rs
+++ b/crates/bench/benches/scale/members.rs
@@ -1,33 +1,34 @@
-//! The fleet's own view at full size: some real processes among hollow nodes, which run the same code without traffic.
+//! Measures membership at full size: some gateway processes among nodes that run only the same membership code.
 
-use crate::load::{Client, Watch};
-use crate::node::Figures;
+use crate::load::{Client, LatencyMonitor};
+use crate::node::Measurements;
 use crate::process;
 use corkhollow_fleet::{Config, Extensions, Timing};
 use corkhollow_proxy::fleet::Fleet;
-use corkhollow_test_support::{FleetView as Told, Node};
+use corkhollow_test_support::{FleetView, Node};
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
 use std::time::{Duration, Instant};
 
 const MS: u64 = 1_000_000;
-const LONGEST: Duration = Duration::from_secs(120);
+/// How long to wait until all processes count the expected number of nodes.
+const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(120);
 
 fn address(number: u32) -> SocketAddr {
     SocketAddr::from((Ipv4Addr::new(127, 96, (number >> 7) as u8, (number & 0x7f) as u8 + 1), 0))
 }
 
-/// A node without traffic; it leaves without a word when it is dropped, as if its machine had gone.
-struct Member {
+/// A node without traffic. When dropped it stops without announcing that it leaves, like a crashed machine.
+struct MembershipNode {
     fleet: Fleet,
 }
 
-impl Drop for Member {
+impl Drop for MembershipNode {
     fn drop(&mut self) {
         self.fleet.hand_over();
     }
 }
 
-fn member(number: u32, seeds: &[SocketAddr]) -> std::io::Result<(Member, SocketAddr)> {
+fn start_member(number: u32, seeds: &[SocketAddr]) -> std::io::Result<(MembershipNode, SocketAddr)> {
     let socket = UdpSocket::bind(address(number))?;
     let address = socket.local_addr()?;
     let config = Config {
@@ -42,24 +43,24 @@
         extensions: Extensions::default(),
         initial_incarnation: 1,
     };
-    Ok((Member { fleet: Fleet::start(config, socket, u64::from(number), None)? }, address))
+    Ok((MembershipNode { fleet: Fleet::start(config, socket, u64::from(number), None)? }, address))
 }
 
-/// How long it takes until all real processes count so many.
-fn counted(nodes: &[Node], size: usize) -> f64 {
-    let begun = Instant::now();
-    let all = || nodes.iter().all(|node| Told::fetch(node).is_some_and(|fleet| fleet.size == size));
+/// Waits until all processes count `size` nodes and returns the time in seconds; infinity after the timeout.
+fn wait_until_counted(nodes: &[Node], size: usize) -> f64 {
+    let start = Instant::now();
+    let all = || nodes.iter().all(|node| FleetView::fetch(node).is_some_and(|fleet| fleet.size == size));
     while !all() {
-        if begun.elapsed() > LONGEST {
+        if start.elapsed() > CONVERGENCE_TIMEOUT {
             return f64::INFINITY;
         }
         std::thread::sleep(Duration::from_millis(20));
     }
-    begun.elapsed().as_secs_f64()
+    start.elapsed().as_secs_f64()
 }
 
-/// Bytes that the processes have sent to other nodes.
-fn sent(nodes: &[Node]) -> f64 {
+/// Bytes that all processes have sent to other nodes.
+fn bytes_sent(nodes: &[Node]) -> f64 {
     let of = |node: &Node| {
         let page = node.call_operator("GET", "/-/metrics").map(|m| m.body).unwrap_or_default();
         let page = String::from_utf8_lossy(&page).into_owned();
@@ -69,18 +70,18 @@
     nodes.iter().map(of).sum()
 }
 
-/// Plays so many nodes, of which so many are processes. `text` is the rest of each process's file; `host` is one whose requests it
-/// serves.
-pub fn play(
+/// Measures `size` nodes, of which `processes` are gateway processes. `text` is the rest of each process's file; `host` is a host
+/// that it serves.
+pub fn measure(
     size: usize,
     processes: usize,
     rest: Duration,
     text: &str,
     host: &str,
-) -> std::io::Result<Figures> {
-    let mut figures = Figures::new();
-    let mut put = |name: &str, figure: f64| {
-        figures.insert(name.to_owned(), figure);
+) -> std::io::Result<Measurements> {
+    let mut measurements = Measurements::new();
+    let mut record = |name: &str, value: f64| {
+        measurements.insert(name.to_owned(), value);
     };
     let seeds =
         [UdpSocket::bind("127.96.127.1:0")?.local_addr()?, UdpSocket::bind("127.96.127.2:0")?.local_addr()?];
@@ -91,66 +92,67 @@
             seeds[0], seeds[1]
         )
     };
-    let begun = Instant::now();
+    let start = Instant::now();
     let nodes: Vec<_> = (0..processes).map(|k| Node::start_with_operator_file(&file(k))).collect();
     let mut members = Vec::new();
     for number in 0..(size - processes) as u32 {
-        members.push(member(number, &seeds)?.0);
+        members.push(start_member(number, &seeds)?.0);
     }
-    counted(&nodes, size);
-    put("all have joined after, s", begun.elapsed().as_secs_f64());
+    wait_until_counted(&nodes, size);
+    record("all have joined after, s", start.elapsed().as_secs_f64());
     std::thread::sleep(Duration::from_secs(5));
 
     let count = nodes.len() as f64;
-    let watch = Watch::start(Client::new(nodes[0].address, host, "/for-the-rest")?);
-    let now = || {
-        let thread: f64 = nodes.iter().map(|node| process::threads(node.process_id(), "fleet")).sum();
-        let all: f64 = nodes.iter().map(|node| process::processor(node.process_id())).sum();
-        (Instant::now(), thread, all, sent(&nodes))
+    let monitor = LatencyMonitor::start(Client::new(nodes[0].address, host, "/for-the-rest")?);
+    let snapshot = || {
+        let membership_cpu: f64 =
+            nodes.iter().map(|node| process::thread_cpu_seconds(node.process_id(), "fleet")).sum();
+        let total_cpu: f64 = nodes.iter().map(|node| process::cpu_seconds(node.process_id())).sum();
+        (Instant::now(), membership_cpu, total_cpu, bytes_sent(&nodes))
     };
-    let mut over = |what: &str, seconds: Duration, act: &mut dyn FnMut()| {
-        let before = now();
-        act();
+    let mut measure_phase = |phase: &str, seconds: Duration, event: &mut dyn FnMut()| {
+        let before = snapshot();
+        event();
         std::thread::sleep(seconds.saturating_sub(before.0.elapsed()));
-        let after = now();
-        let time = (after.0 - before.0).as_secs_f64() * count;
-        let (longest, lost) = watch.longest(before.0, after.0);
-        put(&format!("{what}: longest request, ms"), longest * 1e3);
-        put(&format!("{what}: requests not served"), lost as f64);
-        put(&format!("{what}: % of a core for the view"), 100.0 * (after.1 - before.1) / time);
-        put(&format!("{what}: % of a core in all"), 100.0 * (after.2 - before.2) / time);
-        put(&format!("{what}: bytes sent a node and second"), (after.3 - before.3) / time);
+        let after = snapshot();
+        let node_seconds = (after.0 - before.0).as_secs_f64() * count;
+        let (longest_wait, unserved) = monitor.longest_wait(before.0, after.0);
+        record(&format!("{phase}: longest request, ms"), longest_wait * 1e3);
+        record(&format!("{phase}: requests not served"), unserved as f64);
+        record(&format!("{phase}: % of a core for the view"), 100.0 * (after.1 - before.1) / node_seconds);
+        record(&format!("{phase}: % of a core in all"), 100.0 * (after.2 - before.2) / node_seconds);
+        record(&format!("{phase}: bytes sent a node and second"), (after.3 - before.3) / node_seconds);
     };
-    over("at rest", rest, &mut || ());
-    let (mut joined, mut gone) = (0.0, 0.0);
-    let mut more = None;
-    over("one joins", Duration::from_secs(10), &mut || {
-        more = member(900, &seeds).ok();
-        joined = counted(&nodes, size + 1);
+    measure_phase("at rest", rest, &mut || ());
+    let (mut joined_after, mut removed_after) = (0.0, 0.0);
+    let mut extra_member = None;
+    measure_phase("one joins", Duration::from_secs(10), &mut || {
+        extra_member = start_member(900, &seeds).ok();
+        joined_after = wait_until_counted(&nodes, size + 1);
     });
-    over("one dies", Duration::from_secs(15), &mut || {
-        more = None;
-        gone = counted(&nodes, size);
+    measure_phase("one dies", Duration::from_secs(15), &mut || {
+        extra_member = None;
+        removed_after = wait_until_counted(&nodes, size);
     });
     let tenth = members.len() / 10;
-    let (mut lost, mut back) = (0.0, 0.0);
-    over("a tenth dies at once", Duration::from_secs(25), &mut || {
+    let (mut tenth_removed_after, mut rejoined_after) = (0.0, 0.0);
+    measure_phase("a tenth dies at once", Duration::from_secs(25), &mut || {
         members.truncate(members.len() - tenth);
-        lost = counted(&nodes, size - tenth);
+        tenth_removed_after = wait_until_counted(&nodes, size - tenth);
     });
-    over("a tenth starts anew", Duration::from_secs(15), &mut || {
+    measure_phase("a tenth starts anew", Duration::from_secs(15), &mut || {
         for number in 1000..1000 + tenth as u32 {
-            members.extend(member(number, &seeds).ok().map(|(member, _)| member));
+            members.extend(start_member(number, &seeds).ok().map(|(member, _)| member));
         }
-        back = counted(&nodes, size);
+        rejoined_after = wait_until_counted(&nodes, size);
     });
-    put("one joins: counted by all processes after, s", joined);
-    put("one dies: counted by all processes after, s", gone);
-    put("a tenth dies at once: counted by all processes after, s", lost);
-    put("a tenth starts anew: counted by all processes after, s", back);
-    put(
+    record("one joins: counted by all processes after, s", joined_after);
+    record("one dies: counted by all processes after, s", removed_after);
+    record("a tenth dies at once: counted by all processes after, s", tenth_removed_after);
+    record("a tenth starts anew: counted by all processes after, s", rejoined_after);
+    record(
         "memory of a process, MB",
         nodes.iter().map(|n| n.resident_bytes() as f64).sum::<f64>() / count / 1e6,
     );
-    Ok(figures)
+    Ok(measurements)
 }
