--- a/crates/bench/benches/cold.rs
+++ b/crates/bench/benches/cold.rs
@@ -1,6 +1,5 @@
-//! What a decision costs while servers are cold, beside warm ones: each pair in one run, as a ratio. A cold server's pace is
-//! looked at for each server that is drawn, so whatever that costs is paid several times a request, by every node, after
-//! each release.
+//! Measures the time of a load-balancing decision with cold servers relative to warm ones. The balancer computes the pace of a
+//! cold server for each candidate of each request, so this cost affects all requests after a release.
 
 use corkhollow_balance::interface::{
     Action, Ending, Event, ListKind, Nanos, Request, Server, ServerId, Settings,
@@ -8,21 +7,21 @@
 use corkhollow_balance::Balancer;
 use std::time::{Duration, Instant};
 
-const FLEETS: [u64; 3] = [60, 200, 2_000];
+const SERVER_COUNTS: [u64; 3] = [60, 200, 2_000];
 const DECISIONS: u32 = 20_000;
 const PAIRS: usize = 5;
-const WORK: Nanos = 20_000_000;
-/// So long that no server gets warm while it is measured.
+const RESPONSE_TIME: Nanos = 20_000_000;
+/// Long enough that no server becomes warm during the measurement.
 const RAMP: Nanos = 1 << 50;
 
-/// Time for a request and its answer, refused or not, on average.
-fn decide(servers: u64, cold: bool) -> Duration {
+/// Returns the mean time of a request and its answer, including refused requests.
+fn measure_decision(servers: u64, cold: bool) -> Duration {
     let settings =
         Settings { ramp: RAMP, cold_from: 0.15, ..Settings::single_class(400_000_000, 800_000_000) };
-    let mut balancer = Balancer::new(settings, 17).expect("sound settings");
+    let mut balancer = Balancer::new(settings, 17).expect("valid settings");
     let mut now = 1_000_000_000_000;
     let started_at = if cold { now } else { 0 };
-    let id = |k: u64| ServerId(k.wrapping_mul(0x9e37_79b9_7f4a_7c15));
+    let id = |index: u64| ServerId(index.wrapping_mul(0x9e37_79b9_7f4a_7c15));
     let servers = (0..servers).map(|k| Server { started_at, ..Server::warm(id(k)) }).collect();
     let mut actions = Vec::new();
     balancer.handle(now, Event::List { kind: ListKind::Full, servers }, &mut actions);
@@ -31,17 +30,17 @@
         now += 1_000_000;
         actions.clear();
         balancer.handle(now, Event::Request(Request::new(request, now + 800_000_000)), &mut actions);
-        let to = actions.iter().find_map(|action| match action {
+        let destination = actions.iter().find_map(|action| match action {
             Action::Send { server, .. } => Some(*server),
             _ => None,
         });
-        if let Some(server) = to {
+        if let Some(server) = destination {
             let outcome = Event::Outcome {
                 request,
                 server,
                 attempt: 0,
                 finished: true,
-                took: WORK,
+                took: RESPONSE_TIME,
                 ending: Ending::Ok,
                 body_consumed: false,
                 report: None,
@@ -54,8 +53,9 @@
 
 fn main() {
     println!("servers  warm (us)  cold (us)  ratio of medians, {PAIRS} pairs of {DECISIONS} decisions");
-    for servers in FLEETS {
-        let mut pairs: Vec<_> = (0..PAIRS).map(|_| (decide(servers, false), decide(servers, true))).collect();
+    for servers in SERVER_COUNTS {
+        let mut pairs: Vec<_> =
+            (0..PAIRS).map(|_| (measure_decision(servers, false), measure_decision(servers, true))).collect();
         pairs.sort_unstable_by_key(|p| p.0);
         let warm = pairs[PAIRS / 2].0.as_secs_f64() * 1e6;
         pairs.sort_unstable_by_key(|p| p.1);
--- a/crates/bench/benches/fleet.rs
+++ b/crates/bench/benches/fleet.rs
@@ -1,7 +1,7 @@
-//! Processes that keep a view of each other, as many as `--processes 5,20,60` says: how long their views take to be equal and right
-//! after all start, one is killed, and half is cut off from half for 15 s; what they send, and the processor time that they take.
-//! With the file's own defaults. Then eight processes over ten servers, with a fleet and without: what a server that comes into the
-//! list cold gets from all of them, what a tenant over its rate gets where there is not enough for all, and what a ninth counts as.
+//! Measures fleets of gateway processes with default settings; `--processes 5,20,60` sets their sizes. The first part measures how
+//! long the views take to converge after all processes start, one is killed, and a partition into halves of 15 s heals, and the
+//! traffic and processor time of membership. The second part compares eight processes in a fleet with eight separate ones over ten
+//! servers: requests sent to a cold server, rates of tenants under overload, and how a ninth process joins.
 
 use corkhollow_faults::Action;
 use corkhollow_test_support::*;
@@ -10,80 +10,83 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-const WITHIN: Duration = Duration::from_secs(60);
+/// How long to wait until all views agree.
+const CONVERGENCE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Processor time that a process has had, in seconds.
-fn processor(pid: u32) -> f64 {
-    let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).expect("it runs");
+/// Processor time that a process has used, in seconds.
+fn cpu_seconds(pid: u32) -> f64 {
+    let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).expect("the process runs");
     let fields: Vec<_> = stat.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
     let ticks: f64 = fields[11..13].iter().map(|field| field.parse::<f64>().unwrap_or(0.0)).sum();
-    // Hundredths of a second, on every Linux.
+    // Linux reports these values in ticks of 10 ms.
     ticks / 100.0
 }
 
-/// Bytes that a node has sent.
-fn sent(node: &Node) -> f64 {
-    let page = node.call_operator("GET", "/-/metrics").expect("it answers").body;
-    let page = String::from_utf8(page).expect("text");
+/// Bytes that a node has sent to other nodes.
+fn fleet_bytes_sent(node: &Node) -> f64 {
+    let page = node.call_operator("GET", "/-/metrics").expect("an answer").body;
+    let page = String::from_utf8(page).expect("UTF-8");
     let counts = page.lines().filter(|l| l.starts_with("gw_fleet_bytes{") && l.contains("way=\"out\""));
     counts.filter_map(|line| line.rsplit(' ').next()?.parse::<f64>().ok()).sum()
 }
 
-fn sums(rig: &Rig) -> (f64, f64) {
+fn total_bytes_and_cpu(rig: &Rig) -> (f64, f64) {
     let nodes = || rig.nodes.iter().flatten();
-    (nodes().map(sent).sum(), nodes().map(|node| processor(node.process_id())).sum())
+    (nodes().map(fleet_bytes_sent).sum(), nodes().map(|node| cpu_seconds(node.process_id())).sum())
 }
 
-/// How long it takes until all views are equal and right, and until all nodes say that they have settled.
-fn both(rig: &Rig, what: &str) -> String {
-    let agreed = rig.wait_until_agreed(what, WITHIN).as_secs_f64();
-    format!("{agreed:.2}, {:.2}", agreed + rig.wait_until_settled(what, WITHIN).as_secs_f64())
+/// Waits until all views agree and then until all nodes report that they are settled, and formats both times in seconds.
+fn convergence_times(rig: &Rig, event: &str) -> String {
+    let agreed = rig.wait_until_agreed(event, CONVERGENCE_TIMEOUT).as_secs_f64();
+    format!("{agreed:.2}, {:.2}", agreed + rig.wait_until_settled(event, CONVERGENCE_TIMEOUT).as_secs_f64())
 }
 
-/// Processes and servers of the second part, and clients at each process.
+/// Processes in the second part.
 const NODES: usize = 8;
+/// Warm servers in the second part.
 const SERVERS: usize = 10;
-const CLIENTS: usize = 2;
+const CLIENTS_PER_NODE: usize = 2;
 
-/// Requests that a cold server gets in each half second after it has come, from all processes, and those that each of the
-/// others got in all that time, the least first.
-fn cold(in_a_fleet: bool) -> (Vec<usize>, Vec<usize>) {
-    let work = |_: usize, _: &Message| {
+/// Returns the requests to a cold server in each half second after it is listed, and the requests to each warm server in all
+/// that time, in ascending order.
+fn measure_cold_server(in_a_fleet: bool) -> (Vec<usize>, Vec<usize>) {
+    let respond = |_: usize, _: &Message| {
         std::thread::sleep(Duration::from_millis(4));
         ok_reply("fine")
     };
-    let warm: Vec<_> = (0..SERVERS).map(|_| Servers::new(1, work)).collect();
-    let cold = Servers::new(1, work);
-    let dials: Vec<_> = warm.iter().map(|server| server.addresses[0]).collect();
+    let warm: Vec<_> = (0..SERVERS).map(|_| Servers::new(1, respond)).collect();
+    let cold = Servers::new(1, respond);
+    let warm_addresses: Vec<_> = warm.iter().map(|server| server.addresses[0]).collect();
     let folder = TempFolder::new(if in_a_fleet { "cold-fleet" } else { "cold-alone" });
     let list = folder.0.join("servers.toml");
-    let write = |dials: &[SocketAddr]| {
-        let servers: String = dials.iter().map(|d| format!("[[servers]]\naddress = \"{d}\"\n")).collect();
-        std::fs::write(&list, servers).expect("the folder can be written");
+    let write_list = |addresses: &[SocketAddr]| {
+        let servers: String =
+            addresses.iter().map(|address| format!("[[servers]]\naddress = \"{address}\"\n")).collect();
+        std::fs::write(&list, servers).expect("a server list written");
     };
-    write(&dials);
-    let site = format!(
+    write_list(&warm_addresses);
+    let config = format!(
         "[[listener]]\nname = \"web\"\naddress = \"127.0.0.1:0\"\n[[pool]]\nname = \"boxes\"\nwatch = \"{}\"\n\
          cold_ramp = \"20s\"\n[[route]]\nname = \"all\"\npool = \"boxes\"\n",
         list.display()
     );
-    let own = site.clone();
-    let mut rig = Rig::new(NODES, 1, &[0], "", move |_| own.clone());
-    let mut alone = Vec::new();
+    let node_config = config.clone();
+    let mut rig = Rig::new(NODES, 1, &[0], "", move |_| node_config.clone());
+    let mut separate_nodes = Vec::new();
     if in_a_fleet {
         rig.start_all(0..NODES);
-        rig.wait_until_agreed("joined", WITHIN);
+        rig.wait_until_agreed("joined", CONVERGENCE_TIMEOUT);
     } else {
-        alone.extend((0..NODES).map(|_| Node::start_with_operator_file(&site)));
+        separate_nodes.extend((0..NODES).map(|_| Node::start_with_operator_file(&config)));
     }
-    let over = Arc::new(AtomicBool::new(false));
-    let addresses = rig.nodes.iter().flatten().chain(&alone).map(|node| node.address);
+    let stop = Arc::new(AtomicBool::new(false));
+    let addresses = rig.nodes.iter().flatten().chain(&separate_nodes).map(|node| node.address);
     let clients: Vec<_> = addresses
-        .flat_map(|address| [address; CLIENTS])
+        .flat_map(|address| [address; CLIENTS_PER_NODE])
         .map(|address| {
-            let over = over.clone();
+            let stop = stop.clone();
             std::thread::spawn(move || {
-                while !over.load(SeqCst) {
+                while !stop.load(SeqCst) {
                     let stream = std::net::TcpStream::connect(address).ok();
                     let _ = stream.and_then(|mut stream| {
                         std::io::Write::write_all(&mut stream, &get_request("/", "")).ok()?;
@@ -95,69 +98,70 @@
         })
         .collect();
     std::thread::sleep(Duration::from_secs(6));
-    write(&[&dials[..], &cold.addresses[..]].concat());
-    wait_until("the cold server is known", || cold.request_count() > 0);
+    write_list(&[&warm_addresses[..], &cold.addresses[..]].concat());
+    wait_until("the cold server has a request", || cold.request_count() > 0);
     let start: Vec<_> = warm.iter().map(Servers::request_count).collect();
     let mut before = cold.request_count();
-    let mut halves = Vec::new();
+    let mut counts_per_half_second = Vec::new();
     for _ in 0..10 {
         std::thread::sleep(Duration::from_millis(500));
         let now = cold.request_count();
-        halves.push(now - before);
+        counts_per_half_second.push(now - before);
         before = now;
     }
-    let mut others: Vec<_> =
+    let mut warm_counts: Vec<_> =
         warm.iter().zip(start).map(|(server, before)| server.request_count() - before).collect();
-    others.sort_unstable();
-    over.store(true, SeqCst);
+    warm_counts.sort_unstable();
+    stop.store(true, SeqCst);
     clients.into_iter().for_each(|client| drop(client.join()));
-    (halves, others)
+    (counts_per_half_second, warm_counts)
 }
 
-/// Requests a second that are served of a tenant whose rate is 80 over all nodes, and of another one with more than all, while both
-/// ask for more than there is; and what a ninth process counts as when it first takes clients, and after how many milliseconds.
-fn tenants(in_a_fleet: bool) -> ([f64; 2], Option<(usize, u128)>) {
-    // One at a time: each server does 250 a second.
+/// Returns the requests served per second, under overload, of a tenant with a rate of 80 over all nodes and of one with a rate
+/// above the capacity; and, for a fleet, the size that a ninth process counts and its start time in milliseconds.
+fn measure_tenants(in_a_fleet: bool) -> ([f64; 2], Option<(usize, u128)>) {
+    // One request at a time, so each server has a capacity of 250 requests per second.
     let server = || {
-        let turn = Mutex::new(());
+        let one_at_a_time = Mutex::new(());
         Servers::new(1, move |_, _| {
-            let _turn = turn.lock();
+            let _guard = one_at_a_time.lock();
             std::thread::sleep(Duration::from_millis(4));
             ok_reply("fine")
         })
     };
     let servers: Vec<_> = (0..SERVERS).map(|_| server()).collect();
-    let dials: String = servers
+    let server_entries: String = servers
         .iter()
         .flat_map(|server| &server.addresses)
         .map(|d| format!("{{ address = \"{d}\" }}, "))
         .collect();
-    let site = format!(
+    let config = format!(
         "[[listener]]\nname = \"web\"\naddress = \"127.0.0.1:0\"\n\
          [[class]]\nname = \"read\"\neffect = \"safe\"\nmethods = [\"GET\"]\naim = \"30ms\"\ndeadline = \"500ms\"\n\
          [tenants]\ntenant = [{{ name = \"a\", rate = 80.0 }}, {{ name = \"b\", rate = 8000.0 }}]\n\
-         [[pool]]\nname = \"boxes\"\nconcurrency = 1\nservers = [{dials}]\n[[route]]\nname = \"all\"\npool = \"boxes\"\n"
+         [[pool]]\nname = \"boxes\"\nconcurrency = 1\nservers = [{server_entries}]\n[[route]]\nname = \"all\"\npool = \"boxes\"\n"
     );
-    let own = site.clone();
-    let mut rig = Rig::new(NODES + 1, 1, &[0], "", move |_| own.clone());
-    let mut alone = Vec::new();
+    let node_config = config.clone();
+    let mut rig = Rig::new(NODES + 1, 1, &[0], "", move |_| node_config.clone());
+    let mut separate_nodes = Vec::new();
     if in_a_fleet {
         rig.start_all(0..NODES);
-        rig.wait_until_agreed("joined", WITHIN);
+        rig.wait_until_agreed("joined", CONVERGENCE_TIMEOUT);
     } else {
-        alone.extend((0..NODES).map(|_| Node::start_with_operator_file(&site)));
+        separate_nodes.extend((0..NODES).map(|_| Node::start_with_operator_file(&config)));
     }
     let served: Arc<[AtomicUsize; 2]> = Arc::default();
-    let over = Arc::new(AtomicBool::new(false));
-    let addresses: Vec<_> = rig.nodes.iter().flatten().chain(&alone).map(|node| node.address).collect();
+    let stop = Arc::new(AtomicBool::new(false));
+    let addresses: Vec<_> =
+        rig.nodes.iter().flatten().chain(&separate_nodes).map(|node| node.address).collect();
     let mut clients = Vec::new();
     for address in addresses {
         for client in 0..16 {
-            let (served, over) = (served.clone(), over.clone());
+            let (served, stop) = (served.clone(), stop.clone());
             clients.push(std::thread::spawn(move || {
                 let tenant = client % 2;
                 let header = ["X-Tenant-Id: a\r\n", "X-Tenant-Id: b\r\n"][tenant];
-                while !over.load(SeqCst) {
+                while !stop.load(SeqCst) {
                     let stream = std::net::TcpStream::connect(address).ok();
                     let answer = stream.and_then(|mut stream| {
                         std::io::Write::write_all(&mut stream, &get_request("/", header)).ok()?;
@@ -178,18 +182,19 @@
     let ninth = in_a_fleet.then(|| {
         let start = Instant::now();
         rig.start(NODES);
-        let took = start.elapsed().as_millis();
-        (FleetView::fetch(rig.node(NODES)).map_or(0, |fleet| fleet.size), took)
+        let elapsed_ms = start.elapsed().as_millis();
+        (FleetView::fetch(rig.node(NODES)).map_or(0, |fleet| fleet.size), elapsed_ms)
     });
-    over.store(true, SeqCst);
+    stop.store(true, SeqCst);
     clients.into_iter().for_each(|client| drop(client.join()));
     (rates, ninth)
 }
 
 fn main() {
     let arguments: Vec<_> = std::env::args().collect();
-    let given = arguments.iter().position(|a| a == "--processes").and_then(|at| arguments.get(at + 1));
-    let counts: Vec<usize> = match given {
+    let processes =
+        arguments.iter().position(|a| a == "--processes").and_then(|index| arguments.get(index + 1));
+    let counts: Vec<usize> = match processes {
         Some(list) => list.split(',').filter_map(|n| n.parse().ok()).collect(),
         None => vec![5, 20, 60],
     };
@@ -197,23 +202,24 @@
     println!("| --- | --- | --- | --- | --- | --- |");
     for count in counts {
         let servers = Servers::new(2, |_, _| ok_reply("fine"));
-        let dials: String = servers.addresses.iter().map(|d| format!("{{ address = \"{d}\" }}, ")).collect();
-        let site = format!(
+        let server_entries: String =
+            servers.addresses.iter().map(|d| format!("{{ address = \"{d}\" }}, ")).collect();
+        let config = format!(
             "[[listener]]\nname = \"web\"\naddress = \"127.0.0.1:0\"\n[[pool]]\nname = \"boxes\"\n\
-             servers = [{dials}]\n[[route]]\nname = \"all\"\npool = \"boxes\"\n"
+             servers = [{server_entries}]\n[[route]]\nname = \"all\"\npool = \"boxes\"\n"
         );
-        let mut rig = Rig::new(count, 1, &[0], "", move |_| site.clone());
+        let mut rig = Rig::new(count, 1, &[0], "", move |_| config.clone());
         rig.start_all(0..count);
-        let joined = both(&rig, "joined");
+        let joined = convergence_times(&rig, "joined");
         rig.apply(&Action::Kill(count - 1));
-        let crashed = both(&rig, "crashed");
+        let crashed = convergence_times(&rig, "crashed");
         rig.apply(&Action::Partition(vec![(0..count / 2).collect(), (count / 2..count - 1).collect()]));
         std::thread::sleep(Duration::from_secs(15));
         rig.apply(&Action::Heal);
-        let healed = both(&rig, "healed");
-        let (before, start) = (sums(&rig), Instant::now());
+        let healed = convergence_times(&rig, "healed");
+        let (before, start) = (total_bytes_and_cpu(&rig), Instant::now());
         std::thread::sleep(Duration::from_secs(10));
-        let after = sums(&rig);
+        let after = total_bytes_and_cpu(&rig);
         let node_seconds = start.elapsed().as_secs_f64() * (count - 1) as f64;
         println!(
             "| {count} | {joined} | {crashed} | {healed} | {:.0} | {:.2} |",
@@ -223,18 +229,18 @@
     }
     println!("\n{NODES} processes, {SERVERS} warm servers and a cold one: what it gets in each half second");
     for in_a_fleet in [false, true] {
-        let (halves, others) = cold(in_a_fleet);
-        let how = if in_a_fleet { "in a fleet" } else { "each alone" };
-        println!("{how}: {halves:?}; the warm ones in 5 s: {others:?}");
+        let (counts_per_half_second, warm_counts) = measure_cold_server(in_a_fleet);
+        let mode = if in_a_fleet { "in a fleet" } else { "each alone" };
+        println!("{mode}: {counts_per_half_second:?}; the warm ones in 5 s: {warm_counts:?}");
     }
     println!("\nthe same, full: requests a second served of a tenant with a rate of 80 and of one with more than all");
     for in_a_fleet in [false, true] {
-        let ([limited, other], ninth) = tenants(in_a_fleet);
-        let how = if in_a_fleet { "in a fleet" } else { "each alone" };
-        println!("{how}: {limited:.0} and {other:.0}");
-        if let Some((size, took)) = ninth {
+        let ([limited, other], ninth) = measure_tenants(in_a_fleet);
+        let mode = if in_a_fleet { "in a fleet" } else { "each alone" };
+        println!("{mode}: {limited:.0} and {other:.0}");
+        if let Some((size, elapsed_ms)) = ninth {
             println!(
-                "a ninth counts itself as one of {size} when it takes clients, {took} ms after its start"
+                "a ninth counts itself as one of {size} when it takes clients, {elapsed_ms} ms after its start"
             );
         }
     }
--- a/crates/bench/benches/memory.rs
+++ b/crates/bench/benches/memory.rs
@@ -1,5 +1,5 @@
-//! The program's memory: while one long body passes each way, and while thousands of clients stand idle.
-//! `--bytes N` sets the length of the bodies (1 GB), `--clients N` the number of clients (5,000).
+//! Measures the program's memory while one long body is forwarded in each direction, and with thousands of idle clients.
+//! `--bytes N` sets the length of the bodies (default 1 GB), `--clients N` the number of clients (default 5,000).
 
 use corkhollow_test_support::{read_message, response, spawn_raw_server, Node};
 use std::io::{Read, Write};
@@ -7,15 +7,15 @@
 use std::process::Command;
 use std::time::Instant;
 
-const CHUNK: usize = 1 << 16;
+const CHUNK_BYTES: usize = 1 << 16;
 
-fn argument(name: &str, default: u64) -> u64 {
+fn number_argument(name: &str, default: u64) -> u64 {
     let value = std::env::args().skip_while(|a| a != name).nth(1);
     value.and_then(|v| v.parse().ok()).unwrap_or(default)
 }
 
-/// Takes all of a body, or sends one of this length, by the method that it is asked with.
-fn server(long: u64) -> SocketAddr {
+/// Starts a server that reads a body of `body_bytes` bytes on PUT, sends one on `GET /long`, and sends 64 bytes otherwise.
+fn server(body_bytes: u64) -> SocketAddr {
     spawn_raw_server(move |mut stream| {
         let mut head = Vec::new();
         let mut byte = [0];
@@ -24,24 +24,25 @@
             if !head.ends_with(b"\r\n\r\n") {
                 continue;
             }
-            let told = match &head[..4] {
+            let result = match &head[..4] {
                 b"PUT " => {
-                    let taken = std::io::copy(&mut (&stream).take(long), &mut std::io::sink());
-                    stream.write_all(&response("200 OK", "", taken.unwrap_or(0).to_string().as_bytes()))
+                    let received = std::io::copy(&mut (&stream).take(body_bytes), &mut std::io::sink());
+                    stream.write_all(&response("200 OK", "", received.unwrap_or(0).to_string().as_bytes()))
                 }
                 _ if head.starts_with(b"GET /long") => {
-                    let mut out = write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {long}\r\n\r\n");
-                    let (chunk, mut left) = (vec![b'x'; CHUNK], long);
-                    while left > 0 && out.is_ok() {
-                        let n = left.min(CHUNK as u64);
-                        out = stream.write_all(&chunk[..n as usize]);
-                        left -= n;
+                    let mut result =
+                        write!(stream, "HTTP/1.1 200 OK\r\nContent-Length: {body_bytes}\r\n\r\n");
+                    let (chunk, mut remaining) = (vec![b'x'; CHUNK_BYTES], body_bytes);
+                    while remaining > 0 && result.is_ok() {
+                        let n = remaining.min(CHUNK_BYTES as u64);
+                        result = stream.write_all(&chunk[..n as usize]);
+                        remaining -= n;
                     }
-                    out
+                    result
                 }
                 _ => stream.write_all(&response("200 OK", "", &[b'x'; 64])),
             };
-            if told.is_err() {
+            if result.is_err() {
                 return;
             }
             head.clear();
@@ -49,78 +50,85 @@
     })
 }
 
-fn ask(stream: &mut TcpStream) {
-    stream.write_all(b"GET /short HTTP/1.1\r\nHost: bench.example.org\r\n\r\n").expect("it takes requests");
+fn send_short_request(stream: &mut TcpStream) {
+    stream.write_all(b"GET /short HTTP/1.1\r\nHost: bench.example.org\r\n\r\n").expect("a request written");
     assert_eq!(read_message(stream).expect("an answer").status(), 200);
 }
 
-/// Passes one body each way; what memory grew by at most, in bytes, and how long it took, in seconds.
-fn pass(node: &Node, long: u64, up: bool) -> (u64, f64) {
+/// Sends or receives one body through the node. Returns the greatest growth of memory in bytes and the time in seconds.
+fn transfer(node: &Node, body_bytes: u64, is_upload: bool) -> (u64, f64) {
     let before = node.resident_bytes();
-    let (mut most, start) = (before, Instant::now());
+    let (mut peak, start) = (before, Instant::now());
     let mut client = node.connect();
-    let mut chunk = vec![b'y'; CHUNK];
-    let mut done = 0;
-    if up {
-        write!(client, "PUT /long HTTP/1.1\r\nHost: a\r\nContent-Length: {long}\r\n\r\n").expect("a head");
+    let mut chunk = vec![b'y'; CHUNK_BYTES];
+    let mut transferred = 0;
+    if is_upload {
+        write!(client, "PUT /long HTTP/1.1\r\nHost: a\r\nContent-Length: {body_bytes}\r\n\r\n")
+            .expect("a head");
     } else {
         client.write_all(b"GET /long HTTP/1.1\r\nHost: a\r\n\r\n").expect("a head");
     }
-    let mut looked = 0;
-    while done < long {
-        let n = (long - done).min(CHUNK as u64) as usize;
-        if up {
-            client.write_all(&chunk[..n]).expect("it takes the body");
-            done += n as u64;
+    let mut last_checked = 0;
+    while transferred < body_bytes {
+        let n = (body_bytes - transferred).min(CHUNK_BYTES as u64) as usize;
+        if is_upload {
+            client.write_all(&chunk[..n]).expect("a part of the body written");
+            transferred += n as u64;
         } else {
             let n = client.read(&mut chunk).expect("a body");
-            assert!(n > 0, "cut after {done}");
-            done += n as u64;
+            assert!(n > 0, "the body ended after {transferred} bytes");
+            transferred += n as u64;
         }
-        if done - looked > 4_000_000 {
-            looked = done;
-            most = most.max(node.resident_bytes());
+        if transferred - last_checked > 4_000_000 {
+            last_checked = transferred;
+            peak = peak.max(node.resident_bytes());
         }
     }
-    if up {
+    if is_upload {
         let answer = read_message(&mut client).expect("an answer");
-        assert_eq!(answer.body, long.to_string().into_bytes(), "all of it came");
+        assert_eq!(answer.body, body_bytes.to_string().into_bytes(), "the server received the whole body");
     }
-    (most.saturating_sub(before), start.elapsed().as_secs_f64())
+    (peak.saturating_sub(before), start.elapsed().as_secs_f64())
 }
 
 fn main() {
-    // The program is built here, as it is for service: a bench of an old one would say nothing.
+    // Builds in release mode, so that no outdated build is measured.
     let cargo = std::env::var("CARGO").unwrap_or("cargo".to_owned());
     let build = ["build", "--release", "--locked", "-p", "corkhollow"];
     assert!(Command::new(cargo).args(build).status().expect("cargo").success());
-    let (long, clients) = (argument("--bytes", 1_000_000_000), argument("--clients", 5_000));
+    let (body_bytes, clients) =
+        (number_argument("--bytes", 1_000_000_000), number_argument("--clients", 5_000));
     let node = Node::start_with_operator_file(&format!(
         "[limits]\ndescriptors = {}\n[[listener]]\nname = \"web\"\naddress = \"127.0.0.1:0\"\n\
          [[pool]]\nname = \"one\"\nservers = [{{ address = \"{}\" }}]\n[[route]]\nname = \"all\"\npool = \"one\"\n",
         2 * clients + 2_000,
-        server(long),
+        server(body_bytes),
     ));
-    ask(&mut node.connect());
+    send_short_request(&mut node.connect());
     println!("at the start: {:.1} MB", node.resident_bytes() as f64 / 1e6);
-    for (what, up) in [("from a server", false), ("to a server", true)] {
-        let (more, seconds) = pass(&node, long, up);
-        let rate = long as f64 / 1e6 / seconds;
+    for (description, is_upload) in [("from a server", false), ("to a server", true)] {
+        let (growth, seconds) = transfer(&node, body_bytes, is_upload);
+        let rate = body_bytes as f64 / 1e6 / seconds;
         println!(
-            "{:.1} GB {what}: {:.2} MB more at most, {rate:.0} MB/s",
-            long as f64 / 1e9,
-            more as f64 / 1e6
+            "{:.1} GB {description}: {:.2} MB more at most, {rate:.0} MB/s",
+            body_bytes as f64 / 1e9,
+            growth as f64 / 1e6
         );
     }
     let before = node.resident_bytes();
-    let mut open: Vec<_> = (0..clients).map(|_| node.connect()).collect();
-    // The last one is answered: all before it have been taken.
-    ask(open.last_mut().expect("a client"));
-    let silent = node.resident_bytes() - before;
-    open.iter_mut().for_each(ask);
-    let asked = node.resident_bytes() - before;
-    for (what, bytes) in [("that have said nothing", silent), ("idle behind an answer", asked)] {
-        let each = bytes as f64 / clients as f64 / 1e3;
-        println!("{clients} clients {what}: {:.1} MB more, {each:.1} kB each", bytes as f64 / 1e6);
+    let mut connections: Vec<_> = (0..clients).map(|_| node.connect()).collect();
+    // Connections are accepted in order, so an answer to the last one shows that all are accepted.
+    send_short_request(connections.last_mut().expect("a client"));
+    let growth_silent = node.resident_bytes() - before;
+    connections.iter_mut().for_each(send_short_request);
+    let growth_after_answer = node.resident_bytes() - before;
+    for (description, bytes) in
+        [("that have said nothing", growth_silent), ("idle behind an answer", growth_after_answer)]
+    {
+        let kilobytes_per_client = bytes as f64 / clients as f64 / 1e3;
+        println!(
+            "{clients} clients {description}: {:.1} MB more, {kilobytes_per_client:.1} kB each",
+            bytes as f64 / 1e6
+        );
     }
 }
--- a/crates/bench/benches/operations.rs
+++ b/crates/bench/benches/operations.rs
@@ -1,6 +1,6 @@
-//! What operators do to a node under load, measured: calls at their address, drains, replacements in a row, a successor's
-//! first second beside a cold start's, 200 long bodies at once, long bodies beside a bare relay.
-//! `--replacements N` sets how many processes follow one another (50).
+//! Measures operations on a node under load: calls of the operator's address, drains, consecutive replacements of the process, the
+//! first second after a handover and after a cold start, 200 long bodies at once, and long bodies relative to the bare relay.
+//! `--replacements N` sets the number of replacements (default 50).
 
 use corkhollow_test_support::*;
 use hdrhistogram::Histogram;
@@ -15,19 +15,19 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-/// How often each request that must not run twice has run, by its id.
-type Runs = Arc<Mutex<HashMap<String, u32>>>;
+/// How often each unsafe request has run, by request ID.
+type RunCounts = Arc<Mutex<HashMap<String, u32>>>;
 
-/// A server that takes this long for an answer of 64 bytes.
-fn server(takes: Duration, runs: &Runs) -> SocketAddr {
+/// Starts a server that answers with 64 bytes after this time, and counts the runs of unsafe requests.
+fn server(response_time: Duration, runs: &RunCounts) -> SocketAddr {
     let runs = runs.clone();
     spawn_raw_server(move |stream| {
         let mut reader = BufReader::new(&stream);
         loop {
-            let (mut line, mut once, mut id, mut length) = (String::new(), false, String::new(), 0);
+            let (mut line, mut is_unsafe, mut id, mut length) = (String::new(), false, String::new(), 0);
             while reader.read_line(&mut line).is_ok_and(|n| n > 2) {
                 let lower = line.to_ascii_lowercase();
-                once |= lower.starts_with("post /once");
+                is_unsafe |= lower.starts_with("post /once");
                 if let Some(value) = lower.strip_prefix("x-request-id:") {
                     id = value.trim().to_owned();
                 }
@@ -41,10 +41,10 @@
             {
                 return;
             }
-            if once {
+            if is_unsafe {
                 *runs.lock().expect("the counts").entry(id).or_default() += 1;
             }
-            sleep(takes);
+            sleep(response_time);
             if (&stream).write_all(&response("200 OK", "", &[b'x'; 64])).is_err() {
                 return;
             }
@@ -52,141 +52,148 @@
     })
 }
 
-fn told(dials: &[SocketAddr]) -> String {
+fn discovery_list(addresses: &[SocketAddr]) -> String {
     let hosts: Vec<_> =
-        dials.iter().enumerate().map(|(k, d)| host_json(&format!("s-{k}"), *d, "active")).collect();
+        addresses.iter().enumerate().map(|(k, d)| host_json(&format!("s-{k}"), *d, "active")).collect();
     list_json(1, true, &hosts)
 }
 
-/// What clients have seen.
+/// The results of all requests of a load.
 #[derive(Default)]
-struct Seen {
-    /// When each answer came, and after how long.
-    times: Mutex<Vec<(Instant, Duration)>>,
+struct LoadResults {
+    /// When each successful answer arrived, and its answer time.
+    answer_times: Mutex<Vec<(Instant, Duration)>>,
     refused: AtomicUsize,
     failed: AtomicUsize,
-    /// Without any answer: the connection was refused, closed or reset.
-    turned_back: AtomicUsize,
+    /// Requests without an answer: the connection was refused, closed or reset.
+    unanswered: AtomicUsize,
 }
 
-/// Clients that ask one request after the other, every other one of a class that must not run twice.
+/// Clients that send requests one after another, alternating between a safe and an unsafe class.
 struct Load {
-    seen: Arc<Seen>,
-    over: Arc<AtomicBool>,
+    results: Arc<LoadResults>,
+    stop: Arc<AtomicBool>,
     clients: Vec<JoinHandle<()>>,
 }
 
 impl Load {
     fn start(address: SocketAddr, clients: usize, pause: Duration) -> Self {
-        let (seen, over) = (Arc::<Seen>::default(), Arc::<AtomicBool>::default());
+        let (results, stop) = (Arc::<LoadResults>::default(), Arc::<AtomicBool>::default());
         let client = |_| {
-            let (seen, over) = (seen.clone(), over.clone());
-            std::thread::spawn(move || ask(address, pause, &seen, &over))
+            let (results, stop) = (results.clone(), stop.clone());
+            std::thread::spawn(move || send_requests(address, pause, &results, &stop))
         };
         let clients = (0..clients).map(client).collect();
-        Load { seen, over, clients }
+        Load { results, stop, clients }
     }
 
-    fn stop(self) -> Arc<Seen> {
-        self.over.store(true, SeqCst);
+    fn stop(self) -> Arc<LoadResults> {
+        self.stop.store(true, SeqCst);
         self.clients.into_iter().for_each(|c| c.join().expect("a client"));
-        self.seen
+        self.results
     }
 }
 
-fn ask(address: SocketAddr, pause: Duration, seen: &Seen, over: &AtomicBool) {
-    let mut kept: Option<TcpStream> = None;
+fn send_requests(address: SocketAddr, pause: Duration, results: &LoadResults, stop: &AtomicBool) {
+    let mut connection_to_reuse: Option<TcpStream> = None;
     for k in 0.. {
-        if over.load(SeqCst) {
+        if stop.load(SeqCst) {
             return;
         }
-        let begun = Instant::now();
+        let start = Instant::now();
         let request = if k % 2 == 0 { get_request("/safe/1", "") } else { post_request("/once/1", b"") };
-        let connection = kept.take().map_or_else(|| TcpStream::connect(address), Ok);
+        let connection = connection_to_reuse.take().map_or_else(|| TcpStream::connect(address), Ok);
         let answer = connection.ok().and_then(|mut stream| {
             stream.set_read_timeout(Some(Duration::from_secs(5))).ok()?;
             stream.write_all(&request).ok()?;
             Some((read_message(&mut stream)?, stream))
         });
         match answer {
-            None => drop(seen.turned_back.fetch_add(1, SeqCst)),
+            None => drop(results.unanswered.fetch_add(1, SeqCst)),
             Some((answer, stream)) => {
                 match answer.status() {
-                    200 => seen.times.lock().expect("the times").push((Instant::now(), begun.elapsed())),
-                    503 => drop(seen.refused.fetch_add(1, SeqCst)),
-                    _ => drop(seen.failed.fetch_add(1, SeqCst)),
+                    200 => results
+                        .answer_times
+                        .lock()
+                        .expect("the times")
+                        .push((Instant::now(), start.elapsed())),
+                    503 => drop(results.refused.fetch_add(1, SeqCst)),
+                    _ => drop(results.failed.fetch_add(1, SeqCst)),
                 }
-                kept = (answer.header("connection") != Some("close")).then_some(stream);
+                connection_to_reuse = (answer.header("connection") != Some("close")).then_some(stream);
             }
         }
         sleep(pause);
     }
 }
 
-fn times(all: impl Iterator<Item = Duration>) -> Histogram<u64> {
+fn histogram_of(all: impl Iterator<Item = Duration>) -> Histogram<u64> {
     let mut histogram = Histogram::new(3).expect("a histogram");
     all.for_each(|time| histogram.record(time.as_micros() as u64).expect("in range"));
     histogram
 }
 
-fn line(what: &str, times: &Histogram<u64>) {
+fn print_row(label: &str, times: &Histogram<u64>) {
     let ms = |micros: u64| micros as f64 / 1000.0;
     let [p50, p99] = [0.5, 0.99].map(|q| ms(times.value_at_quantile(q)));
-    println!("{what:<44} {:>7} {p50:>9.2} {p99:>9.2} {:>9.2}", times.len(), ms(times.max()));
+    println!("{label:<44} {:>7} {p50:>9.2} {p99:>9.2} {:>9.2}", times.len(), ms(times.max()));
 }
 
-fn head(what: &str) {
-    println!("\n{what:<44} {:>7} {:>9} {:>9} {:>9}", "count", "p50 ms", "p99 ms", "most ms");
+fn print_header(label: &str) {
+    println!("\n{label:<44} {:>7} {:>9} {:>9} {:>9}", "count", "p50 ms", "p99 ms", "most ms");
 }
 
 fn is_ready(node: &Node) -> bool {
     node.call_operator("GET", "/-/ready").is_some_and(|m| m.status() == 200)
 }
 
-/// Answer times of the operator's address, and how long a drain takes.
-fn calls_and_drains(dials: &[SocketAddr]) {
-    let discovery = Discovery::new(vec![told(dials)], true);
+/// Measures answer times of the operator's address, and how long a drain takes.
+fn measure_calls_and_drains(addresses: &[SocketAddr]) {
+    let discovery = Discovery::new(vec![discovery_list(addresses)], true);
     let node = Node::start(discovery.address, &NodeOptions::default());
     node.wait_until_ready();
-    let calls = |count| {
-        times((0..count).map(|_| {
-            let begun = Instant::now();
+    let measure_calls = |count| {
+        histogram_of((0..count).map(|_| {
+            let start = Instant::now();
             assert_eq!(node.call_operator("GET", "/-/metrics").map(|m| m.status()), Some(200));
-            begun.elapsed()
+            start.elapsed()
         }))
     };
-    head("GET /-/metrics");
-    line("nothing else", &calls(300));
+    print_header("GET /-/metrics");
+    print_row("nothing else", &measure_calls(300));
     let load = Load::start(node.address, 64, Duration::ZERO);
     sleep(200 * MS);
-    line("64 clients, as fast as they can", &calls(300));
-    let operator = node.operator_address.expect("operators may call");
-    let silent: Vec<_> = (0..300).filter_map(|_| TcpStream::connect(operator).ok()).collect();
-    line("and 300 callers that say nothing", &calls(300));
-    drop(silent);
+    print_row("64 clients, as fast as they can", &measure_calls(300));
+    let operator = node.operator_address.expect("an operator address");
+    let silent_connections: Vec<_> = (0..300).filter_map(|_| TcpStream::connect(operator).ok()).collect();
+    print_row("and 300 callers that say nothing", &measure_calls(300));
+    drop(silent_connections);
     load.stop();
-    head("from POST /-/drain to no connection");
+    print_header("from POST /-/drain to no connection");
     for clients in [0, 16, 128] {
         let load = Load::start(node.address, clients, 10 * MS);
         sleep(300 * MS);
-        let (begun, over) = (Instant::now(), load.over.clone());
+        let (start, stop) = (Instant::now(), load.stop.clone());
         assert_eq!(node.call_operator("POST", "/-/drain").map(|m| m.status()), Some(200));
-        // Clients learn from `GET /up`, and stop.
+        // Clients stop, as a load balancer in front of the node would make them after `GET /up` fails.
         sleep(300 * MS);
-        over.store(true, SeqCst);
+        stop.store(true, SeqCst);
         load.stop();
         wait_until("the node is empty", || node.metric("gw_client_connections") == Some(0.0));
-        line(&format!("{clients} clients, stopped after 300 ms"), &times([begun.elapsed()].into_iter()));
+        print_row(
+            &format!("{clients} clients, stopped after 300 ms"),
+            &histogram_of([start.elapsed()].into_iter()),
+        );
         assert_eq!(node.call_operator("POST", "/-/resume").map(|m| m.status()), Some(200));
-        wait_until("it serves again", || is_ready(&node));
+        wait_until("the node is ready again", || is_ready(&node));
     }
 }
 
-/// Processes that follow one another, and a cold start beside them.
-fn replacements(dials: &[SocketAddr], runs: &Runs, count: usize) {
-    let discovery = Discovery::new(vec![told(dials)], true);
+/// Measures consecutive replacements of a process under load, and cold starts for comparison.
+fn measure_replacements(addresses: &[SocketAddr], runs: &RunCounts, count: usize) {
+    let discovery = Discovery::new(vec![discovery_list(addresses)], true);
     let socket = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = socket.local_addr().expect("its address");
+    let address = socket.local_addr().expect("a local address");
     let folder = |name: &str| {
         let path = std::env::temp_dir().join(format!("corkhollow-bench-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&path).expect("a folder");
@@ -197,24 +204,24 @@
     wait_until("the first is ready", || is_ready(&node));
     let load = Load::start(address, 16, 5 * MS);
     sleep(500 * MS);
-    let (mut to_ready, mut to_end, mut changes) = (Vec::new(), Vec::new(), Vec::new());
+    let (mut ready_times, mut exit_times, mut handover_times) = (Vec::new(), Vec::new(), Vec::new());
     for _ in 0..count {
-        let begun = Instant::now();
+        let start = Instant::now();
         let new = Node::start_with_listener(&socket, &shared, discovery.address, &NodeOptions::default());
         wait_until("the next is ready", || is_ready(&new));
-        to_ready.push(begun.elapsed());
+        ready_times.push(start.elapsed());
         node.signal("-TERM");
-        let told = Instant::now();
+        let signalled_at = Instant::now();
         assert!(node.wait_for_exit().success());
-        to_end.push(told.elapsed());
-        changes.push(told);
+        exit_times.push(signalled_at.elapsed());
+        handover_times.push(signalled_at);
         node = new;
     }
     sleep(1000 * MS);
-    let seen = load.stop();
-    let answers = seen.times.lock().expect("the times").clone();
-    let turned_back = seen.turned_back.load(SeqCst);
-    // Without a word from another process: the clients wait in the kernel meanwhile.
+    let results = load.stop();
+    let answers = results.answer_times.lock().expect("the times").clone();
+    let unanswered = results.unanswered.load(SeqCst);
+    // Cold starts without a predecessor; connections wait in the kernel's queue until the process accepts them.
     node.signal("-TERM");
     assert!(node.wait_for_exit().success());
     let mut cold = Vec::new();
@@ -222,38 +229,41 @@
         let folder = folder(&format!("cold-{k}"));
         let mut node =
             Node::start_with_listener(&socket, &folder, discovery.address, &NodeOptions::default());
-        wait_until("it is ready", || is_ready(&node));
-        let (load, begun) = (Load::start(address, 16, 5 * MS), Instant::now());
+        wait_until("the node is ready", || is_ready(&node));
+        let (load, start) = (Load::start(address, 16, 5 * MS), Instant::now());
         sleep(1000 * MS);
-        let seen = load.stop();
-        let times = seen.times.lock().expect("the times");
-        cold.extend(times.iter().filter(|(at, _)| *at - begun < 1000 * MS).map(|(_, time)| *time));
+        let results = load.stop();
+        let times = results.answer_times.lock().expect("the times");
+        cold.extend(times.iter().filter(|(at, _)| *at - start < 1000 * MS).map(|(_, time)| *time));
         node.signal("-TERM");
         assert!(node.wait_for_exit().success());
         let _ = std::fs::remove_dir_all(folder);
     }
     let _ = std::fs::remove_dir_all(shared);
-    let first = |at: &Instant| changes.iter().any(|c| *at >= *c && *at < *c + 1000 * MS);
-    head(&format!("{count} replacements in a row, 16 clients"));
-    line("from its start to its yes", &times(to_ready.into_iter()));
-    line("from SIGTERM to the old one's end", &times(to_end.into_iter()));
-    line("requests in the second after SIGTERM", &times(answers.iter().filter(|a| first(&a.0)).map(|a| a.1)));
-    line("requests in the second after a cold start", &times(cold.into_iter()));
-    let twice = runs.lock().expect("the counts").values().filter(|n| **n > 1).count();
+    let is_first_second = |at: &Instant| handover_times.iter().any(|c| *at >= *c && *at < *c + 1000 * MS);
+    print_header(&format!("{count} replacements in a row, 16 clients"));
+    print_row("from its start to its yes", &histogram_of(ready_times.into_iter()));
+    print_row("from SIGTERM to the old one's end", &histogram_of(exit_times.into_iter()));
+    print_row(
+        "requests in the second after SIGTERM",
+        &histogram_of(answers.iter().filter(|a| is_first_second(&a.0)).map(|a| a.1)),
+    );
+    print_row("requests in the second after a cold start", &histogram_of(cold.into_iter()));
+    let run_twice = runs.lock().expect("the counts").values().filter(|n| **n > 1).count();
     println!(
-        "answered 200: {}, refused: {}, failed: {}, turned back: {turned_back}, run twice: {twice}",
+        "answered 200: {}, refused: {}, failed: {}, turned back: {unanswered}, run twice: {run_twice}",
         answers.len(),
-        seen.refused.load(SeqCst),
-        seen.failed.load(SeqCst)
+        results.refused.load(SeqCst),
+        results.failed.load(SeqCst)
     );
 }
 
-/// 200 bodies of 4 MiB at once against 48 MB.
-fn two_hundred_bodies(dials: &[SocketAddr]) {
-    let discovery = Discovery::new(vec![told(dials)], true);
+/// Sends 200 bodies of 4 MiB at once to a node with a memory limit of 48 MB.
+fn measure_concurrent_bodies(addresses: &[SocketAddr]) {
+    let discovery = Discovery::new(vec![discovery_list(addresses)], true);
     let node = Node::start(discovery.address, &NodeOptions { memory_mb: 48, ..NodeOptions::default() });
     node.wait_until_ready();
-    let (served, begun) = (AtomicUsize::new(0), Instant::now());
+    let (served, start) = (AtomicUsize::new(0), Instant::now());
     std::thread::scope(|scope| {
         for _ in 0..200 {
             scope.spawn(|| {
@@ -266,70 +276,83 @@
     println!(
         "\n200 bodies of 4 MiB at once: {} served in {:.2} s, {mib:.1} MiB at most of 48 MB",
         served.load(SeqCst),
-        begun.elapsed().as_secs_f64()
+        start.elapsed().as_secs_f64()
     );
 }
 
 /// Processor time that a process has used, in nanoseconds.
-fn cpu(process: u32) -> f64 {
+fn cpu_nanos(process: u32) -> f64 {
     let stat = std::fs::read_to_string(format!("/proc/{process}/schedstat")).expect("Linux");
     stat.split(' ').next().and_then(|n| n.parse().ok()).expect("a number")
 }
 
-/// Long bodies beside a bare relay, in turn: processor time and rate.
-fn beside_a_relay(to: SocketAddr) {
-    const LENGTH: usize = 32 << 20;
+/// Compares processor time and throughput of long bodies with the bare relay, which takes turns with the node.
+fn compare_with_relay(server: SocketAddr) {
+    const BODY_BYTES: usize = 32 << 20;
     let mut path = std::env::current_exe().expect("where the bench is");
     path.pop();
     path.pop();
     let mut relay = Command::new(path.join("bare-relay"))
-        .arg(to.to_string())
+        .arg(server.to_string())
         .stderr(Stdio::piped())
         .spawn()
         .expect("the relay starts");
-    let mut lines = BufReader::new(relay.stderr.take().expect("its log")).lines();
-    let relay_at: SocketAddr = loop {
-        let line = lines.next().expect("it says where it listens").expect("a line");
+    let mut lines = BufReader::new(relay.stderr.take().expect("a piped log")).lines();
+    let relay_address: SocketAddr = loop {
+        let line = lines.next().expect("a log line with the address").expect("a line");
         if let Some((_, address)) = line.split_once("listening on ") {
             break address.parse().expect("an address");
         }
     };
     let node = Node::start_with_operator_file(&format!(
         "[[listener]]\nname = \"web\"\naddress = \"127.0.0.1:0\"\n[[pool]]\nname = \"one\"\n\
-         servers = [{{ address = \"{to}\" }}]\n[[route]]\nname = \"all\"\npool = \"one\"\n"
+         servers = [{{ address = \"{server}\" }}]\n[[route]]\nname = \"all\"\npool = \"one\"\n"
     ));
-    let body = vec![b'x'; LENGTH];
-    let (mut work, mut rate) = ([Vec::new(), Vec::new()], [Vec::new(), Vec::new()]);
+    let body = vec![b'x'; BODY_BYTES];
+    let (mut cpu_ms_per_mib, mut mib_per_second) = ([Vec::new(), Vec::new()], [Vec::new(), Vec::new()]);
     for _ in 0..7 {
         for (k, (address, process)) in
-            [(relay_at, relay.id()), (node.address, node.process_id())].into_iter().enumerate()
+            [(relay_address, relay.id()), (node.address, node.process_id())].into_iter().enumerate()
         {
-            let (before, begun) = (cpu(process), Instant::now());
+            let (before, start) = (cpu_nanos(process), Instant::now());
             std::thread::scope(|scope| {
                 for _ in 0..4 {
                     scope.spawn(|| {
                         let mut stream = TcpStream::connect(address).expect("a connection");
-                        stream.write_all(&post_request("/long", &body)).expect("it takes the body");
+                        stream.write_all(&post_request("/long", &body)).expect("the body written");
                         assert_eq!(read_message(&mut stream).expect("an answer").status(), 200);
                     });
                 }
             });
-            let mib = (4 * LENGTH) as f64 / f64::from(1 << 20);
-            work[k].push((cpu(process) - before) / 1e6 / mib);
-            rate[k].push(mib / begun.elapsed().as_secs_f64());
+            let mib = (4 * BODY_BYTES) as f64 / f64::from(1 << 20);
+            cpu_ms_per_mib[k].push((cpu_nanos(process) - before) / 1e6 / mib);
+            mib_per_second[k].push(mib / start.elapsed().as_secs_f64());
         }
     }
     let median = |all: &mut Vec<f64>| {
         all.sort_by(f64::total_cmp);
         all[all.len() / 2]
     };
-    let [work, rate] = [&mut work, &mut rate].map(|both| [median(&mut both[0]), median(&mut both[1])]);
+    let [cpu_ms_per_mib, mib_per_second] =
+        [&mut cpu_ms_per_mib, &mut mib_per_second].map(|both| [median(&mut both[0]), median(&mut both[1])]);
     println!(
         "\n{:<44} {:>14} {:>14} {:>9}",
         "4 bodies of 32 MiB at once, 7 turns", "bare relay", "corkhollow", "ratio"
     );
-    println!("{:<44} {:>14.3} {:>14.3} {:>9.2}", "processor ms a MiB", work[0], work[1], work[1] / work[0]);
-    println!("{:<44} {:>14.0} {:>14.0} {:>9.2}", "MiB a second", rate[0], rate[1], rate[1] / rate[0]);
+    println!(
+        "{:<44} {:>14.3} {:>14.3} {:>9.2}",
+        "processor ms a MiB",
+        cpu_ms_per_mib[0],
+        cpu_ms_per_mib[1],
+        cpu_ms_per_mib[1] / cpu_ms_per_mib[0]
+    );
+    println!(
+        "{:<44} {:>14.0} {:>14.0} {:>9.2}",
+        "MiB a second",
+        mib_per_second[0],
+        mib_per_second[1],
+        mib_per_second[1] / mib_per_second[0]
+    );
     let _ = relay.kill();
     let _ = relay.wait();
 }
@@ -340,12 +363,12 @@
     let cargo = std::env::var("CARGO").unwrap_or("cargo".to_owned());
     let build = ["build", "--release", "--locked", "-p", "corkhollow", "-p", "corkhollow-bench"];
     assert!(Command::new(cargo).args(build).status().expect("cargo").success());
-    let runs = Runs::default();
-    let quick = [1, 1, 2, 2].map(|ms| server(ms * MS, &runs));
-    // One that is slow and one that is not there: what a node has to know to do without them.
-    let fleet = [&quick[..], &[server(150 * MS, &runs), refusing_address()]].concat();
-    calls_and_drains(&quick);
-    replacements(&fleet, &runs, count);
-    two_hundred_bodies(&quick);
-    beside_a_relay(server(Duration::ZERO, &runs));
+    let runs = RunCounts::default();
+    let fast_servers = [1, 1, 2, 2].map(|ms| server(ms * MS, &runs));
+    // One slow server and one that refuses connections, which a successor learns from its predecessor.
+    let all_servers = [&fast_servers[..], &[server(150 * MS, &runs), refusing_address()]].concat();
+    measure_calls_and_drains(&fast_servers);
+    measure_replacements(&all_servers, &runs, count);
+    measure_concurrent_bodies(&fast_servers);
+    compare_with_relay(server(Duration::ZERO, &runs));
 }
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -1,1 +1,1 @@
-//! Measurements that can be run again with `cargo bench`; what they need beside the benches themselves.
+//! Benchmarks, run with `cargo bench`, and the programs that they compare against.
