--- a/crates/test-support/src/demo.rs
+++ b/crates/test-support/src/demo.rs
@@ -1,4 +1,4 @@
-//! A small fleet of HTTP servers that can be slow, die and come back, and clients that put a mild load on it.
+//! Demo servers that can be slow, stop and restart, and a load generator.
 
 use crate::message::{read_message, response};
 use rand_core::{RngCore, SeedableRng};
@@ -10,74 +10,74 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Numbers that look random and are the same for the same seed.
+/// A pseudo-random generator that yields the same sequence for the same seed.
 #[derive(Clone, Debug)]
 pub struct SeededRng(Pcg64Mcg);
 
 impl SeededRng {
-    /// Numbers of this seed.
+    /// Creates a generator.
     pub fn new(seed: u64) -> Self {
         SeededRng(Pcg64Mcg::seed_from_u64(seed))
     }
 
-    /// The next number.
+    /// The next value.
     pub fn next_u64(&mut self) -> u64 {
         self.0.next_u64()
     }
 
-    /// The next number, from 0 up to 1.
+    /// The next value, uniformly distributed in `[0, 1)`.
     pub fn next_fraction(&mut self) -> f64 {
         (self.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// A time with this mean, exponentially distributed and cut at eight times the mean.
+    /// The next duration, exponentially distributed with this mean and limited to eight times the mean.
     pub fn next_duration(&mut self, mean: Duration) -> Duration {
         mean.mul_f64((-(1.0 - self.next_fraction()).ln()).min(8.0))
     }
 }
 
-/// One server of a fleet.
+/// An HTTP server.
 pub struct DemoServer {
-    /// Its name.
+    /// The name, sent in the header `X-Server`.
     pub name: String,
-    /// Where it listens, also after it has come back.
+    /// The listening address, kept over a restart.
     pub address: SocketAddr,
     /// The mean time that a request takes.
     pub mean_service_time: Duration,
-    alive: AtomicBool,
+    is_up: AtomicBool,
     in_flight: AtomicUsize,
     answered_count: AtomicU64,
     connections: Mutex<Vec<TcpStream>>,
-    draw: Mutex<SeededRng>,
+    rng: Mutex<SeededRng>,
 }
 
 impl DemoServer {
     /// Starts a server on a free port.
     pub fn start(name: &str, mean_service_time: Duration, seed: u64) -> std::io::Result<Arc<Self>> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
-        let machine = Arc::new(DemoServer {
+        let server = Arc::new(DemoServer {
             name: name.to_owned(),
             address: listener.local_addr()?,
             mean_service_time,
-            alive: AtomicBool::new(true),
+            is_up: AtomicBool::new(true),
             in_flight: AtomicUsize::new(0),
             answered_count: AtomicU64::new(0),
             connections: Mutex::default(),
-            draw: Mutex::new(SeededRng::new(seed)),
+            rng: Mutex::new(SeededRng::new(seed)),
         });
-        machine.clone().listen(listener);
-        Ok(machine)
+        server.clone().listen(listener);
+        Ok(server)
     }
 
     fn listen(self: Arc<Self>, listener: TcpListener) {
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                // The one that wakes a dying server is nobody's.
+                // The connection that `stop` opens to unblock `accept`.
                 if !self.is_up() {
                     return;
                 }
-                let machine = self.clone();
-                thread::spawn(move || machine.serve(stream));
+                let server = self.clone();
+                thread::spawn(move || server.serve(stream));
             }
         });
     }
@@ -91,14 +91,14 @@
         while let Some(request) = read_message(&mut stream).filter(|m| m.is_complete) {
             self.in_flight.fetch_add(1, Ordering::SeqCst);
             let time = self
-                .draw
+                .rng
                 .lock()
                 .map(|mut d| d.next_duration(self.mean_service_time))
                 .unwrap_or(self.mean_service_time);
             thread::sleep(time);
             self.in_flight.fetch_sub(1, Ordering::SeqCst);
-            let line = request.head.lines().next().unwrap_or_default();
-            let body = format!("{} from {}\n", line, self.name);
+            let request_line = request.head.lines().next().unwrap_or_default();
+            let body = format!("{} from {}\n", request_line, self.name);
             let headers = format!("X-Server: {}\r\nContent-Type: text/plain\r\n", self.name);
             if !self.is_up() || stream.write_all(&response("200 OK", &headers, body.as_bytes())).is_err() {
                 return;
@@ -107,76 +107,76 @@
         }
     }
 
-    /// Whether it is up.
+    /// Whether the server is running.
     pub fn is_up(&self) -> bool {
-        self.alive.load(Ordering::SeqCst)
+        self.is_up.load(Ordering::SeqCst)
     }
 
-    /// Requests that it has in hand.
+    /// The number of requests being served.
     pub fn in_flight(&self) -> usize {
         self.in_flight.load(Ordering::SeqCst)
     }
 
-    /// Requests that it has answered.
+    /// The number of requests answered.
     pub fn answered_count(&self) -> u64 {
         self.answered_count.load(Ordering::SeqCst)
     }
 
-    /// Dies: its connections break, and new ones are refused.
+    /// Stops the server: its connections are closed and new ones are refused.
     pub fn stop(&self) {
-        self.alive.store(false, Ordering::SeqCst);
+        self.is_up.store(false, Ordering::SeqCst);
         let _ = TcpStream::connect(self.address);
         if let Ok(mut all) = self.connections.lock() {
             all.drain(..).for_each(|c| drop(c.shutdown(Shutdown::Both)));
         }
     }
 
-    /// Comes back at its address. False where somebody else has taken it.
+    /// Starts the server again at the same address; false where that address is in use.
     pub fn restart(self: &Arc<Self>) -> bool {
         let Ok(listener) = TcpListener::bind(self.address) else { return false };
-        self.alive.store(true, Ordering::SeqCst);
+        self.is_up.store(true, Ordering::SeqCst);
         self.clone().listen(listener);
         true
     }
 }
 
-/// What clients have seen.
+/// Counters of a load generator.
 #[derive(Debug, Default)]
 pub struct LoadStats {
     /// Requests sent.
     pub requests: AtomicU64,
-    /// Good answers.
+    /// Responses with status 200.
     pub successes: AtomicU64,
-    /// Answers that a repeat is harmless.
+    /// Responses with status 503 or 429.
     pub rejections: AtomicU64,
-    /// Other answers, and none.
+    /// Other responses, and requests without a response.
     pub failures: AtomicU64,
-    /// Time of the good answers, in microseconds.
+    /// Total time of the successful requests, in microseconds.
     pub success_micros: AtomicU64,
 }
 
-/// Clients that ask one thing after the other, each on a kept connection, until told to stop.
+/// Clients that send one request after the other, each on a persistent connection, until stopped.
 pub struct LoadGenerator {
     stop: Arc<AtomicBool>,
     threads: Vec<thread::JoinHandle<()>>,
-    /// What they have seen.
+    /// The counters.
     pub stats: Arc<LoadStats>,
 }
 
 impl LoadGenerator {
-    /// So many clients, each waiting for `pause` on average between two requests.
+    /// Starts this many clients, each with a mean pause of `pause` between two requests.
     pub fn start(address: SocketAddr, clients: u64, pause: Duration, seed: u64) -> Self {
         let (stop, stats) = (Arc::new(AtomicBool::new(false)), Arc::new(LoadStats::default()));
-        let client = |k: u64| {
+        let client = |index: u64| {
             let (stop, stats) = (stop.clone(), stats.clone());
-            let draw = SeededRng::new(seed.wrapping_add(k));
-            thread::spawn(move || ask_on(address, &stop, &stats, pause, draw))
+            let rng = SeededRng::new(seed.wrapping_add(index));
+            thread::spawn(move || run_client(address, &stop, &stats, pause, rng))
         };
         let threads = (0..clients).map(client).collect();
         LoadGenerator { stop, threads, stats }
     }
 
-    /// Ends them, each with its last answer.
+    /// Stops the clients once each has its current response.
     pub fn stop(self) {
         self.stop.store(true, Ordering::SeqCst);
         for client in self.threads {
@@ -185,27 +185,34 @@
     }
 }
 
-fn ask_on(address: SocketAddr, stop: &AtomicBool, stats: &LoadStats, pause: Duration, mut draw: SeededRng) {
-    let mut kept: Option<TcpStream> = None;
+fn run_client(
+    address: SocketAddr,
+    stop: &AtomicBool,
+    stats: &LoadStats,
+    pause: Duration,
+    mut rng: SeededRng,
+) {
+    let mut idle_connection: Option<TcpStream> = None;
     while !stop.load(Ordering::SeqCst) {
-        thread::sleep(draw.next_duration(pause));
-        let request = match draw.next_u64() % 4 {
+        thread::sleep(rng.next_duration(pause));
+        let request = match rng.next_u64() % 4 {
             0 => "POST /acknowledge HTTP/1.1\r\nHost: demo\r\nContent-Length: 2\r\n\r\nok",
             1 => "GET /gauges HTTP/1.1\r\nHost: demo\r\n\r\n",
             _ => "GET /status HTTP/1.1\r\nHost: demo\r\n\r\n",
         };
         let start = Instant::now();
         stats.requests.fetch_add(1, Ordering::SeqCst);
-        let answer = kept.take().or_else(|| TcpStream::connect(address).ok()).and_then(|mut stream| {
-            let _ = stream.set_nodelay(true);
-            let _ = stream.set_read_timeout(Some(Duration::from_secs(10)));
-            stream.write_all(request.as_bytes()).ok()?;
-            let answer = read_message(&mut stream)?;
-            if answer.header("connection") != Some("close") {
-                kept = Some(stream);
-            }
-            Some(answer)
-        });
+        let answer =
+            idle_connection.take().or_else(|| TcpStream::connect(address).ok()).and_then(|mut stream| {
+                let _ = stream.set_nodelay(true);
+                let _ = stream.set_read_timeout(Some(Duration::from_secs(10)));
+                stream.write_all(request.as_bytes()).ok()?;
+                let answer = read_message(&mut stream)?;
+                if answer.header("connection") != Some("close") {
+                    idle_connection = Some(stream);
+                }
+                Some(answer)
+            });
         match answer.map_or(0, |a| a.status()) {
             200 => {
                 stats.successes.fetch_add(1, Ordering::SeqCst);
--- a/crates/test-support/src/discovery.rs
+++ b/crates/test-support/src/discovery.rs
@@ -1,4 +1,4 @@
-//! The platform's discovery.
+//! A scripted discovery service of the platform.
 
 use crate::message::read_message;
 use crate::WAIT_TIMEOUT;
@@ -9,30 +9,31 @@
 use std::thread;
 use std::time::Duration;
 
-/// One server in the words of discovery.
-pub fn host_json(name: &str, dial: SocketAddr, health: &str) -> String {
+/// The JSON of a host in a discovery list.
+pub fn host_json(name: &str, address: SocketAddr, health: &str) -> String {
     format!(
-        r#"{{"host":"{name}","dial":"{dial}","site":"a","class":"std","block":0,"health":"{health}","share":1.0,"born_ms":0}}"#
+        r#"{{"host":"{name}","dial":"{address}","site":"a","class":"std","block":0,"health":"{health}","share":1.0,"born_ms":0}}"#
     )
 }
 
-/// A line of discovery.
-pub fn list_json(seq: u64, whole: bool, hosts: &[String]) -> String {
-    format!(r#"{{"seq":{seq},"whole":{whole},"hosts":[{}]}}"#, hosts.join(","))
+/// The JSON of a discovery list.
+pub fn list_json(seq: u64, is_complete: bool, hosts: &[String]) -> String {
+    format!(r#"{{"seq":{seq},"whole":{is_complete},"hosts":[{}]}}"#, hosts.join(","))
 }
 
-/// Discovery: every watch gets the next of the opening lines (the last again and again), and then what is said.
+/// A discovery service. Each watch first gets the next opening line (the last one is repeated), then the lines that
+/// the test pushes.
 pub struct Discovery {
-    /// Where it listens.
+    /// The listening address.
     pub address: SocketAddr,
-    /// Watches opened so far.
+    /// The number of watches opened.
     pub watch_count: Arc<AtomicUsize>,
     watch_senders: Arc<Mutex<Vec<mpsc::Sender<String>>>>,
 }
 
 impl Discovery {
-    /// With `beat`, an empty line comes every 2 s, as it should.
-    pub fn new(openings: Vec<String>, beat: bool) -> Self {
+    /// Starts the service. With `sends_heartbeats`, an idle watch gets an empty line every 2 s, as the protocol demands.
+    pub fn new(opening_lines: Vec<String>, sends_heartbeats: bool) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let discovery = Discovery {
             address: listener.local_addr().unwrap(),
@@ -46,8 +47,9 @@
                     continue;
                 }
                 let (sender, lines) = mpsc::channel::<String>();
-                let opening = &openings[watch_count.load(Ordering::SeqCst).min(openings.len() - 1)];
-                sender.send(opening.clone()).unwrap();
+                let opening_line =
+                    &opening_lines[watch_count.load(Ordering::SeqCst).min(opening_lines.len() - 1)];
+                sender.send(opening_line.clone()).unwrap();
                 watch_senders.lock().unwrap().push(sender);
                 watch_count.fetch_add(1, Ordering::SeqCst);
                 thread::spawn(move || {
@@ -55,7 +57,7 @@
                     loop {
                         let line = match lines.recv_timeout(Duration::from_secs(2)) {
                             Ok(line) => line,
-                            Err(mpsc::RecvTimeoutError::Timeout) if beat => String::new(),
+                            Err(mpsc::RecvTimeoutError::Timeout) if sends_heartbeats => String::new(),
                             Err(mpsc::RecvTimeoutError::Timeout) => continue,
                             Err(_) => return,
                         };
@@ -70,49 +72,49 @@
         discovery
     }
 
-    /// Says a line on the newest watch.
+    /// Sends a line on the newest watch.
     pub fn push_line(&self, line: String) {
         let _ = self.watch_senders.lock().unwrap().last().unwrap().send(line);
     }
 
-    /// Watches so far.
+    /// The number of watches opened.
     pub fn watch_count(&self) -> usize {
         self.watch_count.load(Ordering::SeqCst)
     }
 }
 
-/// Discovery whose calls a test answers itself, one by one: it stands at each point of each call.
+/// A discovery service whose calls the test answers by hand.
 pub struct ManualDiscovery {
-    /// Where it listens.
+    /// The listening address.
     pub address: SocketAddr,
     calls: mpsc::Receiver<ReceivedCall>,
-    closes: Arc<AtomicBool>,
-    listening: thread::JoinHandle<()>,
+    is_closing: Arc<AtomicBool>,
+    accept_thread: thread::JoinHandle<()>,
 }
 
-/// A call that has come. Dropped, its connection is closed.
+/// A call of the node. Its connection is closed on drop.
 pub struct ReceivedCall {
-    /// What was asked for: path and query.
+    /// The request target: path and query.
     pub target: String,
     stream: TcpStream,
 }
 
 impl ManualDiscovery {
-    /// Takes calls.
+    /// Listens on a free port.
     pub fn listen() -> Self {
         Self::listen_at(SocketAddr::from(([127, 0, 0, 1], 0)))
     }
 
-    /// The same, at this address.
+    /// Listens on this address.
     pub fn listen_at(address: SocketAddr) -> Self {
         let listener = TcpListener::bind(address).unwrap();
         let address = listener.local_addr().unwrap();
         let (sender, calls) = mpsc::channel();
-        let closes = Arc::new(AtomicBool::new(false));
-        let closed = closes.clone();
-        let listening = thread::spawn(move || {
+        let is_closing = Arc::new(AtomicBool::new(false));
+        let stops_accepting = is_closing.clone();
+        let accept_thread = thread::spawn(move || {
             for mut stream in listener.incoming().flatten() {
-                if closed.load(Ordering::SeqCst) {
+                if stops_accepting.load(Ordering::SeqCst) {
                     return;
                 }
                 if let Some(message) = read_message(&mut stream) {
@@ -123,56 +125,59 @@
                 }
             }
         });
-        ManualDiscovery { address, calls, closes, listening }
+        ManualDiscovery { address, calls, is_closing, accept_thread }
     }
 
-    /// Refuses connections from here on, and ends all calls that nobody has taken.
+    /// Stops listening and closes all calls that the test has not taken.
     pub fn close(self) {
-        self.closes.store(true, Ordering::SeqCst);
-        // It may be waiting for a connection.
+        self.is_closing.store(true, Ordering::SeqCst);
+        // Unblocks `accept`.
         drop(TcpStream::connect(self.address));
-        self.listening.join().unwrap();
+        self.accept_thread.join().unwrap();
     }
 
-    /// The next call.
+    /// Waits for the next call.
+    ///
+    /// # Panics
+    /// Where none arrives within 20 s.
     pub fn next_call(&self) -> ReceivedCall {
-        self.calls.recv_timeout(WAIT_TIMEOUT).expect("the node calls")
+        self.calls.recv_timeout(WAIT_TIMEOUT).expect("the node calls discovery")
     }
 
-    /// A call that comes within this.
+    /// Waits this long for the next call.
     pub fn next_call_within(&self, time: Duration) -> Option<ReceivedCall> {
         self.calls.recv_timeout(time).ok()
     }
 
-    /// The newest of the calls that have come by now, and of the next one where none has; the others go on being silent.
-    pub fn newest_call(&self, silent: &mut Vec<ReceivedCall>) -> ReceivedCall {
+    /// Waits for a call and returns the newest one that has arrived; older ones stay open, unanswered, in `unanswered`.
+    pub fn newest_call(&self, unanswered: &mut Vec<ReceivedCall>) -> ReceivedCall {
         let mut newest = self.next_call();
         while let Ok(newer) = self.calls.try_recv() {
-            silent.push(std::mem::replace(&mut newest, newer));
+            unanswered.push(std::mem::replace(&mut newest, newer));
         }
         newest
     }
 }
 
 impl ReceivedCall {
-    /// Begins the answer of a watch, and says this on it.
-    pub fn start_watch(&mut self, words: &str) {
+    /// Sends the response head of a watch and a first chunk.
+    pub fn start_watch(&mut self, text: &str) {
         let _ = self.stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        self.write_chunk(words);
+        self.write_chunk(text);
     }
 
-    /// Says more, as it stands.
-    pub fn write_chunk(&mut self, words: &str) {
-        let chunk = format!("{:x}\r\n{words}\r\n", words.len());
+    /// Sends a chunk.
+    pub fn write_chunk(&mut self, text: &str) {
+        let chunk = format!("{:x}\r\n{text}\r\n", text.len());
         let _ = self.stream.write_all(chunk.as_bytes());
     }
 
-    /// Writes these bytes as they stand.
+    /// Sends these bytes without chunk framing.
     pub fn write_raw(&mut self, bytes: &[u8]) {
         let _ = self.stream.write_all(bytes);
     }
 
-    /// Ends it with a reset.
+    /// Resets the connection.
     pub fn reset(self) {
         crate::servers::reset_connection(self.stream);
     }
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -1,4 +1,4 @@
-//! Scripted peers on loopback sockets: servers, clients, discovery, and the program between them.
+//! Scripted servers, clients and discovery services on loopback sockets, and helpers that run the program under test.
 
 mod clients;
 mod demo;
@@ -24,23 +24,26 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Far more than anything here takes: a test that gets this far has failed.
+/// Longer than any operation of a passing test; a wait that takes this long fails the test.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Waits for a condition.
+/// Polls `condition` until it holds.
+///
+/// # Panics
+/// Where the condition does not hold within 20 s; `what` names it.
 pub fn wait_until(what: &str, condition: impl Fn() -> bool) {
     let start = Instant::now();
     while !condition() {
-        assert!(start.elapsed() < WAIT_TIMEOUT, "waited in vain: {what}");
+        assert!(start.elapsed() < WAIT_TIMEOUT, "timed out waiting for: {what}");
         thread::sleep(Duration::from_millis(2));
     }
 }
 
-/// A folder of its own for a test, gone with it.
+/// A temporary directory, removed when dropped.
 pub struct TempFolder(pub std::path::PathBuf);
 
 impl TempFolder {
-    /// A new one; no two tests of a process may give it the same name.
+    /// Creates the directory. Each test of a process needs a name of its own.
     pub fn new(name: &str) -> Self {
         let path = std::env::temp_dir().join(format!("corkhollow-{name}-{}", std::process::id()));
         std::fs::create_dir_all(&path).unwrap();
--- a/crates/test-support/src/message.rs
+++ b/crates/test-support/src/message.rs
@@ -1,43 +1,44 @@
-//! HTTP/1.1 messages, read and written by hand.
+//! HTTP/1.1 messages, parsed and written without an HTTP library.
 
 use std::io::{BufRead, BufReader, Read};
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// A message as it came: its head and its body.
+/// An HTTP message as it was received.
 #[derive(Clone, Debug)]
 pub struct Message {
-    /// Its head, with the blank line.
+    /// The first line and the headers, including the blank line.
     pub head: String,
-    /// Its body as it came.
+    /// The body, without the framing of chunks.
     pub body: Vec<u8>,
-    /// The body came to its end.
+    /// The whole body was received.
     pub is_complete: bool,
-    /// How long its connection had stood idle, as a server sees it; nothing for the first.
+    /// How long the connection was idle before this request, measured from the server's previous reply; zero for the
+    /// first request.
     pub idle_before: Duration,
 }
 
 impl Message {
-    /// The status of an answer; 0 where there is none.
+    /// The status code of a response; 0 where there is none.
     pub fn status(&self) -> u16 {
         self.head.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
     }
 
-    /// The first header of this name.
+    /// The value of the first header of this name.
     pub fn header(&self, name: &str) -> Option<&str> {
         let lines = self.head.lines().skip(1).filter_map(|l| l.split_once(':'));
         lines.clone().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.trim())
     }
 }
 
-/// Reads one message; none where the connection ends before its head does.
+/// Reads one message; none where the connection ends before the end of the head.
 pub fn read_message(stream: &mut TcpStream) -> Option<Message> {
     let mut head = Vec::new();
     let mut byte = [0];
     while !head.ends_with(b"\r\n\r\n") {
         match stream.read(&mut byte) {
             Ok(1) => head.push(byte[0]),
-            // A read with a time limit may be broken off by a signal, of which nothing is lost.
+            // A signal may interrupt a read that has a timeout; no bytes are lost.
             Err(e) if e.kind() == std::io::ErrorKind::Interrupted => {}
             _ => return None,
         }
@@ -70,7 +71,7 @@
     Some(message)
 }
 
-/// The bytes of an answer with a length.
+/// The bytes of a response with a `Content-Length`.
 pub fn response(status: &str, headers: &str, body: &[u8]) -> Vec<u8> {
     let mut out =
         format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n", body.len()).into_bytes();
--- a/crates/test-support/src/servers.rs
+++ b/crates/test-support/src/servers.rs
@@ -1,4 +1,4 @@
-//! Servers that follow a script.
+//! Servers that reply to each request by a script.
 
 use crate::discovery::{host_json, list_json};
 use crate::message::{read_message, response, Message};
@@ -9,40 +9,40 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// What a server does with the request that it has just read.
+/// What a server does with a request that it has read.
 pub enum Reply {
-    /// Writes this and goes on.
+    /// Sends these bytes and keeps the connection.
     Send(Vec<u8>),
-    /// Writes this and ends its side.
+    /// Sends these bytes, shuts down its writing side and waits for the peer to close.
     SendAndClose(Vec<u8>),
     /// Resets the connection.
     Reset,
-    /// Says nothing and keeps the connection.
+    /// Sends nothing and keeps the connection.
     NoAnswer,
-    /// Does as it likes with the connection, and ends it.
+    /// Runs this on the connection, then closes it.
     Custom(Box<dyn FnOnce(&mut TcpStream) + Send>),
 }
 
-/// A good answer.
+/// A response with status 200.
 pub fn ok_reply(body: &str) -> Reply {
     Reply::Send(response("200 OK", "", body.as_bytes()))
 }
 
-/// Some servers that share one script: it gets the number of the request, counted over all of them, and the
-/// request. Requests that never come whole do not count.
+/// Servers that share one script. The script gets the request and its index among the complete requests to all of
+/// them; requests whose body is incomplete are ignored.
 pub struct Servers {
-    /// Where they listen.
+    /// The listening addresses.
     pub addresses: Vec<SocketAddr>,
-    /// All whole requests, in the order in which they came.
+    /// All complete requests, in order of arrival.
     pub requests: Arc<Mutex<Vec<Message>>>,
-    /// Connections accepted.
+    /// The number of connections accepted.
     pub connections: Arc<AtomicUsize>,
-    /// Connections ended by `Reply::Last` that the node has closed too.
+    /// The number of connections ended by `Reply::SendAndClose` that the node has closed in turn.
     pub closed_by_node: Arc<AtomicUsize>,
 }
 
 impl Servers {
-    /// As many servers, all with this script.
+    /// Starts `count` servers.
     pub fn new(count: usize, script: impl Fn(usize, &Message) -> Reply + Send + Sync + 'static) -> Self {
         let script = Arc::new(script);
         let mut servers = Servers {
@@ -61,9 +61,9 @@
                     connections.fetch_add(1, Ordering::SeqCst);
                     let (script, requests, closed) = (script.clone(), requests.clone(), closed.clone());
                     thread::spawn(move || {
-                        let mut said: Option<Instant> = None;
+                        let mut last_reply_at: Option<Instant> = None;
                         while let Some(mut message) = read_message(&mut stream).filter(|m| m.is_complete) {
-                            message.idle_before = said.map_or(Duration::ZERO, |at| at.elapsed());
+                            message.idle_before = last_reply_at.map_or(Duration::ZERO, |at| at.elapsed());
                             let number = {
                                 let mut all = requests.lock().unwrap();
                                 all.push(message.clone());
@@ -72,7 +72,7 @@
                             match script(number, &message) {
                                 Reply::Send(bytes) => {
                                     let _ = stream.write_all(&bytes);
-                                    said = Some(Instant::now());
+                                    last_reply_at = Some(Instant::now());
                                 }
                                 Reply::SendAndClose(bytes) => {
                                     let _ = stream.write_all(&bytes);
@@ -93,17 +93,17 @@
         servers
     }
 
-    /// Whole requests so far.
+    /// The number of complete requests received.
     pub fn request_count(&self) -> usize {
         self.requests.lock().unwrap().len()
     }
 
-    /// Connections so far.
+    /// The number of connections accepted.
     pub fn connection_count(&self) -> usize {
         self.connections.load(Ordering::SeqCst)
     }
 
-    /// All of them as a whole list.
+    /// A complete discovery list of the servers, all active.
     pub fn list_json(&self, seq: u64) -> String {
         let all: Vec<_> = self
             .addresses
@@ -115,17 +115,17 @@
     }
 }
 
-/// Closes a connection so that the other side sees a reset.
+/// Closes a connection with a TCP reset.
 pub fn reset_connection(stream: TcpStream) {
     let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
 }
 
-/// The address of a server that refuses connections.
+/// An address at which connections are refused.
 pub fn refusing_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
 }
 
-/// A server that runs a script on each connection, from its first byte on.
+/// Starts a server that runs `script` on each connection, without reading a request first.
 pub fn spawn_raw_server(script: impl Fn(TcpStream) + Send + Sync + 'static) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -139,16 +139,16 @@
     address
 }
 
-/// A server whose backlog is full: connections to it neither come up nor fail.
+/// A server whose accept backlog is full: connection attempts to it neither succeed nor fail.
 pub struct FullBacklogServer {
-    /// Where it listens.
+    /// The listening address.
     pub address: SocketAddr,
     listener: socket2::Socket,
     fillers: Vec<TcpStream>,
 }
 
 impl FullBacklogServer {
-    /// One that takes nothing.
+    /// Creates a listener and fills its backlog.
     pub fn new() -> Self {
         let listener = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
         listener.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
@@ -161,9 +161,9 @@
         FullBacklogServer { address, listener, fillers }
     }
 
-    /// From here on it takes connections, and gives each request this answer.
+    /// Accepts connections from now on and answers each request with `body`.
     pub fn serve(self, body: &'static str) {
-        let listener = self.free();
+        let listener = self.drain_backlog();
         thread::spawn(move || {
             for mut stream in listener.incoming().flatten() {
                 thread::spawn(move || {
@@ -175,31 +175,31 @@
         });
     }
 
-    fn free(self) -> TcpListener {
+    fn drain_backlog(self) -> TcpListener {
         for _ in &self.fillers {
             let _ = self.listener.accept();
         }
         self.listener.into()
     }
 
-    /// From here on it takes connections; the kernel of whoever waits for one tries again about a second after its last
-    /// try. All that comes on them within this time, of all of them together.
+    /// Accepts connections for `time` and returns all bytes received on them. A peer's kernel retransmits its SYN after
+    /// about one second.
     pub fn accept_and_collect(self, time: Duration) -> Vec<u8> {
-        let listener = self.free();
+        let listener = self.drain_backlog();
         listener.set_nonblocking(true).unwrap();
-        let (begun, mut streams, mut seen) = (Instant::now(), Vec::new(), Vec::new());
-        while begun.elapsed() < time {
+        let (start, mut streams, mut received) = (Instant::now(), Vec::new(), Vec::new());
+        while start.elapsed() < time {
             streams.extend(listener.accept().ok().map(|(stream, _)| stream));
             for stream in &mut streams {
                 let _ = stream.set_nonblocking(true);
-                let mut some = [0; 4096];
-                while let Ok(n @ 1..) = stream.read(&mut some) {
-                    seen.extend_from_slice(&some[..n]);
+                let mut buffer = [0; 4096];
+                while let Ok(n @ 1..) = stream.read(&mut buffer) {
+                    received.extend_from_slice(&buffer[..n]);
                 }
             }
             thread::sleep(Duration::from_millis(2));
         }
-        seen
+        received
     }
 }
 
