--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -30,7 +30,7 @@
 /// Polls `condition` until it holds.
 ///
 /// # Panics
-/// Where the condition does not hold within 20 s; `what` names it.
+/// If the condition does not hold within 20 s; `what` names it.
 pub fn wait_until(what: &str, condition: impl Fn() -> bool) {
     let start = Instant::now();
     while !condition() {
--- a/crates/test-support/src/rig.rs
+++ b/crates/test-support/src/rig.rs
@@ -1,5 +1,5 @@
-//! Several processes of the program that hear each other through relays, which put faults between any two of them by direction.
-//! The scripts are those that simulated nodes are played with. All that was started ends with the rig.
+//! Runs several processes of the program whose gossip passes through relays, which inject faults per direction between
+//! any two nodes. The fault scripts are those of the simulated nodes. Dropping the rig ends all processes.
 
 use crate::program::Node;
 use corkhollow_faults::{Action, Network, Script};
@@ -11,263 +11,272 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A datagram on its way: when it is due, its place in the order, to whom, and what.
-type OnItsWay = (Reverse<Instant>, Reverse<u64>, usize, Vec<u8>);
-/// The longest datagram that is relayed.
-const LONGEST: usize = 2_048;
+/// A delayed datagram: due time, sequence number, destination node and bytes.
+type DelayedDatagram = (Reverse<Instant>, Reverse<u64>, usize, Vec<u8>);
+const MAX_DATAGRAM_BYTES: usize = 2_048;
 
 #[derive(Default)]
-struct Held {
-    late: BinaryHeap<OnItsWay>,
-    count: u64,
+struct DelayQueue {
+    delayed: BinaryHeap<DelayedDatagram>,
+    last_sequence: u64,
 }
 
 struct Shared {
     start: Instant,
     network: Mutex<Network>,
-    /// Where each process really hears datagrams.
-    real: Mutex<Vec<Option<SocketAddr>>>,
+    /// The address at which each running node receives datagrams.
+    node_addresses: Mutex<Vec<Option<SocketAddr>>>,
     relays: Vec<UdpSocket>,
-    held: Mutex<Held>,
+    delay_queue: Mutex<DelayQueue>,
     timeline: Mutex<Vec<(Instant, String)>>,
-    over: AtomicBool,
+    is_stopped: AtomicBool,
 }
 
-/// The processes and what is between them.
+/// The processes and the network between them.
 pub struct Rig {
     shared: Arc<Shared>,
-    /// By number; none where it does not run.
+    /// The nodes by index; none where not running.
     pub nodes: Vec<Option<Node>>,
-    text: Box<dyn Fn(usize) -> String>,
-    /// More lines for the table `[fleet]`.
-    times: String,
+    extra_config: Box<dyn Fn(usize) -> String>,
+    /// Further lines of the table `[fleet]`.
+    fleet_settings: String,
     seeds: Vec<usize>,
 }
 
-/// What a node tells of its fleet, as far as tests look at it.
+/// A node's view of its fleet, from its fleet page.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetView {
-    /// The digest of its view.
+    /// The digest of the view.
     pub view_digest: String,
-    /// Whether it says that it has settled.
+    /// Whether the node considers the view settled.
     pub is_settled: bool,
-    /// How many it counts as there.
+    /// The number of members that the node counts as present.
     pub size: usize,
-    /// Its number among them.
+    /// The node's ordinal among them.
     pub ordinal: usize,
-    /// Members by name.
+    /// The members by name.
     pub members: Vec<Member>,
 }
 
-/// One member as a node tells of it.
+/// A member as a node reports it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Member {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// Its state.
+    /// The state.
     pub state: String,
-    /// Its incarnation.
+    /// The incarnation number.
     pub incarnation: u64,
-    /// Whether it is being emptied.
+    /// Whether it drains.
     pub is_draining: bool,
 }
 
-fn value<'j>(json: &'j str, key: &str) -> &'j str {
+fn json_value<'j>(json: &'j str, key: &str) -> &'j str {
     let Some((_, rest)) = json.split_once(&format!("\"{key}\":")) else { panic!("no {key} in {json}") };
     let end = rest.find([',', '}']).unwrap_or(rest.len());
     rest[..end].trim_matches('"')
 }
 
 impl FleetView {
-    /// Asks a node; none where it does not answer, or is in no fleet.
+    /// Fetches the view of a node; none where it does not answer or belongs to no fleet.
     pub fn fetch(node: &Node) -> Option<Self> {
         let answer = node.call_operator("GET", "/-/fleet").filter(|m| m.status() == 200)?;
         let json = String::from_utf8(answer.body).ok()?;
         let (head, members) = json.split_once("\"members\":[")?;
         let member = |json: &str| Member {
-            name: value(json, "node").to_owned(),
-            state: value(json, "state").to_owned(),
-            incarnation: value(json, "incarnation").parse().unwrap(),
-            is_draining: value(json, "drains") == "true",
+            name: json_value(json, "node").to_owned(),
+            state: json_value(json, "state").to_owned(),
+            incarnation: json_value(json, "incarnation").parse().unwrap(),
+            is_draining: json_value(json, "drains") == "true",
         };
         Some(FleetView {
-            view_digest: value(head, "view").to_owned(),
-            is_settled: value(head, "settled") == "true",
-            size: value(head, "size").parse().unwrap(),
-            ordinal: value(head, "ordinal").parse().unwrap(),
+            view_digest: json_value(head, "view").to_owned(),
+            is_settled: json_value(head, "settled") == "true",
+            size: json_value(head, "size").parse().unwrap(),
+            ordinal: json_value(head, "ordinal").parse().unwrap(),
             members: members.split('{').skip(1).map(member).collect(),
         })
     }
 
-    /// One member.
+    /// The member of this name.
     pub fn member(&self, name: &str) -> Option<&Member> {
         self.members.iter().find(|member| member.name == name)
     }
 }
 
 impl Rig {
-    /// Room for so many processes; none runs yet. `text` is the rest of each one's file, `times` are more lines for its table
-    /// `[fleet]`. All are told the same seeds.
+    /// Creates relays for `count` nodes without starting any. `extra_config` gives the rest of each node's file,
+    /// `fleet_settings` are further lines of its table `[fleet]`. All nodes get the same `seeds`.
     pub fn new(
-        count: usize,
+        node_count: usize,
         seed: u64,
         seeds: &[usize],
-        times: &str,
-        text: impl Fn(usize) -> String + 'static,
+        fleet_settings: &str,
+        extra_config: impl Fn(usize) -> String + 'static,
     ) -> Self {
-        let relays: Vec<_> = (0..count).map(|_| UdpSocket::bind("127.0.0.1:0").unwrap()).collect();
+        let relays: Vec<_> = (0..node_count).map(|_| UdpSocket::bind("127.0.0.1:0").unwrap()).collect();
         let shared = Arc::new(Shared {
             start: Instant::now(),
             network: Mutex::new(Network::new(seed)),
-            real: Mutex::new(vec![None; count]),
+            node_addresses: Mutex::new(vec![None; node_count]),
             relays,
-            held: Mutex::default(),
+            delay_queue: Mutex::default(),
             timeline: Mutex::default(),
-            over: AtomicBool::new(false),
+            is_stopped: AtomicBool::new(false),
         });
-        for to in 0..count {
+        for to in 0..node_count {
             let shared = shared.clone();
             thread::spawn(move || shared.relay(to));
         }
-        let late = shared.clone();
-        thread::spawn(move || late.deliver_late());
-        let nodes = (0..count).map(|_| None).collect();
-        Rig { shared, nodes, text: Box::new(text), times: times.to_owned(), seeds: seeds.to_vec() }
+        let delay_thread = shared.clone();
+        thread::spawn(move || delay_thread.deliver_delayed());
+        let nodes = (0..node_count).map(|_| None).collect();
+        Rig {
+            shared,
+            nodes,
+            extra_config: Box::new(extra_config),
+            fleet_settings: fleet_settings.to_owned(),
+            seeds: seeds.to_vec(),
+        }
     }
 
-    /// Where the others reach a process.
-    pub fn relay_address(&self, number: usize) -> SocketAddr {
-        self.shared.relays[number].local_addr().unwrap()
+    /// The address at which other nodes reach a node.
+    pub fn relay_address(&self, index: usize) -> SocketAddr {
+        self.shared.relays[index].local_addr().unwrap()
     }
 
-    /// The file of a process, under a name.
-    pub fn config_text(&self, number: usize, name: &str) -> String {
+    /// The operator's file of a node.
+    pub fn config_text(&self, index: usize, name: &str) -> String {
         let seeds: Vec<_> =
             self.seeds.iter().map(|seed| format!("\"{}\"", self.relay_address(*seed))).collect();
         format!(
             "[operator]\nlisten = \"127.0.0.1:0\"\n[fleet]\nname = \"rig\"\nnode = \"{name}\"\nlisten = \"127.0.0.1:0\"\n\
              advertise = \"{}\"\nseeds = [{}]\n{}\n{}",
-            self.relay_address(number),
+            self.relay_address(index),
             seeds.join(", "),
-            self.times,
-            (self.text)(number)
+            self.fleet_settings,
+            (self.extra_config)(index)
         )
     }
 
-    /// Starts a process, with nothing but its file, and waits until it takes clients.
-    pub fn start(&mut self, number: usize) {
-        let (shared, name) = (self.shared.clone(), format!("n{number}"));
-        shared.tell(format!("{name} is started"));
-        let node = Node::start_with_log_observer(&self.config_text(number, &name), move |line| {
-            if let Some((_, real)) = line.split_once("hears datagrams at ") {
-                shared.real.lock().unwrap()[number] = real.parse().ok();
+    /// Starts a node on its file alone and waits until its listeners are open.
+    pub fn start(&mut self, index: usize) {
+        let (shared, name) = (self.shared.clone(), format!("n{index}"));
+        shared.record(format!("starting {name}"));
+        let node = Node::start_with_log_observer(&self.config_text(index, &name), move |line| {
+            if let Some((_, address)) = line.split_once("hears datagrams at ") {
+                shared.node_addresses.lock().unwrap()[index] = address.parse().ok();
             }
-            shared.tell(format!("n{number}: {line}"));
+            shared.record(format!("n{index}: {line}"));
         });
-        self.nodes[number] = Some(node);
+        self.nodes[index] = Some(node);
     }
 
-    /// Starts so many processes together, and waits until all take clients.
-    pub fn start_all(&mut self, numbers: impl IntoIterator<Item = usize>) {
-        numbers.into_iter().for_each(|number| self.start(number));
+    /// Starts these nodes one after the other.
+    pub fn start_all(&mut self, indices: impl IntoIterator<Item = usize>) {
+        indices.into_iter().for_each(|index| self.start(index));
     }
 
-    /// A running process.
-    pub fn node(&self, number: usize) -> &Node {
-        self.nodes[number].as_ref().expect("it runs")
+    /// A running node.
+    ///
+    /// # Panics
+    /// If the node does not run.
+    pub fn node(&self, index: usize) -> &Node {
+        self.nodes[index].as_ref().expect("the node runs")
     }
 
-    /// Does one thing at once. What it takes to leave or start is waited for; a stall ends by itself.
-    pub fn apply(&mut self, act: &Action) {
-        self.shared.tell(act.to_string());
-        let count = self.nodes.len();
-        if Script::apply_to_network(act, &mut self.shared.network.lock().unwrap(), count) {
+    /// Applies an action. Waits for a node to start or leave, but not for a stall to end.
+    pub fn apply(&mut self, action: &Action) {
+        self.shared.record(action.to_string());
+        let node_count = self.nodes.len();
+        if Script::apply_to_network(action, &mut self.shared.network.lock().unwrap(), node_count) {
             return;
         }
-        match *act {
-            Action::Start(number) => self.start(number),
-            Action::Kill(number) => {
-                self.shared.real.lock().unwrap()[number] = None;
-                self.nodes[number] = None;
+        match *action {
+            Action::Start(index) => self.start(index),
+            Action::Kill(index) => {
+                self.shared.node_addresses.lock().unwrap()[index] = None;
+                self.nodes[index] = None;
             }
-            Action::Leave(number) => {
-                if let Some(mut node) = self.nodes[number].take() {
+            Action::Leave(index) => {
+                if let Some(mut node) = self.nodes[index].take() {
                     node.signal("-TERM");
                     let status = node.wait_for_exit();
-                    assert!(status.success(), "n{number} ends with {status}");
-                    self.shared.real.lock().unwrap()[number] = None;
+                    assert!(status.success(), "n{index} ends with {status}");
+                    self.shared.node_addresses.lock().unwrap()[index] = None;
                 }
             }
-            Action::Stall(number, lasts) => {
-                let pid = self.node(number).process_id().to_string();
-                self.node(number).signal("-STOP");
+            Action::Stall(index, duration_ms) => {
+                let pid = self.node(index).process_id().to_string();
+                self.node(index).signal("-STOP");
                 let shared = self.shared.clone();
                 thread::spawn(move || {
-                    thread::sleep(Duration::from_millis(lasts));
-                    // One that was killed meanwhile is not there to go on.
+                    thread::sleep(Duration::from_millis(duration_ms));
+                    // The process may have been killed meanwhile; then there is nothing to resume.
                     let _ = std::process::Command::new("kill").args(["-CONT", &pid]).status();
-                    shared.tell(format!("n{number} goes on"));
+                    shared.record(format!("n{index} resumed"));
                 });
             }
             _ => {}
         }
     }
 
-    /// Plays a script from now on, to its end.
+    /// Runs a script to its end.
     pub fn run_script(&mut self, script: &Script) {
         let start = Instant::now();
-        for (time, act) in script.actions() {
-            let due = start + Duration::from_millis(*time);
+        for (time_ms, action) in script.actions() {
+            let due = start + Duration::from_millis(*time_ms);
             thread::sleep(due.saturating_duration_since(Instant::now()));
-            self.apply(act);
+            self.apply(action);
         }
         let end = start + Duration::from_millis(script.end());
         thread::sleep(end.saturating_duration_since(Instant::now()));
     }
 
-    /// What each running process tells of its fleet.
+    /// The view of each running node.
     pub fn views(&self) -> Vec<Option<FleetView>> {
         self.nodes.iter().flatten().map(FleetView::fetch).collect()
     }
 
-    /// Waits until all that run hold the same view, which is right; how long that took.
+    /// Waits until all running nodes have the same view, with the right size. Returns how long that took.
     ///
     /// # Panics
-    /// With the timeline, where it takes longer than `within`.
+    /// If it takes longer than `within`; the message holds the timeline.
     pub fn wait_until_agreed(&self, what: &str, within: Duration) -> Duration {
-        self.waits(what, within, |_| true)
+        self.wait_for_views(what, within, |_| true)
     }
 
-    /// Waits until all that run hold the same view, which is right, and say so; how long that took.
+    /// Waits until all running nodes have the same view, with the right size, and report it as settled. Returns how long
+    /// that took.
     ///
     /// # Panics
-    /// With the timeline, where it takes longer than `within`.
+    /// If it takes longer than `within`; the message holds the timeline.
     pub fn wait_until_settled(&self, what: &str, within: Duration) -> Duration {
-        self.waits(what, within, |fleet| fleet.is_settled)
+        self.wait_for_views(what, within, |fleet| fleet.is_settled)
     }
 
-    fn waits(&self, what: &str, within: Duration, holds: impl Fn(&FleetView) -> bool) -> Duration {
+    fn wait_for_views(&self, what: &str, within: Duration, accepts: impl Fn(&FleetView) -> bool) -> Duration {
         let start = Instant::now();
         let running = self.nodes.iter().flatten().count();
         loop {
             let views = self.views();
             let first = views.iter().flatten().next().map(|fleet| fleet.view_digest.clone());
-            let right = |fleet: &Option<FleetView>| {
-                fleet
-                    .as_ref()
-                    .is_some_and(|f| holds(f) && f.size == running && Some(&f.view_digest) == first.as_ref())
+            let is_agreed = |fleet: &Option<FleetView>| {
+                fleet.as_ref().is_some_and(|f| {
+                    accepts(f) && f.size == running && Some(&f.view_digest) == first.as_ref()
+                })
             };
-            if views.iter().all(right) {
+            if views.iter().all(is_agreed) {
                 return start.elapsed();
             }
             if start.elapsed() > within {
-                panic!("{what}: not settled after {within:?}: {views:#?}\n{}", self.timeline().join("\n"));
+                panic!("{what}: no agreement after {within:?}: {views:#?}\n{}", self.timeline().join("\n"));
             }
             thread::sleep(Duration::from_millis(20));
         }
     }
 
-    /// What was done and what each process said, by time.
+    /// The actions and the log lines of all nodes, in order of time, with the milliseconds since the start.
     pub fn timeline(&self) -> Vec<String> {
         let mut lines = self.shared.timeline.lock().unwrap().clone();
         lines.sort_by_key(|(at, _)| *at);
@@ -277,64 +286,76 @@
         lines.iter().map(line).collect()
     }
 
-    /// Lines of the timeline that hold these words.
-    pub fn count_timeline_lines(&self, words: &str) -> usize {
-        self.timeline().iter().filter(|line| line.contains(words)).count()
+    /// The number of timeline lines that contain `text`.
+    pub fn count_timeline_lines(&self, text: &str) -> usize {
+        self.timeline().iter().filter(|line| line.contains(text)).count()
     }
 }
 
 impl Drop for Rig {
     fn drop(&mut self) {
-        self.shared.over.store(true, Ordering::SeqCst);
+        self.shared.is_stopped.store(true, Ordering::SeqCst);
         for relay in &self.shared.relays {
-            // A word to itself, so that it looks.
+            // An empty datagram unblocks the relay's `recv_from`.
             let _ = relay.local_addr().and_then(|address| relay.send_to(&[], address));
         }
     }
 }
 
 impl Shared {
-    fn tell(&self, line: String) {
+    fn record(&self, line: String) {
         self.timeline.lock().unwrap().push((Instant::now(), line));
     }
 
-    /// Takes in what is sent to one process, and sends on what the network lets through.
+    /// Receives the datagrams to one node and forwards them as the network's faults allow.
     fn relay(&self, to: usize) {
-        let mut buffer = [0; LONGEST];
-        while !self.over.load(Ordering::SeqCst) {
+        let mut buffer = [0; MAX_DATAGRAM_BYTES];
+        while !self.is_stopped.load(Ordering::SeqCst) {
             let Ok((length, source)) = self.relays[to].recv_from(&mut buffer) else { continue };
-            let from = self.real.lock().unwrap().iter().position(|real| *real == Some(source));
-            // What a test sends by itself comes through.
-            let copies = match from {
+            let from =
+                self.node_addresses.lock().unwrap().iter().position(|address| *address == Some(source));
+            // Datagrams from a test's own socket pass without faults.
+            let delays_ms = match from {
                 Some(from) => self.network.lock().unwrap().delivery_delays(from, to),
                 None => vec![0],
             };
-            for time in copies {
-                if time == 0 {
+            for delay_ms in delays_ms {
+                if delay_ms == 0 {
                     self.deliver(to, &buffer[..length]);
                 } else {
-                    let mut held = self.held.lock().unwrap();
-                    held.count += 1;
-                    let (due, count) = (Instant::now() + Duration::from_millis(time), held.count);
-                    held.late.push((Reverse(due), Reverse(count), to, buffer[..length].to_vec()));
+                    let mut delay_queue = self.delay_queue.lock().unwrap();
+                    delay_queue.last_sequence += 1;
+                    let (due, sequence) =
+                        (Instant::now() + Duration::from_millis(delay_ms), delay_queue.last_sequence);
+                    delay_queue.delayed.push((
+                        Reverse(due),
+                        Reverse(sequence),
+                        to,
+                        buffer[..length].to_vec(),
+                    ));
                 }
             }
         }
     }
 
     fn deliver(&self, to: usize, bytes: &[u8]) {
-        if let Some(real) = self.real.lock().unwrap()[to] {
-            // Nobody may be there.
-            let _ = self.relays[to].send_to(bytes, real);
+        if let Some(address) = self.node_addresses.lock().unwrap()[to] {
+            // The node may not be running.
+            let _ = self.relays[to].send_to(bytes, address);
         }
     }
 
-    fn deliver_late(&self) {
-        while !self.over.load(Ordering::SeqCst) {
+    fn deliver_delayed(&self) {
+        while !self.is_stopped.load(Ordering::SeqCst) {
             let due = {
-                let mut held = self.held.lock().unwrap();
+                let mut delay_queue = self.delay_queue.lock().unwrap();
                 let now = Instant::now();
-                held.late.peek().is_some_and(|first| first.0 .0 <= now).then(|| held.late.pop()).flatten()
+                delay_queue
+                    .delayed
+                    .peek()
+                    .is_some_and(|first| first.0 .0 <= now)
+                    .then(|| delay_queue.delayed.pop())
+                    .flatten()
             };
             match due {
                 Some((_, _, to, bytes)) => self.deliver(to, &bytes),
