--- a/crates/laboratory/src/bin/cold.rs
+++ b/crates/laboratory/src/bin/cold.rs
@@ -1,4 +1,5 @@
-//! Simulates servers that start cold under many nodes and prints the work sent to them relative to the work that overloads them.
+//! Simulates servers that start cold under many nodes and prints the work sent to them relative to the work
+//! that overloads them.
 //!
 //!     cargo run --release -p corkhollow-laboratory --bin cold -- --nodes 5,60,300 --loads 0.1,0.5,1
 
@@ -22,7 +23,8 @@
     /// Mean work of a request, in milliseconds.
     #[arg(long, default_value_t = 40)]
     work: u64,
-    /// Pairs FRACTION:RATE: the fraction of the servers replaced at the start, and servers replaced per second from then on.
+    /// Pairs FRACTION:RATE: the fraction of the servers replaced at the start, and servers replaced per
+    /// second from then on.
     #[arg(long, value_delimiter = ',', default_value = "1:0,0.2:0,0:0.5,0:2,0:4")]
     cold: Vec<String>,
     /// Seed of all random draws.
--- a/crates/laboratory/src/bin/fleet-figures.rs
+++ b/crates/laboratory/src/bin/fleet-figures.rs
@@ -1,4 +1,5 @@
-//! Measures how fast the simulated membership protocol converges by number of nodes: a table on standard output, and a plot.
+//! Measures how fast the simulated membership protocol converges by number of nodes: a table on standard
+//! output, and a plot.
 //!
 //!     cargo run --release -p corkhollow-laboratory --bin fleet-figures -- --sizes 5,20,60,200 --plot docs/design/fleet-view.svg
 
@@ -37,7 +38,8 @@
     ]
 }
 
-/// Median, 99th percentile and maximum of the convergence times in milliseconds; a run that never converges counts as `u64::MAX`.
+/// Median, 99th percentile and maximum of the convergence times in milliseconds; a run that never converges
+/// counts as `u64::MAX`.
 fn convergence_quantiles(outcomes: &[Outcome]) -> [u64; 3] {
     let mut times: Vec<_> =
         outcomes.iter().map(|outcome| outcome.converged_after.unwrap_or(u64::MAX)).collect();
--- a/crates/laboratory/src/bin/histories.rs
+++ b/crates/laboratory/src/bin/histories.rs
@@ -1,4 +1,5 @@
-//! Searches random histories of the engine for violations of its guarantees and prints the shortest form of each.
+//! Searches random histories of the engine for violations of its guarantees and prints the shortest form of
+//! each.
 //!
 //!     cargo run --release -p corkhollow-laboratory --bin histories -- --seeds 100000
 
@@ -36,9 +37,10 @@
             if let Some((requests, shortest)) =
                 find_shortest_violation(seed, arguments.fault, arguments.races, arguments.requests)
             {
-                let description = shortest.violation.map_or_else(String::new, |b| b.to_string());
+                let description =
+                    shortest.violation.map_or_else(String::new, |violation| violation.to_string());
                 println!("seed {seed}, {requests} requests: {description}");
-                shortest.last.iter().for_each(|line| println!("    {line}"));
+                shortest.last_commands.iter().for_each(|line| println!("    {line}"));
             }
         }
     }
--- a/crates/laboratory/src/cold.rs
+++ b/crates/laboratory/src/cold.rs
@@ -1,13 +1,14 @@
-//! Simulates servers that start cold: compares the work that all nodes together send them with the work that overloads them.
+//! Simulates servers that start cold: compares the work that all nodes together send them with the work that
+//! overloads them.
 
 use crate::fleet::{safe_classes, ColdServerLoad, Model, Stream};
 use corkhollow_balance::interface::{Nanos, SettingsError};
 
 const MS: Nanos = 1_000_000;
 /// Time before the first replacement, in which nodes learn how long requests take.
-const WARM_UP: Nanos = 10_000 * MS;
+const WARM_UP_TIME: Nanos = 10_000 * MS;
 /// The aim of the class, as a multiple of the mean work.
-const AIM_MEAN_WORKS: f64 = 12.0;
+const AIM_PER_MEAN_WORK: f64 = 12.0;
 
 /// The parameters of a run.
 #[derive(Clone, Debug)]
@@ -76,7 +77,7 @@
 /// # Errors
 /// The settings are invalid.
 pub fn run_scenario(scenario: &Scenario) -> Result<Outcome, SettingsError> {
-    let aim = (AIM_MEAN_WORKS * scenario.mean_work as f64) as Nanos;
+    let aim = (AIM_PER_MEAN_WORK * scenario.mean_work as f64) as Nanos;
     let mut settings = safe_classes(&[1.0], aim, 2 * aim);
     (settings.cold_from, settings.ramp) = (scenario.cold_from, scenario.ramp);
     let mut model =
@@ -85,7 +86,7 @@
     let capacity = scenario.servers as f64 * scenario.cores as f64 / (scenario.mean_work as f64 / 1e9);
     let stream = model
         .add_stream(0, Stream { spread: 2.0, ..Stream::new(scenario.load * capacity, scenario.mean_work) });
-    model.run_for(WARM_UP);
+    model.run_for(WARM_UP_TIME);
     model.take_counts();
     for old in model
         .active_servers()
--- a/crates/laboratory/src/fleet.rs
+++ b/crates/laboratory/src/fleet.rs
@@ -1,6 +1,7 @@
-//! A seeded simulation of many nodes that balance requests over the same servers. The simulation knows every queue, so it
-//! counts what no single node can see. A server runs one request per core and queues the others first in, first out; a
-//! server that has just started has reduced capacity (slow start). All times are simulated.
+//! A seeded simulation of many nodes that balance requests over the same servers. The simulation knows every
+//! queue, so it counts what no single node can see. A server runs one request per core and queues the others
+//! first in, first out; a server that has just started has reduced capacity (slow start). All times are
+//! simulated.
 
 use corkhollow_balance::interface::*;
 use corkhollow_balance::Balancer;
@@ -12,7 +13,7 @@
 /// The arrivals of requests of one class from one tenant.
 #[derive(Clone, Copy, Debug)]
 pub struct Stream {
-    /// Requests a second over all nodes.
+    /// Requests per second over all nodes.
     pub rate: f64,
     /// Mean time that one core of a warm server takes for a request.
     pub work: Nanos,
@@ -74,7 +75,8 @@
     pub peak_ratio: f64,
     /// The same with each request counted at the mean work, which leaves out the randomness of the work.
     pub peak_ratio_at_mean_work: f64,
-    /// The work sent as a fraction of the capacity that the servers had while cold.
+    /// The work sent as a fraction of the capacity that the servers had while cold. While the simulation runs
+    /// it holds the work in seconds, which [`Model::cold_load`] converts.
     pub sent: f64,
 }
 
@@ -129,7 +131,7 @@
     /// A simulation of `nodes` nodes over `servers` warm servers with one core each.
     ///
     /// # Errors
-    /// Where no node could act on the settings.
+    /// The settings are invalid.
     pub fn new(settings: Settings, nodes: u32, servers: u64, seed: u64) -> Result<Self, SettingsError> {
         Model::with_cores(settings, nodes, servers, 1, seed)
     }
@@ -137,7 +139,7 @@
     /// Like [`Model::new`], with servers of several cores.
     ///
     /// # Errors
-    /// Where no node could act on the settings.
+    /// The settings are invalid.
     pub fn with_cores(
         settings: Settings,
         nodes: u32,
@@ -347,7 +349,8 @@
         self.server_states.iter().filter(|(_, state)| state.removed_at.is_none()).map(|(id, _)| *id).collect()
     }
 
-    /// Replaces a server with a cold one and returns the new server; each node learns of it after its own random delay.
+    /// Replaces a server with a cold one and returns the new server; each node learns of it after its own
+    /// random delay.
     pub fn replace_server(&mut self, old: ServerId) -> ServerId {
         if let Some(state) = self.server_states.get_mut(&old) {
             state.removed_at = Some(self.now);
--- a/crates/laboratory/src/histories.rs
+++ b/crates/laboratory/src/histories.rs
@@ -1,6 +1,7 @@
-//! Runs the request engine through random histories on a simulated clock, network and fleet, and checks its guarantees: each
-//! request is answered once and in time, nothing is sent to a draining server, and unsafe requests run at most once.
-//! [`Fault`] injects errors that the checks must detect. The same seed gives the same history.
+//! Runs the request engine through random histories on a simulated clock, network and fleet, and checks its
+//! guarantees: each request is answered once and in time, nothing is sent to a draining server, and unsafe
+//! requests run at most once. [`Fault`] injects errors that the checks must detect. The same seed gives the
+//! same history.
 
 use corkhollow_balance::interface::*;
 use corkhollow_engine::{AttemptId, Command, FinalAnswer, RequestMessage, Requests};
@@ -9,11 +10,12 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 const MS: Nanos = 1_000_000;
-const START: Nanos = 1_000_000 * MS;
+/// Simulated time at which a history starts.
+const START_TIME: Nanos = 1_000_000 * MS;
 /// How many of the last commands a history keeps.
 const MAX_KEPT_COMMANDS: usize = 40;
-/// Time after a list marks a server as draining or removed in which attempts may still be sent to it.
-const DRAIN_SLACK: Nanos = 250 * MS;
+/// How long attempts may still be sent to a server after a list marks it as draining or removed.
+const DRAIN_PROPAGATION_TIME: Nanos = 250 * MS;
 /// How long after its deadline a request may still be answered.
 const ANSWER_MARGIN: Nanos = MS;
 
@@ -62,7 +64,12 @@
 
 impl std::fmt::Display for Violation {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "{} ({:.3} ms after the start)", self.description, (self.at - START) as f64 / MS as f64)
+        write!(
+            f,
+            "{} ({:.3} ms after the start)",
+            self.description,
+            (self.at - START_TIME) as f64 / MS as f64
+        )
     }
 }
 
@@ -76,7 +83,7 @@
     /// Digest of all commands and their times.
     pub digest: u64,
     /// The last commands up to the violation, or to the end.
-    pub last: Vec<String>,
+    pub last_commands: Vec<String>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -85,6 +92,8 @@
     ClientLeft(u32),
     /// An attempt is connected and is sent, unless its server is dead.
     Connected(AttemptKey),
+    /// An attempt ends: 0 answered, 1 connection failed, 2 reset, 3 error answer, 4 rejected as full, 5 not
+    /// sent.
     Ended(AttemptKey, u8),
     ServerDrains(u64),
     ServerReturns(u64),
@@ -131,22 +140,22 @@
     digest: u64,
     violation: Option<Violation>,
     served: u32,
-    last: VecDeque<String>,
+    last_commands: VecDeque<String>,
 }
 
-const SERVERS: u64 = 8;
+const SERVER_COUNT: u64 = 8;
 /// How long servers recognise a repeated keyed request.
-const WINDOW: Nanos = 500 * MS;
+const IDEMPOTENCY_WINDOW: Nanos = 500 * MS;
 const EFFECTS: [Effect; 3] = [Effect::Safe, Effect::Unsafe, Effect::Keyed];
 
-fn settings(rng: &mut Pcg64Mcg) -> Settings {
+fn random_settings(rng: &mut Pcg64Mcg) -> Settings {
     let mut settings = Settings::single_class(300 * MS, 800 * MS);
     let class = settings.classes[0].clone();
     settings.classes = EFFECTS
         .iter()
         .map(|effect| Class {
             effect: *effect,
-            window: WINDOW,
+            window: IDEMPOTENCY_WINDOW,
             worth: 1.0 + random_below(rng, 9) as f64,
             ..class.clone()
         })
@@ -164,8 +173,8 @@
 impl Simulation {
     fn new(seed: u64, (fault, races): (Fault, bool), arrivals: u32) -> Self {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let now = START;
-        let requests = Requests::new(now, settings(&mut rng), seed).expect("valid settings");
+        let now = START_TIME;
+        let requests = Requests::new(now, random_settings(&mut rng), seed).expect("valid settings");
         let mut simulation = Simulation {
             rng,
             now,
@@ -184,9 +193,9 @@
             digest: 0xcbf2_9ce4_8422_2325,
             violation: None,
             served: 0,
-            last: VecDeque::new(),
+            last_commands: VecDeque::new(),
         };
-        let servers = (0..SERVERS).map(|k| Server::warm(ServerId(k))).collect();
+        let servers = (0..SERVER_COUNT).map(|k| Server::warm(ServerId(k))).collect();
         simulation.call_engine(|r, now, sink| r.on_server_list(now, ListKind::Full, servers, sink));
         simulation.schedule(0, ScheduledEvent::Arrive);
         if races && random_below(&mut simulation.rng, 2) == 0 {
@@ -194,8 +203,10 @@
             simulation.schedule(at, ScheduledEvent::ShutDown);
         }
         for _ in 0..4 {
-            let (at, server) =
-                (random_below(&mut simulation.rng, 3_000) * MS, random_below(&mut simulation.rng, SERVERS));
+            let (at, server) = (
+                random_below(&mut simulation.rng, 3_000) * MS,
+                random_below(&mut simulation.rng, SERVER_COUNT),
+            );
             let event = if random_below(&mut simulation.rng, 2) == 0 {
                 ScheduledEvent::ServerDrains(server)
             } else {
@@ -224,13 +235,13 @@
         let mut commands = Vec::new();
         call(&mut self.requests, self.now, &mut commands);
         for command in commands {
-            let line = format!("{:.3} ms {command:?}", (self.now - START) as f64 / MS as f64);
+            let line = format!("{:.3} ms {command:?}", (self.now - START_TIME) as f64 / MS as f64);
             for byte in line.bytes() {
                 self.digest = (self.digest ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
             }
             if self.violation.is_none() {
-                self.last.truncate(MAX_KEPT_COMMANDS - 1);
-                self.last.push_front(line);
+                self.last_commands.truncate(MAX_KEPT_COMMANDS - 1);
+                self.last_commands.push_front(line);
             }
             self.execute(command);
         }
@@ -339,7 +350,8 @@
             return self.end_attempt(key, 5);
         }
         self.open_attempts.entry(key).and_modify(|attempt| attempt.is_sent = true);
-        if self.unavailable_since.get(&server).is_some_and(|since| self.now > since + DRAIN_SLACK) {
+        if self.unavailable_since.get(&server).is_some_and(|since| self.now > since + DRAIN_PROPAGATION_TIME)
+        {
             self.record_violation(format!("request {} is sent to a draining or removed server", key.0));
         }
         let now = self.now;
@@ -347,7 +359,7 @@
         if answers > 0 || has_left || now > deadline + ANSWER_MARGIN {
             self.record_violation(format!("request {} is sent after its end", key.0));
         }
-        if effect == Effect::Keyed && first_run_at.is_some_and(|at| now > at + WINDOW) {
+        if effect == Effect::Keyed && first_run_at.is_some_and(|at| now > at + IDEMPOTENCY_WINDOW) {
             self.record_violation(format!("request {} is repeated after the idempotency window", key.0));
         }
         let outcome = random_below(&mut self.rng, 20);
@@ -386,7 +398,8 @@
             1 => r.on_attempt_ended(now, id, Ending::ConnectFailed, sink),
             5 => r.on_attempt_ended(now, id, Ending::NotSent, sink),
             _ => {
-                // The answer's head arrived earlier, so the server's time does not show when the request was sent.
+                // The answer's head arrived earlier, so the server's time does not show when the request was
+                // sent.
                 r.on_answer_head(id, 5 * MS);
                 r.on_attempt_ended(now, id, Ending::Reset, sink)
             }
@@ -431,8 +444,8 @@
         if let Some(k) = self.clients.iter().position(|c| c.answers == 0 && !c.has_left) {
             self.record_violation(format!("client {k} has no answer"));
         }
-        let last = self.last.into_iter().rev().collect();
-        History { violation: self.violation, served: self.served, digest: self.digest, last }
+        let last_commands = self.last_commands.into_iter().rev().collect();
+        History { violation: self.violation, served: self.served, digest: self.digest, last_commands }
     }
 
     fn handle(&mut self, event: ScheduledEvent) {
@@ -469,13 +482,14 @@
     }
 }
 
-/// Runs the history of a seed with this many requests. With `races`, a quarter of the connections are slow to open and a
-/// sixth of the clients disconnect early.
+/// Runs the history of a seed with this many requests. With `races`, a quarter of the connections are slow to
+/// open and a sixth of the clients disconnect early.
 pub fn run_history(seed: u64, fault: Fault, races: bool, requests: u32) -> History {
     Simulation::new(seed, (fault, races), requests).run()
 }
 
-/// The lowest number of requests, up to `requests`, at which the history of a seed has a violation, and that history.
+/// The lowest number of requests, up to `requests`, at which the history of a seed has a violation, and that
+/// history.
 pub fn find_shortest_violation(
     seed: u64,
     fault: Fault,
--- a/crates/laboratory/src/membership.rs
+++ b/crates/laboratory/src/membership.rs
@@ -1,5 +1,5 @@
-//! Simulates the membership protocol of many nodes over a faulty network. Clock and network are simulated; the state machine is
-//! the one that the gateway runs, and the fault scripts also work with real processes.
+//! Simulates the membership protocol of many nodes over a faulty network. Clock and network are simulated;
+//! the state machine is the one that the gateway runs, and the fault scripts also work with real processes.
 
 use corkhollow_faults::{Action, Millis, Network, Script};
 use corkhollow_fleet::{Config, Event, Extensions, MemberState, Nanos, Node, NodeStatus, Outbox, Timing};
@@ -12,7 +12,8 @@
 const MS: Nanos = 1_000_000;
 /// Interval at which the nodes' views are compared.
 const CONVERGENCE_CHECK_INTERVAL: Nanos = 50 * MS;
-/// Time in which a node can refute a suspicion after a stall or a partition; only later is its death counted as false.
+/// Time in which a node can refute a suspicion after a stall or a partition; only later is its death counted
+/// as false.
 const REFUTATION_TIME: Nanos = 10_000 * MS;
 
 /// The parameters of a run.
@@ -61,13 +62,17 @@
 /// The result of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
-    /// Time from the last action until all running nodes have the same correct view and keep it; none if they never do.
+    /// Time from the last action until all running nodes have the same correct view and keep it; none if they
+    /// never do.
     pub converged_after: Option<Millis>,
-    /// Time from the last action until all running nodes know which nodes run, though open suspicions may still differ.
+    /// Time from the last action until all running nodes know which nodes run, though open suspicions may
+    /// still differ.
     pub members_known_after: Option<Millis>,
-    /// How often a node declared another one dead that was running, reachable and had had time to refute earlier suspicions.
+    /// How often a node declared another one dead that was running, reachable and had had time to refute
+    /// earlier suspicions.
     pub false_deaths: usize,
-    /// How often a node suspected another one that was running, reachable and had not stalled within the last 2 s.
+    /// How often a node suspected another one that was running, reachable and had not stalled within the last
+    /// 2 s.
     pub false_suspicions: usize,
     /// The longest time that a running node was falsely held dead, in milliseconds.
     pub longest_false_death: Millis,
@@ -127,7 +132,7 @@
 
 const MAX_TIMELINE_LINES: usize = 4_000;
 
-fn address(node: usize) -> SocketAddr {
+fn address_of(node: usize) -> SocketAddr {
     SocketAddr::from(([10, 0, (node / 250) as u8, (node % 250) as u8 + 1], 7946))
 }
 
@@ -138,7 +143,7 @@
     }
 }
 
-fn name(node: usize) -> String {
+fn name_of(node: usize) -> String {
     format!("n{node:04}")
 }
 
@@ -270,10 +275,10 @@
         let simulation_config = &self.config;
         let config = Config {
             fleet: "lab".to_owned(),
-            name: name(node),
+            name: name_of(node),
             zone: String::new(),
-            address: address(node),
-            seeds: simulation_config.seeds.iter().map(|seed| address(*seed)).collect(),
+            address: address_of(node),
+            seeds: simulation_config.seeds.iter().map(|seed| address_of(*seed)).collect(),
             key: None,
             timing: simulation_config.timing,
             max_datagram_bytes: simulation_config.max_datagram_bytes,
@@ -400,11 +405,12 @@
         slot.incarnation = incarnation;
         for event in out.events {
             self.check_claim(node, &event);
-            self.log(|| format!("{}: {event:?}", name(node)));
+            self.log(|| format!("{}: {event:?}", name_of(node)));
         }
     }
 
-    /// Compares the state that a node reports for another one with its true state, and counts false alarms and deaths.
+    /// Compares the state that a node reports for another one with its true state, and counts false alarms
+    /// and deaths.
     fn check_claim(&mut self, observer: usize, event: &Event) {
         let Event::StateChanged { name, state, .. } = event else { return };
         let subject = name[1..].parse::<usize>().unwrap_or(usize::MAX);
--- a/crates/laboratory/src/scale/fit.rs
+++ b/crates/laboratory/src/scale/fit.rs
@@ -12,8 +12,8 @@
 }
 
 impl PowerFit {
-    /// Fits the logarithms of `(count, value)` by least squares. None for fewer than three points, equal counts, or a number
-    /// that is not positive.
+    /// Fits the logarithms of `(count, value)` by least squares. None for fewer than three points, equal
+    /// counts, or a number that is not positive.
     pub fn of(points: &[(f64, f64)]) -> Option<Self> {
         if points.len() < 3 || points.iter().any(|(count, value)| *count <= 0.0 || *value <= 0.0) {
             return None;
--- a/crates/laboratory/src/scale/generate.rs
+++ b/crates/laboratory/src/scale/generate.rs
@@ -1,5 +1,5 @@
-//! Generates configuration files of any size from a seed. Sizes are skewed: a few services have most of the servers and routes,
-//! and a few tenants have most of the rate.
+//! Generates configuration files of any size from a seed. Sizes are skewed: a few services have most of the
+//! servers and routes, and a few tenants have most of the rate.
 
 use super::Counts;
 use rand_core::{RngCore, SeedableRng};
@@ -16,7 +16,7 @@
 /// One in this many routes is limited to some methods.
 const ROUTES_PER_METHOD_MATCH: u32 = 10;
 /// The sum of all tenants' rates, in requests per second.
-const TOTAL_RATE: f64 = 50_000.0;
+const TOTAL_TENANT_REQUESTS_PER_SECOND: f64 = 50_000.0;
 
 /// The pool of one service.
 #[derive(Clone, Debug, PartialEq)]
@@ -145,7 +145,9 @@
             (0..counts.tenants).map(|k| (format!("tenant-{k}"), f64::from(k + 1).powf(SIZE_EXPONENT)));
         let mut tenants: Vec<_> = tenants.collect();
         let sum: f64 = tenants.iter().map(|(_, rate)| rate).sum();
-        tenants.iter_mut().for_each(|(_, rate)| *rate = (*rate / sum * TOTAL_RATE * 1000.0).round() / 1000.0);
+        tenants.iter_mut().for_each(|(_, rate)| {
+            *rate = (*rate / sum * TOTAL_TENANT_REQUESTS_PER_SECOND * 1000.0).round() / 1000.0
+        });
         shuffle(&mut tenants, &mut rng);
         GeneratedConfig { pools, routes, tenants, zones: counts.zones, next_server }
     }
--- a/crates/laboratory/tests/admission.rs
+++ b/crates/laboratory/tests/admission.rs
@@ -100,8 +100,8 @@
     assert!(refused[3] > 0.2, "{refused:?}");
 }
 
-/// A class whose requests suddenly take 50 times as long, still within their aim, is served; a few are refused until the
-/// estimate of its typical work has adapted.
+/// A class whose requests suddenly take 50 times as long, still within their aim, is served; a few are
+/// refused until the estimate of its typical work has adapted.
 #[test]
 fn a_class_whose_work_grows_is_served() {
     let mut model = Model::new(safe_classes(&[1.0, 1.0], AIM, 3 * AIM), 1, 20, 3).expect("valid settings");
--- a/crates/laboratory/tests/changes.rs
+++ b/crates/laboratory/tests/changes.rs
@@ -1,4 +1,5 @@
-//! The work that a change of the configuration causes, counted in operations rather than time, and how it grows with the size.
+//! The work that a change of the configuration causes, counted in operations rather than time, and how it
+//! grows with the size.
 
 use corkhollow_laboratory::scale::{Change, ConfigFrame, GeneratedConfig, PlannedSize};
 use corkhollow_plan::config::parse_config;
@@ -30,7 +31,8 @@
     (counts.servers + counts.services + counts.routes + counts.tenants) as usize
 }
 
-/// Lookups of names must grow linearly with the file, whatever changes; guards against a search of all tenants for each pool.
+/// Lookups of names must grow linearly with the file, whatever changes; guards against a search of all
+/// tenants for each pool.
 #[test]
 fn lookups_grow_linearly_for_every_change() {
     let count_lookups = |fraction: f64, change: Change| {
--- a/crates/laboratory/tests/membership.rs
+++ b/crates/laboratory/tests/membership.rs
@@ -137,7 +137,8 @@
     }
 }
 
-/// After a partition is healed, each side receives claims that its own members are dead, and must not adopt them.
+/// After a partition is healed, each side receives claims that its own members are dead, and must not adopt
+/// them.
 #[test]
 fn claims_from_a_partition_are_not_adopted_after_healing() {
     let halves = vec![(0..10).collect(), (10..20).collect()];
