--- a/crates/bench/benches/cold.rs
+++ b/crates/bench/benches/cold.rs
@@ -1,5 +1,6 @@
-//! Measures the time of a load-balancing decision with cold servers relative to warm ones. The balancer computes the pace of a
-//! cold server for each candidate of each request, so this cost affects all requests after a release.
+//! Measures the time of a load-balancing decision with cold servers relative to warm ones. The balancer
+//! computes the pace of a cold server for each candidate of each request, so this cost affects all requests
+//! after a release.
 
 use corkhollow_balance::interface::{
     Action, Ending, Event, ListKind, Nanos, Request, Server, ServerId, Settings,
@@ -8,16 +9,19 @@
 use std::time::{Duration, Instant};
 
 const SERVER_COUNTS: [u64; 3] = [60, 200, 2_000];
-const DECISIONS: u32 = 20_000;
-const PAIRS: usize = 5;
+const DECISIONS_PER_RUN: u32 = 20_000;
+const RUN_PAIRS: usize = 5;
 const RESPONSE_TIME: Nanos = 20_000_000;
 /// Long enough that no server becomes warm during the measurement.
-const RAMP: Nanos = 1 << 50;
+const SLOW_START_RAMP: Nanos = 1 << 50;
 
 /// Returns the mean time of a request and its answer, including refused requests.
 fn measure_decision(servers: u64, cold: bool) -> Duration {
-    let settings =
-        Settings { ramp: RAMP, cold_from: 0.15, ..Settings::single_class(400_000_000, 800_000_000) };
+    let settings = Settings {
+        ramp: SLOW_START_RAMP,
+        cold_from: 0.15,
+        ..Settings::single_class(400_000_000, 800_000_000)
+    };
     let mut balancer = Balancer::new(settings, 17).expect("valid settings");
     let mut now = 1_000_000_000_000;
     let started_at = if cold { now } else { 0 };
@@ -26,7 +30,7 @@
     let mut actions = Vec::new();
     balancer.handle(now, Event::List { kind: ListKind::Full, servers }, &mut actions);
     let start = Instant::now();
-    for request in 0..DECISIONS {
+    for request in 0..DECISIONS_PER_RUN {
         now += 1_000_000;
         actions.clear();
         balancer.handle(now, Event::Request(Request::new(request, now + 800_000_000)), &mut actions);
@@ -48,18 +52,21 @@
             balancer.handle(now, outcome, &mut actions);
         }
     }
-    start.elapsed() / DECISIONS
+    start.elapsed() / DECISIONS_PER_RUN
 }
 
 fn main() {
-    println!("servers  warm (us)  cold (us)  ratio of medians, {PAIRS} pairs of {DECISIONS} decisions");
+    println!(
+        "servers  warm (us)  cold (us)  ratio of medians, {RUN_PAIRS} pairs of {DECISIONS_PER_RUN} decisions"
+    );
     for servers in SERVER_COUNTS {
-        let mut pairs: Vec<_> =
-            (0..PAIRS).map(|_| (measure_decision(servers, false), measure_decision(servers, true))).collect();
+        let mut pairs: Vec<_> = (0..RUN_PAIRS)
+            .map(|_| (measure_decision(servers, false), measure_decision(servers, true)))
+            .collect();
         pairs.sort_unstable_by_key(|p| p.0);
-        let warm = pairs[PAIRS / 2].0.as_secs_f64() * 1e6;
+        let warm = pairs[RUN_PAIRS / 2].0.as_secs_f64() * 1e6;
         pairs.sort_unstable_by_key(|p| p.1);
-        let cold = pairs[PAIRS / 2].1.as_secs_f64() * 1e6;
+        let cold = pairs[RUN_PAIRS / 2].1.as_secs_f64() * 1e6;
         println!("{servers:>7}  {warm:>9.2}  {cold:>9.2}  {:.2}", cold / warm);
     }
 }
--- a/crates/bench/benches/fleet.rs
+++ b/crates/bench/benches/fleet.rs
@@ -1,7 +1,8 @@
-//! Measures fleets of gateway processes with default settings; `--processes 5,20,60` sets their sizes. The first part measures how
-//! long the views take to converge after all processes start, one is killed, and a partition into halves of 15 s heals, and the
-//! traffic and processor time of membership. The second part compares eight processes in a fleet with eight separate ones over ten
-//! servers: requests sent to a cold server, rates of tenants under overload, and how a ninth process joins.
+//! Measures fleets of gateway processes with default settings; `--processes 5,20,60` sets their sizes. The
+//! first part measures how long the views take to converge after all processes start, one is killed, and a
+//! partition into halves of 15 s heals, and the traffic and processor time of membership. The second part
+//! compares eight processes in a fleet with eight separate ones over ten servers: requests sent to a cold
+//! server, rates of tenants under overload, and how a ninth process joins.
 
 use corkhollow_faults::Action;
 use corkhollow_test_support::*;
@@ -35,26 +36,27 @@
     (nodes().map(fleet_bytes_sent).sum(), nodes().map(|node| cpu_seconds(node.process_id())).sum())
 }
 
-/// Waits until all views agree and then until all nodes report that they are settled, and formats both times in seconds.
+/// Waits until all views agree and then until all nodes report that they are settled, and formats both times
+/// in seconds.
 fn convergence_times(rig: &Rig, event: &str) -> String {
     let agreed = rig.wait_until_agreed(event, CONVERGENCE_TIMEOUT).as_secs_f64();
     format!("{agreed:.2}, {:.2}", agreed + rig.wait_until_settled(event, CONVERGENCE_TIMEOUT).as_secs_f64())
 }
 
 /// Processes in the second part.
-const NODES: usize = 8;
+const NODE_COUNT: usize = 8;
 /// Warm servers in the second part.
-const SERVERS: usize = 10;
+const WARM_SERVER_COUNT: usize = 10;
 const CLIENTS_PER_NODE: usize = 2;
 
-/// Returns the requests to a cold server in each half second after it is listed, and the requests to each warm server in all
-/// that time, in ascending order.
+/// Returns the requests to a cold server in each half second after it is listed, and the requests to each
+/// warm server in all that time, in ascending order.
 fn measure_cold_server(in_a_fleet: bool) -> (Vec<usize>, Vec<usize>) {
     let respond = |_: usize, _: &Message| {
         std::thread::sleep(Duration::from_millis(4));
         ok_reply("fine")
     };
-    let warm: Vec<_> = (0..SERVERS).map(|_| Servers::new(1, respond)).collect();
+    let warm: Vec<_> = (0..WARM_SERVER_COUNT).map(|_| Servers::new(1, respond)).collect();
     let cold = Servers::new(1, respond);
     let warm_addresses: Vec<_> = warm.iter().map(|server| server.addresses[0]).collect();
     let folder = TempFolder::new(if in_a_fleet { "cold-fleet" } else { "cold-alone" });
@@ -71,13 +73,13 @@
         list.display()
     );
     let node_config = config.clone();
-    let mut rig = Rig::new(NODES, 1, &[0], "", move |_| node_config.clone());
+    let mut rig = Rig::new(NODE_COUNT, 1, &[0], "", move |_| node_config.clone());
     let mut separate_nodes = Vec::new();
     if in_a_fleet {
-        rig.start_all(0..NODES);
+        rig.start_all(0..NODE_COUNT);
         rig.wait_until_agreed("joined", CONVERGENCE_TIMEOUT);
     } else {
-        separate_nodes.extend((0..NODES).map(|_| Node::start_with_operator_file(&config)));
+        separate_nodes.extend((0..NODE_COUNT).map(|_| Node::start_with_operator_file(&config)));
     }
     let stop = Arc::new(AtomicBool::new(false));
     let addresses = rig.nodes.iter().flatten().chain(&separate_nodes).map(|node| node.address);
@@ -117,8 +119,9 @@
     (counts_per_half_second, warm_counts)
 }
 
-/// Returns the requests served per second, under overload, of a tenant with a rate of 80 over all nodes and of one with a rate
-/// above the capacity; and, for a fleet, the size that a ninth process counts and its start time in milliseconds.
+/// Returns the requests served per second, under overload, of a tenant with a rate of 80 over all nodes and
+/// of one with a rate above the capacity; and, for a fleet, the size that a ninth process counts and its
+/// start time in milliseconds.
 fn measure_tenants(in_a_fleet: bool) -> ([f64; 2], Option<(usize, u128)>) {
     // One request at a time, so each server has a capacity of 250 requests per second.
     let server = || {
@@ -129,7 +132,7 @@
             ok_reply("fine")
         })
     };
-    let servers: Vec<_> = (0..SERVERS).map(|_| server()).collect();
+    let servers: Vec<_> = (0..WARM_SERVER_COUNT).map(|_| server()).collect();
     let server_entries: String = servers
         .iter()
         .flat_map(|server| &server.addresses)
@@ -142,13 +145,13 @@
          [[pool]]\nname = \"boxes\"\nconcurrency = 1\nservers = [{server_entries}]\n[[route]]\nname = \"all\"\npool = \"boxes\"\n"
     );
     let node_config = config.clone();
-    let mut rig = Rig::new(NODES + 1, 1, &[0], "", move |_| node_config.clone());
+    let mut rig = Rig::new(NODE_COUNT + 1, 1, &[0], "", move |_| node_config.clone());
     let mut separate_nodes = Vec::new();
     if in_a_fleet {
-        rig.start_all(0..NODES);
+        rig.start_all(0..NODE_COUNT);
         rig.wait_until_agreed("joined", CONVERGENCE_TIMEOUT);
     } else {
-        separate_nodes.extend((0..NODES).map(|_| Node::start_with_operator_file(&config)));
+        separate_nodes.extend((0..NODE_COUNT).map(|_| Node::start_with_operator_file(&config)));
     }
     let served: Arc<[AtomicUsize; 2]> = Arc::default();
     let stop = Arc::new(AtomicBool::new(false));
@@ -181,9 +184,9 @@
     let rates = [0, 1].map(|k| (served[k].load(SeqCst) - before[k]) as f64 / 10.0);
     let ninth = in_a_fleet.then(|| {
         let start = Instant::now();
-        rig.start(NODES);
+        rig.start(NODE_COUNT);
         let elapsed_ms = start.elapsed().as_millis();
-        (FleetView::fetch(rig.node(NODES)).map_or(0, |fleet| fleet.size), elapsed_ms)
+        (FleetView::fetch(rig.node(NODE_COUNT)).map_or(0, |fleet| fleet.size), elapsed_ms)
     });
     stop.store(true, SeqCst);
     clients.into_iter().for_each(|client| drop(client.join()));
@@ -227,7 +230,7 @@
             (after.1 - before.1) / node_seconds * 1e3,
         );
     }
-    println!("\n{NODES} processes, {SERVERS} warm servers and a cold one: what it gets in each half second");
+    println!("\n{NODE_COUNT} processes, {WARM_SERVER_COUNT} warm servers and a cold one: what it gets in each half second");
     for in_a_fleet in [false, true] {
         let (counts_per_half_second, warm_counts) = measure_cold_server(in_a_fleet);
         let mode = if in_a_fleet { "in a fleet" } else { "each alone" };
--- a/crates/bench/benches/memory.rs
+++ b/crates/bench/benches/memory.rs
@@ -1,5 +1,6 @@
-//! Measures the program's memory while one long body is forwarded in each direction, and with thousands of idle clients.
-//! `--bytes N` sets the length of the bodies (default 1 GB), `--clients N` the number of clients (default 5,000).
+//! Measures the program's memory while one long body is forwarded in each direction, and with thousands of
+//! idle clients. `--bytes N` sets the length of the bodies (default 1 GB), `--clients N` the number of
+//! clients (default 5,000).
 
 use corkhollow_test_support::{read_message, response, spawn_raw_server, Node};
 use std::io::{Read, Write};
@@ -14,8 +15,9 @@
     value.and_then(|v| v.parse().ok()).unwrap_or(default)
 }
 
-/// Starts a server that reads a body of `body_bytes` bytes on PUT, sends one on `GET /long`, and sends 64 bytes otherwise.
-fn server(body_bytes: u64) -> SocketAddr {
+/// Starts a server that reads a body of `body_bytes` bytes on PUT, sends one on `GET /long`, and sends 64
+/// bytes otherwise.
+fn start_server(body_bytes: u64) -> SocketAddr {
     spawn_raw_server(move |mut stream| {
         let mut head = Vec::new();
         let mut byte = [0];
@@ -55,7 +57,8 @@
     assert_eq!(read_message(stream).expect("an answer").status(), 200);
 }
 
-/// Sends or receives one body through the node. Returns the greatest growth of memory in bytes and the time in seconds.
+/// Sends or receives one body through the node. Returns the greatest growth of memory in bytes and the time
+/// in seconds.
 fn transfer(node: &Node, body_bytes: u64, is_upload: bool) -> (u64, f64) {
     let before = node.resident_bytes();
     let (mut peak, start) = (before, Instant::now());
@@ -102,7 +105,7 @@
         "[limits]\ndescriptors = {}\n[[listener]]\nname = \"web\"\naddress = \"127.0.0.1:0\"\n\
          [[pool]]\nname = \"one\"\nservers = [{{ address = \"{}\" }}]\n[[route]]\nname = \"all\"\npool = \"one\"\n",
         2 * clients + 2_000,
-        server(body_bytes),
+        start_server(body_bytes),
     ));
     send_short_request(&mut node.connect());
     println!("at the start: {:.1} MB", node.resident_bytes() as f64 / 1e6);
--- a/crates/bench/benches/operations.rs
+++ b/crates/bench/benches/operations.rs
@@ -1,6 +1,7 @@
-//! Measures operations on a node under load: calls of the operator's address, drains, consecutive replacements of the process, the
-//! first second after a handover and after a cold start, 200 long bodies at once, and long bodies relative to the bare relay.
-//! `--replacements N` sets the number of replacements (default 50).
+//! Measures operations on a node under load: calls of the operator's address, drains, consecutive
+//! replacements of the process, the first second after a handover and after a cold start, 200 long bodies at
+//! once, and long bodies relative to the bare relay. `--replacements N` sets the number of replacements
+//! (default 50).
 
 use corkhollow_test_support::*;
 use hdrhistogram::Histogram;
@@ -19,7 +20,7 @@
 type RunCounts = Arc<Mutex<HashMap<String, u32>>>;
 
 /// Starts a server that answers with 64 bytes after this time, and counts the runs of unsafe requests.
-fn server(response_time: Duration, runs: &RunCounts) -> SocketAddr {
+fn start_server(response_time: Duration, runs: &RunCounts) -> SocketAddr {
     let runs = runs.clone();
     spawn_raw_server(move |stream| {
         let mut reader = BufReader::new(&stream);
@@ -364,11 +365,11 @@
     let build = ["build", "--release", "--locked", "-p", "corkhollow", "-p", "corkhollow-bench"];
     assert!(Command::new(cargo).args(build).status().expect("cargo").success());
     let runs = RunCounts::default();
-    let fast_servers = [1, 1, 2, 2].map(|ms| server(ms * MS, &runs));
+    let fast_servers = [1, 1, 2, 2].map(|ms| start_server(ms * MS, &runs));
     // One slow server and one that refuses connections, which a successor learns from its predecessor.
-    let all_servers = [&fast_servers[..], &[server(150 * MS, &runs), refusing_address()]].concat();
+    let all_servers = [&fast_servers[..], &[start_server(150 * MS, &runs), refusing_address()]].concat();
     measure_calls_and_drains(&fast_servers);
     measure_replacements(&all_servers, &runs, count);
     measure_concurrent_bodies(&fast_servers);
-    compare_with_relay(server(Duration::ZERO, &runs));
+    compare_with_relay(start_server(Duration::ZERO, &runs));
 }
--- a/crates/bench/benches/program.rs
+++ b/crates/bench/benches/program.rs
@@ -1,5 +1,5 @@
-//! Compares the program with the bare hyper relay: processor time per request and answer times of clients. Both take turns in one
-//! run, and the ratios are the result. `--seconds N` sets the length of each turn.
+//! Compares the program with the bare hyper relay: processor time per request and answer times of clients.
+//! Both take turns in one run, and the ratios are the result. `--seconds N` sets the length of each turn.
 
 use hdrhistogram::Histogram;
 use std::io::{BufRead, BufReader, Write};
@@ -12,7 +12,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-const CLIENTS: usize = 32;
+const CONCURRENT_CLIENTS: usize = 32;
 const TURNS_PER_PROXY: usize = 5;
 
 /// A proxy in its own process.
@@ -165,8 +165,8 @@
         relay.arg(server.to_string());
         let proxies = [Proxy::start("bare relay", relay), Proxy::start("corkhollow", program)];
         for (load, clients, pause) in [
-            ("as fast as it goes", CLIENTS, Duration::ZERO),
-            ("at a steady rate", CLIENTS, Duration::from_millis(10)),
+            ("as fast as it goes", CONCURRENT_CLIENTS, Duration::ZERO),
+            ("at a steady rate", CONCURRENT_CLIENTS, Duration::from_millis(10)),
         ] {
             println!("\n{load}, {clients} clients, answers of 64 bytes, {TURNS_PER_PROXY} turns of {turn_length:?} each:");
             println!("{:<12} {:>14} {:>12} {:>9} {:>9}", "", "CPU us/request", "requests/s", "p50 us", "p99 us");
--- a/crates/bench/benches/scale/load.rs
+++ b/crates/bench/benches/scale/load.rs
@@ -51,7 +51,8 @@
     times
 }
 
-/// A client that sends requests until it is dropped, and records when it sent each and how long the answer took.
+/// A client that sends requests until it is dropped, and records when it sent each and how long the answer
+/// took.
 pub struct LatencyMonitor {
     stop: Arc<AtomicBool>,
     records: Arc<Mutex<Vec<RequestRecord>>>,
@@ -84,8 +85,8 @@
         LatencyMonitor { stop, records, client: Some(std::thread::spawn(send)) }
     }
 
-    /// The longest answer time, in seconds, of the requests that were open between two moments, and how many of them were not
-    /// answered with 200.
+    /// The longest answer time, in seconds, of the requests that were open between two moments, and how many
+    /// of them were not answered with 200.
     pub fn longest_wait(&self, from: Instant, to: Instant) -> (f64, usize) {
         let records = self.records.lock().map(|w| w.clone()).unwrap_or_default();
         let answered_at = |(at, answer): &RequestRecord| {
--- a/crates/bench/benches/scale/main.rs
+++ b/crates/bench/benches/scale/main.rs
@@ -1,4 +1,5 @@
-//! Measures the program with configurations of the planned size (`crates/laboratory/size.toml`) and of fractions of it.
+//! Measures the program with configurations of the planned size (`crates/laboratory/size.toml`) and of
+//! fractions of it.
 //!
 //!     cargo bench -p corkhollow-bench --bench scale -- parts --parts 0.0625,0.25,0.5,1
 //!     cargo bench -p corkhollow-bench --bench scale -- alone
@@ -174,7 +175,7 @@
                 count: nodes as f64,
                 runs: vec![measurements],
             };
-            print!("{}", report::table(&[row]));
+            print!("{}", report::format_table(&[row]));
             Ok(())
         }
         Command::Write { part, seed } => {
@@ -242,7 +243,7 @@
         }
         rows.extend(program_rows);
     }
-    print!("{}", report::table(&rows));
+    print!("{}", report::format_table(&rows));
     if let Some(path) = &run.json {
         std::fs::write(path, serde_json::to_string_pretty(&rows)?)?;
     }
--- a/crates/bench/benches/scale/members.rs
+++ b/crates/bench/benches/scale/members.rs
@@ -70,8 +70,8 @@
     nodes.iter().map(of).sum()
 }
 
-/// Measures `size` nodes, of which `processes` are gateway processes. `text` is the rest of each process's file; `host` is a host
-/// that it serves.
+/// Measures `size` nodes, of which `processes` are gateway processes. `text` is the rest of each process's
+/// file; `host` is a host that it serves.
 pub fn measure(
     size: usize,
     processes: usize,
--- a/crates/bench/benches/scale/node.rs
+++ b/crates/bench/benches/scale/node.rs
@@ -1,4 +1,5 @@
-//! Measures one process with a generated configuration: its start, idle cost, requests and configuration changes.
+//! Measures one process with a generated configuration: its start, idle cost, requests and configuration
+//! changes.
 
 use crate::load::{measure_answer_times, Client, LatencyMonitor};
 use crate::process;
--- a/crates/bench/benches/scale/report.rs
+++ b/crates/bench/benches/scale/report.rs
@@ -48,7 +48,7 @@
 }
 
 /// Formats a table for each program: median, minimum and maximum over the runs, and how each measurement grows.
-pub fn table(rows: &[Row]) -> String {
+pub fn format_table(rows: &[Row]) -> String {
     let mut out = String::new();
     let programs: BTreeSet<_> = rows.iter().map(|row| row.program.as_str()).collect();
     for program in programs {
--- a/crates/bench/src/bin/bare-relay.rs
+++ b/crates/bench/src/bin/bare-relay.rs
@@ -1,5 +1,5 @@
-//! A minimal proxy on hyper, the baseline of the benchmarks: one thread and pooled connections to one server, without routing,
-//! load balancing, timeouts or retries.
+//! A minimal proxy on hyper, the baseline of the benchmarks: one thread and pooled connections to one server,
+//! without routing, load balancing, timeouts or retries.
 
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
