--- a/crates/corkhollow/src/commands/demo.rs
+++ b/crates/corkhollow/src/commands/demo.rs
@@ -1,6 +1,6 @@
 //! `corkhollow demo`: a small stand-in fleet, the program in front of it, a mild load, and a table to look at.
 
-use super::Failure;
+use super::CommandError;
 use crate::cli::DemoArgs;
 use corkhollow_standin::{Load, Machine};
 use std::collections::VecDeque;
@@ -50,12 +50,12 @@
 }
 
 /// Runs until Ctrl-C, SIGTERM or its terminal's end, or for as long as it was told.
-pub fn demo(args: &DemoArgs) -> Result<(), Failure> {
+pub fn demo(args: &DemoArgs) -> Result<(), CommandError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     runtime.block_on(play(args))
 }
 
-async fn play(args: &DemoArgs) -> Result<(), Failure> {
+async fn play(args: &DemoArgs) -> Result<(), CommandError> {
     // From here on no signal ends the process before its program, its clients and its files are gone.
     let mut ends = [SignalKind::interrupt(), SignalKind::terminate(), SignalKind::hangup()]
         .into_iter()
@@ -64,7 +64,8 @@
     let machine = |k| Machine::start(&format!("box-{k}"), Duration::from_millis(8 + 4 * k), k);
     let fleet = (1..=SERVERS).map(machine).collect::<Result<Vec<_>, _>>()?;
     let program = start(&fleet, args.port)?;
-    let address = program.address.parse().map_err(|_| Failure::Request("it does not listen".to_owned()))?;
+    let address =
+        program.address.parse().map_err(|_| CommandError::Message("it does not listen".to_owned()))?;
     let load = Load::start(address, CLIENTS, Duration::from_millis(20), args.seed);
     let out = std::io::stdout();
     println!("The program listens on http://{}/ before {SERVERS} stand-in servers. Try:\n", program.address);
@@ -119,7 +120,7 @@
     .await
 }
 
-fn start(fleet: &[Arc<Machine>], port: u16) -> Result<Program, Failure> {
+fn start(fleet: &[Arc<Machine>], port: u16) -> Result<Program, CommandError> {
     let folder = std::env::temp_dir().join(format!("corkhollow-demo-{}", std::process::id()));
     std::fs::create_dir_all(&folder)?;
     list(fleet, &folder, None)?;
@@ -132,7 +133,7 @@
     let mut child = command.process_group(0).spawn()?;
     let stderr = child.stderr.take();
     let mut program = Program { child, folder, said: Arc::default(), address: String::new() };
-    let mut lines = BufReader::new(stderr.ok_or_else(|| Failure::Request("no log".to_owned()))?).lines();
+    let mut lines = BufReader::new(stderr.ok_or_else(|| CommandError::Message("no log".to_owned()))?).lines();
     for line in lines.by_ref() {
         let line = line?;
         if let Some((_, address)) = line.split_once(" listening on ") {
@@ -153,7 +154,7 @@
         }
     });
     if program.address.is_empty() {
-        return Err(Failure::Request("the program did not start".to_owned()));
+        return Err(CommandError::Message("the program did not start".to_owned()));
     }
     Ok(program)
 }
--- a/crates/corkhollow/src/commands/explain.rs
+++ b/crates/corkhollow/src/commands/explain.rs
@@ -1,6 +1,6 @@
 //! `corkhollow explain FILE REQUEST`.
 
-use super::{load, Failure};
+use super::{load, CommandError};
 use crate::cli::ExplainArgs;
 use corkhollow_plan::plan::Plan;
 use corkhollow_plan::routes::path::normalise;
@@ -9,9 +9,9 @@
 use std::io::Write;
 
 /// Tells where a request would go, and why.
-pub fn explain(args: &ExplainArgs) -> Result<(), Failure> {
+pub fn explain(args: &ExplainArgs) -> Result<(), CommandError> {
     let plan = load(&args.file)?.plan;
-    let lines = told(&plan, args).map_err(Failure::Request)?;
+    let lines = told(&plan, args).map_err(CommandError::Message)?;
     let mut out = std::io::stdout().lock();
     for line in lines {
         writeln!(out, "{line}")?;
--- a/crates/corkhollow/src/commands/fleet.rs
+++ b/crates/corkhollow/src/commands/fleet.rs
@@ -1,6 +1,6 @@
 //! `corkhollow fleet`: what nodes hold of their fleet, as a table.
 
-use super::Failure;
+use super::CommandError;
 use crate::cli::FleetArgs;
 use corkhollow_operate::FleetPage;
 use std::io::{Read, Write};
@@ -13,7 +13,7 @@
 const LONGEST: u64 = 4 << 20;
 
 /// Asks each node and prints what it holds; then whether all hold the same.
-pub fn fleet(args: &FleetArgs) -> Result<(), Failure> {
+pub fn fleet(args: &FleetArgs) -> Result<(), CommandError> {
     let mut out = std::io::stdout().lock();
     let mut views = Vec::new();
     let mut silent = 0;
@@ -24,7 +24,7 @@
                 views.push(page.view);
             }
             Err(why) if args.operator.len() == 1 => {
-                return Err(Failure::Request(format!("{address}: {why}")))
+                return Err(CommandError::Message(format!("{address}: {why}")))
             }
             Err(why) => {
                 writeln!(out, "{address}: {why}\n")?;
--- a/crates/corkhollow/src/commands/mod.rs
+++ b/crates/corkhollow/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! One file per command.
+//! The subcommands, one module each, and the errors and file reading that they share.
 
 pub mod check;
 pub mod demo;
@@ -13,51 +13,52 @@
 use std::io::Write;
 use std::path::{Path, PathBuf};
 
-/// Why a command has failed.
+/// Why a command failed.
 #[derive(Debug, thiserror::Error)]
-pub enum Failure {
+pub enum CommandError {
     #[error("cannot read {}: {error}", path.display())]
-    Unreadable { path: PathBuf, error: std::io::Error },
+    ReadFile { path: PathBuf, error: std::io::Error },
+    /// The diagnostics have been printed already.
     #[error("{} has {count} {}", path.display(), if *count == 1 { "error" } else { "errors" })]
-    Faulty { path: PathBuf, count: usize },
+    InvalidFile { path: PathBuf, count: usize },
     #[error("{0}")]
-    Request(String),
+    Message(String),
     #[error("{0}")]
-    Run(#[from] run::StartError),
-    #[error("cannot write: {0}")]
-    Output(#[from] std::io::Error),
+    Start(#[from] run::StartError),
+    #[error("I/O error: {0}")]
+    Io(#[from] std::io::Error),
 }
 
-/// Reads an operator's file. What is wrong with it is printed, one line a fault.
-pub fn load(path: &Path) -> Result<CheckedConfig, Failure> {
-    let unreadable = |error| Failure::Unreadable { path: path.to_owned(), error };
-    let bytes = settled::read(path).map_err(unreadable)?;
+/// Reads and validates an operator's file. Errors and warnings are printed to standard error, one per line.
+pub fn load(path: &Path) -> Result<CheckedConfig, CommandError> {
+    let read_error = |error| CommandError::ReadFile { path: path.to_owned(), error };
+    let bytes = settled::read(path).map_err(read_error)?;
     let text = String::from_utf8(bytes)
-        .map_err(|error| unreadable(std::io::Error::new(std::io::ErrorKind::InvalidData, error)))?;
+        .map_err(|error| read_error(std::io::Error::new(std::io::ErrorKind::InvalidData, error)))?;
     let folder = path.parent().unwrap_or(Path::new(""));
     match config::parse_config(&text, folder) {
         Ok(checked) => {
-            print(path, &checked.warnings);
+            print_diagnostics(path, &checked.warnings);
             Ok(checked)
         }
-        Err(faults) => {
-            print(path, &faults);
-            let count = faults.iter().filter(|f| f.severity == config::Severity::Error).count();
-            Err(Failure::Faulty { path: path.to_owned(), count })
+        Err(diagnostics) => {
+            print_diagnostics(path, &diagnostics);
+            let count = diagnostics.iter().filter(|d| d.severity == config::Severity::Error).count();
+            Err(CommandError::InvalidFile { path: path.to_owned(), count })
         }
     }
 }
 
-fn print(path: &Path, faults: &[Diagnostic]) {
-    let mut out = std::io::stderr().lock();
-    for fault in faults {
-        // Without standard error there is nobody to tell.
-        let _ = writeln!(out, "{}:{fault}", path.display());
+fn print_diagnostics(path: &Path, diagnostics: &[Diagnostic]) {
+    let mut stderr = std::io::stderr().lock();
+    for diagnostic in diagnostics {
+        // Nothing can report a failed write to standard error.
+        let _ = writeln!(stderr, "{}:{diagnostic}", path.display());
     }
 }
 
-/// `corkhollow reference`.
-pub fn reference() -> Result<(), Failure> {
+/// Runs `corkhollow reference`.
+pub fn reference() -> Result<(), CommandError> {
     std::io::stdout().write_all(config::reference::render_markdown().as_bytes())?;
     Ok(())
 }
--- a/crates/corkhollow/src/commands/reload.rs
+++ b/crates/corkhollow/src/commands/reload.rs
@@ -3,7 +3,7 @@
 
 use super::membership;
 use super::run::{Listeners, StartError};
-use super::{load, Failure};
+use super::{load, CommandError};
 use corkhollow_engine::log;
 use corkhollow_fleet::Config as FleetConfig;
 use corkhollow_fleet::Group;
@@ -46,18 +46,18 @@
 
 /// Reads an operator's file, on a thread of its own as later ones are: what is read into memory for that, many times the file, lies
 /// apart from what the program holds for longer, and is given back with the plan.
-pub fn first(path: &Path, operator: Option<SocketAddr>) -> Result<Plan, Failure> {
+pub fn first(path: &Path, operator: Option<SocketAddr>) -> Result<Plan, CommandError> {
     std::thread::scope(|scope| {
         scope.spawn(|| read(path, operator)).join().unwrap_or_else(|panic| std::panic::resume_unwind(panic))
     })
 }
 
-fn read(path: &Path, operator: Option<SocketAddr>) -> Result<Plan, Failure> {
+fn read(path: &Path, operator: Option<SocketAddr>) -> Result<Plan, CommandError> {
     let plan = load(path)?.plan;
     Ok(Plan { operator: operator.or(plan.operator), ..plan })
 }
 
-fn compile(told: &Told, old: &Plan) -> Result<Compiled, Failure> {
+fn compile(told: &Told, old: &Plan) -> Result<Compiled, CommandError> {
     let begun = Instant::now();
     let (plan, shape) = match told {
         Told::File(path, operator) => (read(path, *operator)?, None),
@@ -76,7 +76,7 @@
 /// Files that are on their way.
 pub struct Reloads {
     told: Told,
-    running: Option<Task<Result<Compiled, Failure>>>,
+    running: Option<Task<Result<Compiled, CommandError>>>,
     /// Another SIGHUP has come: the file may be newer than what is being compiled.
     again: bool,
     /// What was compiled last was passed over for that. The next one is put in force, or one file after another would keep all out.
--- a/crates/corkhollow/src/commands/run.rs
+++ b/crates/corkhollow/src/commands/run.rs
@@ -2,7 +2,7 @@
 
 use super::membership::{self, Membership};
 use super::reload::{first, Reloads, Target, Told};
-use super::Failure;
+use super::CommandError;
 use crate::cli::RunArgs;
 use crate::succession::{self, Neighbours};
 use corkhollow_engine::{log, Clock, LogLimiter};
@@ -76,7 +76,7 @@
 }
 
 /// Serves until SIGTERM.
-pub fn run(args: RunArgs) -> Result<(), Failure> {
+pub fn run(args: RunArgs) -> Result<(), CommandError> {
     if args.config.is_some() {
         give_memory_back();
     }
@@ -91,7 +91,7 @@
 
 /// Reads the configuration and serves by it. A SIGHUP that comes while it is read is kept: the file may be newer than what was
 /// read. SIGTERM ends the process at once until then, as nothing has been taken yet.
-async fn start(args: RunArgs, handed: Vec<std::net::TcpListener>) -> Result<(), Failure> {
+async fn start(args: RunArgs, handed: Vec<std::net::TcpListener>) -> Result<(), CommandError> {
     let hang_up = signal(SignalKind::hangup()).map_err(StartError::from)?;
     let (told, plan) = match args.config {
         Some(path) => {
