--- a/crates/corkhollow/tests/commands.rs
+++ b/crates/corkhollow/tests/commands.rs
@@ -78,7 +78,7 @@
     folder.put("boxes.toml", "[[servers]]\naddress = \"127.0.0.1:9001\"\n");
     let good = corkhollow(&["check", &site]);
     assert!(good.status.success(), "{}", err(&good));
-    assert!(out(&good).contains("sound; listeners: 2, routes: 2, pools: 1"), "{}", out(&good));
+    assert!(out(&good).contains("valid; listeners: 2, routes: 2, pools: 1"), "{}", out(&good));
 }
 
 #[test]
