--- a/crates/corkhollow/src/commands/demo.rs
+++ b/crates/corkhollow/src/commands/demo.rs
@@ -1,4 +1,4 @@
-//! `corkhollow demo`: a small stand-in fleet, the program in front of it, a mild load, and a table to look at.
+//! `corkhollow demo`: runs the gateway in front of a few simulated servers under a light load, and shows a live table.
 
 use super::CommandError;
 use crate::cli::DemoArgs;
@@ -16,32 +16,33 @@
 use std::time::{Duration, Instant};
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
-/// Servers of the fleet, each a little slower than the one before.
-const SERVERS: u64 = 5;
-const CLIENTS: u64 = 8;
-/// Seconds after which a server drains, leaves, dies and comes back; then all begins anew.
-const DRAIN_AT: u64 = 5;
-const RETURN_AT: u64 = 10;
-const DIE_AT: u64 = 13;
-const REVIVE_AT: u64 = 18;
-const ROUND: u64 = 22;
-const DRAINS: usize = 1;
-const DIES: usize = 3;
-/// Lines of the program's log that are shown.
-const LINES: usize = 6;
-/// The table is drawn anew this often on a terminal, and printed this often elsewhere.
-const DRAW: Duration = Duration::from_millis(250);
-const PRINT: Duration = Duration::from_secs(2);
+/// Number of simulated servers; each is a little slower than the one before.
+const SERVER_COUNT: u64 = 5;
+const CLIENT_COUNT: u64 = 8;
+/// The events of one cycle, in seconds from its start.
+const DRAIN_AT_SECS: u64 = 5;
+const UNDRAIN_AT_SECS: u64 = 10;
+const STOP_AT_SECS: u64 = 13;
+const RESTART_AT_SECS: u64 = 18;
+const CYCLE_SECS: u64 = 22;
+const DRAINED_SERVER_INDEX: usize = 1;
+const STOPPED_SERVER_INDEX: usize = 3;
+/// Number of the gateway's latest log lines in the table.
+const MAX_LOG_LINES: usize = 6;
+/// How often the table is redrawn on a terminal.
+const REDRAW_INTERVAL: Duration = Duration::from_millis(250);
+/// How often the table is printed if standard output is not a terminal.
+const PRINT_INTERVAL: Duration = Duration::from_secs(2);
 
-/// The program, its files, and what it said last; all gone when dropped.
-struct Program {
+/// The gateway's process. Dropping it kills the process and removes its files.
+struct GatewayProcess {
     child: Child,
     folder: PathBuf,
-    said: Arc<Mutex<VecDeque<String>>>,
+    recent_log: Arc<Mutex<VecDeque<String>>>,
     address: String,
 }
 
-impl Drop for Program {
+impl Drop for GatewayProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -49,58 +50,70 @@
     }
 }
 
-/// Runs until Ctrl-C, SIGTERM or its terminal's end, or for as long as it was told.
+/// Runs until SIGINT, SIGTERM or SIGHUP, or for `--seconds`.
 pub fn demo(args: &DemoArgs) -> Result<(), CommandError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    runtime.block_on(play(args))
+    runtime.block_on(run_demo(args))
 }
 
-async fn play(args: &DemoArgs) -> Result<(), CommandError> {
-    // From here on no signal ends the process before its program, its clients and its files are gone.
-    let mut ends = [SignalKind::interrupt(), SignalKind::terminate(), SignalKind::hangup()]
+async fn run_demo(args: &DemoArgs) -> Result<(), CommandError> {
+    // Handles signals from here on, so that the gateway, the clients and the files are cleaned up before the exit.
+    let mut end_signals = [SignalKind::interrupt(), SignalKind::terminate(), SignalKind::hangup()]
         .into_iter()
         .map(signal)
         .collect::<Result<Vec<_>, _>>()?;
-    let machine = |k| Machine::start(&format!("box-{k}"), Duration::from_millis(8 + 4 * k), k);
-    let fleet = (1..=SERVERS).map(machine).collect::<Result<Vec<_>, _>>()?;
-    let program = start(&fleet, args.port)?;
-    let address =
-        program.address.parse().map_err(|_| CommandError::Message("it does not listen".to_owned()))?;
-    let load = Load::start(address, CLIENTS, Duration::from_millis(20), args.seed);
-    let out = std::io::stdout();
-    println!("The program listens on http://{}/ before {SERVERS} stand-in servers. Try:\n", program.address);
-    println!("  curl -i http://{}/status          # a safe request, served by a box", program.address);
-    println!("  curl -i -d ok http://{}/acknowledge   # an unsafe one: never sent twice", program.address);
-    println!("  curl -i http://{}/about           # answered by a route", program.address);
-    println!("\nIts file: {}    Ctrl-C ends it all.\n", program.folder.join("site.toml").display());
-    let began = Instant::now();
-    let terminal = out.is_terminal();
-    let (mut printed, mut told, mut height) = (began, u64::MAX, 0);
+    let start_server = |k| Machine::start(&format!("box-{k}"), Duration::from_millis(8 + 4 * k), k);
+    let servers = (1..=SERVER_COUNT).map(start_server).collect::<Result<Vec<_>, _>>()?;
+    let gateway = start_gateway(&servers, args.port)?;
+    let address = gateway
+        .address
+        .parse()
+        .map_err(|_| CommandError::Message("the gateway logged an invalid listen address".to_owned()))?;
+    let load = Load::start(address, CLIENT_COUNT, Duration::from_millis(20), args.seed);
+    let stdout = std::io::stdout();
+    println!(
+        "The gateway listens on http://{}/ in front of {SERVER_COUNT} simulated servers. Try:\n",
+        gateway.address
+    );
+    println!("  curl -i http://{}/status          # a safe request, answered by a server", gateway.address);
+    println!(
+        "  curl -i -d ok http://{}/acknowledge   # an unsafe request: never sent twice",
+        gateway.address
+    );
+    println!("  curl -i http://{}/about           # answered by the gateway itself", gateway.address);
+    println!("\nIts file: {}    Press Ctrl-C to stop.\n", gateway.folder.join("site.toml").display());
+    let started_at = Instant::now();
+    let is_terminal = stdout.is_terminal();
+    let (mut printed_at, mut last_second, mut table_height) = (started_at, u64::MAX, 0);
     loop {
-        let second = began.elapsed().as_secs();
-        if second != told {
-            told = second;
-            happen(second % ROUND, &fleet, &program.folder)?;
+        let second = started_at.elapsed().as_secs();
+        if second != last_second {
+            last_second = second;
+            apply_scheduled_event(second % CYCLE_SECS, &servers, &gateway.folder)?;
         }
-        if terminal || printed.elapsed() >= PRINT {
-            printed = Instant::now();
-            let table = table(&fleet, &load, second, &program);
-            let up = if terminal && height > 0 { format!("\x1b[{height}A\x1b[J") } else { String::new() };
-            height = table.lines().count();
-            write!(out.lock(), "{up}{table}")?;
-            out.lock().flush()?;
+        if is_terminal || printed_at.elapsed() >= PRINT_INTERVAL {
+            printed_at = Instant::now();
+            let table = render_table(&servers, &load, second, &gateway);
+            let clear_table = if is_terminal && table_height > 0 {
+                format!("\x1b[{table_height}A\x1b[J")
+            } else {
+                String::new()
+            };
+            table_height = table.lines().count();
+            write!(stdout.lock(), "{clear_table}{table}")?;
+            stdout.lock().flush()?;
         }
-        if args.seconds.is_some_and(|s| second >= s) {
+        if args.seconds.is_some_and(|limit| second >= limit) {
             break;
         }
         tokio::select! {
-            () = any(&mut ends) => break,
-            () = tokio::time::sleep(DRAW) => {}
+            () = any_signal(&mut end_signals) => break,
+            () = tokio::time::sleep(REDRAW_INTERVAL) => {}
         }
     }
     let tally = load.tally.clone();
     load.stop();
-    let count = |n: &std::sync::atomic::AtomicU64| n.load(SeqCst);
+    let count = |counter: &std::sync::atomic::AtomicU64| counter.load(SeqCst);
     println!(
         "\nended: {} requests, {} served, {} refused, {} failed",
         count(&tally.asked),
@@ -111,8 +124,8 @@
     Ok(())
 }
 
-/// Waits for one of these signals.
-async fn any(signals: &mut [Signal]) {
+/// Waits until one of the signals is received.
+async fn any_signal(signals: &mut [Signal]) {
     poll_fn(|cx| match signals.iter_mut().any(|signal| signal.poll_recv(cx).is_ready()) {
         true => Poll::Ready(()),
         false => Poll::Pending,
@@ -120,46 +133,50 @@
     .await
 }
 
-fn start(fleet: &[Arc<Machine>], port: u16) -> Result<Program, CommandError> {
+fn start_gateway(servers: &[Arc<Machine>], port: u16) -> Result<GatewayProcess, CommandError> {
     let folder = std::env::temp_dir().join(format!("corkhollow-demo-{}", std::process::id()));
     std::fs::create_dir_all(&folder)?;
-    list(fleet, &folder, None)?;
-    std::fs::write(folder.join("site.toml"), SITE.replace("PORT", &port.to_string()))?;
+    write_server_list(servers, &folder, None)?;
+    std::fs::write(folder.join("site.toml"), CONFIG.replace("PORT", &port.to_string()))?;
     let mut command = Command::new(std::env::current_exe()?);
     command.arg("run").arg("--config").arg(folder.join("site.toml")).arg("--until-stdin-ends");
-    // It holds the other end of this pipe for as long as it lives: where it is killed, the program hears of that.
+    // If the demo is killed, this pipe closes and the gateway exits.
     command.stdin(Stdio::piped()).stderr(Stdio::piped());
-    // A terminal's Ctrl-C goes to the whole group: the program has to outlive the clients, whom the demo ends first.
+    // Its own process group, so that a terminal's Ctrl-C does not stop it before the clients have finished.
     let mut child = command.process_group(0).spawn()?;
     let stderr = child.stderr.take();
-    let mut program = Program { child, folder, said: Arc::default(), address: String::new() };
-    let mut lines = BufReader::new(stderr.ok_or_else(|| CommandError::Message("no log".to_owned()))?).lines();
+    let mut gateway = GatewayProcess { child, folder, recent_log: Arc::default(), address: String::new() };
+    let mut lines =
+        BufReader::new(stderr.ok_or_else(|| {
+            CommandError::Message("standard error of the gateway is not available".to_owned())
+        })?)
+        .lines();
     for line in lines.by_ref() {
         let line = line?;
         if let Some((_, address)) = line.split_once(" listening on ") {
-            program.address = address.to_owned();
+            gateway.address = address.to_owned();
             break;
         }
         eprintln!("{line}");
     }
-    let said = program.said.clone();
+    let recent_log = gateway.recent_log.clone();
     std::thread::spawn(move || {
         for line in lines.map_while(Result::ok) {
-            if let Ok(mut said) = said.lock() {
-                said.push_back(line);
-                if said.len() > LINES {
-                    said.pop_front();
+            if let Ok(mut recent_log) = recent_log.lock() {
+                recent_log.push_back(line);
+                if recent_log.len() > MAX_LOG_LINES {
+                    recent_log.pop_front();
                 }
             }
         }
     });
-    if program.address.is_empty() {
-        return Err(CommandError::Message("the program did not start".to_owned()));
+    if gateway.address.is_empty() {
+        return Err(CommandError::Message("the gateway did not start".to_owned()));
     }
-    Ok(program)
+    Ok(gateway)
 }
 
-const SITE: &str = r#"# What `corkhollow demo` runs. `corkhollow explain` tells where a request goes.
+const CONFIG: &str = r#"# Configuration of `corkhollow demo`. `corkhollow explain` shows how a request is routed.
 [[listener]]
 name = "demo"
 address = "127.0.0.1:PORT"
@@ -203,34 +220,39 @@
 pool = "boxes"
 "#;
 
-/// Writes the list that the program watches, whole or not at all.
-fn list(fleet: &[Arc<Machine>], folder: &Path, draining: Option<usize>) -> std::io::Result<()> {
+/// Atomically replaces the server list that the gateway watches.
+fn write_server_list(
+    servers: &[Arc<Machine>],
+    folder: &Path,
+    draining: Option<usize>,
+) -> std::io::Result<()> {
     let mut text = String::new();
-    for (k, machine) in fleet.iter().enumerate() {
-        let _ = writeln!(text, "[[servers]]\nname = {:?}\naddress = \"{}\"", machine.name, machine.address);
-        if draining == Some(k) {
+    for (index, server) in servers.iter().enumerate() {
+        let _ = writeln!(text, "[[servers]]\nname = {:?}\naddress = \"{}\"", server.name, server.address);
+        if draining == Some(index) {
             text.push_str("drain = true\n");
         }
     }
-    let (new, path) = (folder.join("boxes.new"), folder.join("boxes.toml"));
-    std::fs::write(&new, text)?;
-    std::fs::rename(new, path)
+    let (draft, path) = (folder.join("boxes.new"), folder.join("boxes.toml"));
+    std::fs::write(&draft, text)?;
+    std::fs::rename(draft, path)
 }
 
-fn happen(second: u64, fleet: &[Arc<Machine>], folder: &Path) -> std::io::Result<()> {
+/// Drains, stops or restarts a server if that is due at this second of the cycle.
+fn apply_scheduled_event(second: u64, servers: &[Arc<Machine>], folder: &Path) -> std::io::Result<()> {
     match second {
-        DRAIN_AT => list(fleet, folder, Some(DRAINS))?,
-        RETURN_AT => list(fleet, folder, None)?,
-        DIE_AT => fleet[DIES].die(),
-        REVIVE_AT => drop(fleet[DIES].revive()),
+        DRAIN_AT_SECS => write_server_list(servers, folder, Some(DRAINED_SERVER_INDEX))?,
+        UNDRAIN_AT_SECS => write_server_list(servers, folder, None)?,
+        STOP_AT_SECS => servers[STOPPED_SERVER_INDEX].die(),
+        RESTART_AT_SECS => drop(servers[STOPPED_SERVER_INDEX].revive()),
         _ => {}
     }
     Ok(())
 }
 
-fn table(fleet: &[Arc<Machine>], load: &Load, second: u64, program: &Program) -> String {
+fn render_table(servers: &[Arc<Machine>], load: &Load, second: u64, gateway: &GatewayProcess) -> String {
     let tally = &load.tally;
-    let count = |n: &std::sync::atomic::AtomicU64| n.load(SeqCst);
+    let count = |counter: &std::sync::atomic::AtomicU64| counter.load(SeqCst);
     let (asked, served) = (count(&tally.asked), count(&tally.served));
     let mean = count(&tally.micros) as f64 / 1000.0 / served.max(1) as f64;
     let mut out = String::new();
@@ -245,19 +267,23 @@
         "  {:<8} {:<22} {:<9} {:>9} {:>8}",
         "server", "address", "state", "in flight", "served"
     );
-    let round = second % ROUND;
-    for (k, machine) in fleet.iter().enumerate() {
+    let cycle_second = second % CYCLE_SECS;
+    for (index, server) in servers.iter().enumerate() {
         let state = match () {
-            () if !machine.alive() => "dead",
-            () if k == DRAINS && (DRAIN_AT..RETURN_AT).contains(&round) => "draining",
+            () if !server.alive() => "dead",
+            () if index == DRAINED_SERVER_INDEX
+                && (DRAIN_AT_SECS..UNDRAIN_AT_SECS).contains(&cycle_second) =>
+            {
+                "draining"
+            }
             () => "up",
         };
-        let (in_flight, served) = (machine.in_flight(), machine.served());
-        let address = machine.address.to_string();
-        let _ = writeln!(out, "  {:<8} {address:<22} {state:<9} {in_flight:>9} {served:>8}", machine.name);
+        let (in_flight, served) = (server.in_flight(), server.served());
+        let address = server.address.to_string();
+        let _ = writeln!(out, "  {:<8} {address:<22} {state:<9} {in_flight:>9} {served:>8}", server.name);
     }
-    if let Ok(said) = program.said.lock() {
-        for line in said.iter() {
+    if let Ok(recent_log) = gateway.recent_log.lock() {
+        for line in recent_log.iter() {
             let _ = writeln!(out, "  {line}");
         }
     }
