--- a/crates/corkhollow/src/main.rs
+++ b/crates/corkhollow/src/main.rs
@@ -1,4 +1,4 @@
-//! The program: a load-balancing gateway for HTTP sites.
+//! A load-balancing gateway for HTTP.
 
 mod cli;
 mod commands;
@@ -9,7 +9,7 @@
 
 fn main() -> ExitCode {
     let cli = cli::Cli::parse();
-    let done = match cli.command {
+    let result = match cli.command {
         cli::Command::Run(args) => commands::run::run(args),
         cli::Command::Check(args) => commands::check::check(&args),
         cli::Command::Explain(args) => commands::explain::explain(&args),
@@ -17,7 +17,7 @@
         cli::Command::Fleet(args) => commands::fleet::fleet(&args),
         cli::Command::Reference => commands::reference(),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("corkhollow: {error}");
