--- a/crates/corkhollow/src/commands/membership.rs
+++ b/crates/corkhollow/src/commands/membership.rs
@@ -1,4 +1,4 @@
-//! The running program's place in its fleet: joining, following the view, and handing the place on.
+//! The node's membership in its fleet: joining, following changes of the group, and the hand-over to a successor.
 
 use super::run::StartError;
 use corkhollow_engine::{log, LogLimiter};
@@ -13,106 +13,115 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Descriptors that the node of a fleet takes: its socket and what its thread waits with.
-pub const DESCRIPTORS: usize = 6;
-/// How often a process that comes to another's place looks whether that one has let go of the fleet's address.
-const LOOK: Duration = Duration::from_millis(20);
+/// File descriptors of a fleet member: its UDP socket and the runtime of its thread.
+pub const FLEET_DESCRIPTORS: usize = 6;
+/// How often a successor retries to bind the fleet's address, and how often it checks whether it is a member.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What the program knows of its place.
+/// The node's membership, shared by the tasks of the process.
 #[derive(Clone, Default)]
 pub struct Membership {
-    /// The node, once it runs.
-    pub place: FleetCell,
-    /// What the pools go by; none where there is no fleet.
+    /// Empty until the node has joined.
+    pub fleet: FleetCell,
+    /// The group position that the pools use; none without a fleet.
     pub group: Rc<Cell<Option<Group>>>,
 }
 
-/// What the fleet's node is told by a plan.
-pub fn config(plan: &Plan, told: &plan::Fleet, address: SocketAddr) -> Result<Config, StartError> {
-    let fault = |path: &std::path::Path, why: String| StartError::Key { path: path.to_owned(), why };
-    let key = told.key_file.as_ref().map(|path| {
-        let text = std::fs::read_to_string(path).map_err(|error| fault(path, error.to_string()))?;
-        plan::Fleet::key(&text).map_err(|why| fault(path, why))
+/// Builds the configuration of the fleet member from a plan.
+pub fn member_config(plan: &Plan, settings: &plan::Fleet, address: SocketAddr) -> Result<Config, StartError> {
+    let key_error =
+        |path: &std::path::Path, reason: String| StartError::FleetKey { path: path.to_owned(), reason };
+    let key = settings.key_file.as_ref().map(|path| {
+        let text = std::fs::read_to_string(path).map_err(|error| key_error(path, error.to_string()))?;
+        plan::Fleet::key(&text).map_err(|reason| key_error(path, reason))
     });
     Ok(Config {
-        fleet: told.name.clone(),
-        name: told.node.clone(),
+        fleet: settings.name.clone(),
+        name: settings.node.clone(),
         zone: plan.zones.get(usize::from(plan.zone)).cloned().unwrap_or_default(),
         address,
-        seeds: told.seeds.clone(),
+        seeds: settings.seeds.clone(),
         key: key.transpose()?,
         timing: Timing {
-            probe_every: told.probe_every,
-            probe_timeout: told.probe_timeout,
-            suspect_for: told.suspect_for,
+            probe_every: settings.probe_every,
+            probe_timeout: settings.probe_timeout,
+            suspect_for: settings.suspect_for,
         },
-        datagram: told.datagram,
+        datagram: settings.datagram,
         additions: Additions::default(),
         incarnation: 1,
     })
 }
 
-/// Where others reach a node.
-fn reached(told: &plan::Fleet, socket: &UdpSocket) -> std::io::Result<SocketAddr> {
-    Ok(told.advertise.unwrap_or(socket.local_addr()?))
+/// The address at which other members reach this node.
+fn advertised_address(settings: &plan::Fleet, socket: &UdpSocket) -> std::io::Result<SocketAddr> {
+    Ok(settings.advertise.unwrap_or(socket.local_addr()?))
 }
 
 impl Membership {
-    /// Joins the fleet that the plan names, and counts by it from the first request on.
+    /// Joins the plan's fleet, if it has one, and sets the group position before any request is served.
     pub async fn join(&self, plan: &Plan, metrics: &Metrics, seed: u64) -> Result<(), StartError> {
-        let Some(told) = &plan.fleet else { return Ok(()) };
-        let open = |error| StartError::Listen { address: told.listen, error };
-        let socket = UdpSocket::bind(told.listen).map_err(open)?;
-        let config = config(plan, told, reached(told, &socket).map_err(open)?)?;
-        let mut fleet = start(config, socket, seed, metrics)?;
-        let name = told.node.clone();
-        fleet.wait_until_joined().await.map_err(|by| StartError::Name { name, by })?;
+        let Some(settings) = &plan.fleet else { return Ok(()) };
+        let bind_error = |error| StartError::Listen { address: settings.listen, error };
+        let socket = UdpSocket::bind(settings.listen).map_err(bind_error)?;
+        let config =
+            member_config(plan, settings, advertised_address(settings, &socket).map_err(bind_error)?)?;
+        let mut fleet = start_member(config, socket, seed, metrics)?;
+        let name = settings.node.clone();
+        fleet.wait_until_joined().await.map_err(|holder| StartError::NameTaken { name, holder })?;
         let group = fleet.view().snapshot.group;
         self.group.set(Some(group));
-        self.place.set(fleet);
+        self.fleet.set(fleet);
         Ok(())
     }
 
-    /// Takes another process's place in the fleet once that one has let go of it, and counts as that one did until then.
-    pub async fn succeed(self, plan: Arc<Plan>, from: Option<FleetHandover>, metrics: Metrics, seed: u64) {
-        let Some(told) = &plan.fleet else { return };
+    /// Joins the fleet under the predecessor's name and address once the predecessor has released them. Until then the pools
+    /// use the predecessor's group position.
+    pub async fn join_as_successor(
+        self,
+        plan: Arc<Plan>,
+        handover: Option<FleetHandover>,
+        metrics: Metrics,
+        seed: u64,
+    ) {
+        let Some(settings) = &plan.fleet else { return };
         let socket = loop {
-            match UdpSocket::bind(told.listen) {
+            match UdpSocket::bind(settings.listen) {
                 Ok(socket) => break socket,
-                Err(_) => tokio::time::sleep(LOOK).await,
+                Err(_) => tokio::time::sleep(POLL_INTERVAL).await,
             }
         };
         let joined = async {
-            let address = reached(told, &socket)?;
-            let mut config = config(&plan, told, address)?;
-            if let Some(from) = from {
-                config.incarnation = from.incarnation + 1;
-                config.seeds.extend(from.members);
+            let address = advertised_address(settings, &socket)?;
+            let mut config = member_config(&plan, settings, address)?;
+            if let Some(handover) = handover {
+                config.incarnation = handover.incarnation + 1;
+                config.seeds.extend(handover.members);
             }
-            let mut fleet = start(config, socket, seed, &metrics)?;
-            let name = told.node.clone();
-            fleet.wait_until_joined().await.map_err(|by| StartError::Name { name, by })?;
+            let mut fleet = start_member(config, socket, seed, &metrics)?;
+            let name = settings.node.clone();
+            fleet.wait_until_joined().await.map_err(|holder| StartError::NameTaken { name, holder })?;
             Ok::<_, StartError>(fleet)
         };
         match joined.await {
-            Ok(fleet) => self.place.set(fleet),
-            Err(why) => log(format_args!("fleet: not a member: {why}")),
+            Ok(fleet) => self.fleet.set(fleet),
+            Err(error) => log(format_args!("fleet: cannot join: {error}")),
         }
     }
 
-    /// Lets the pools count by the view as it changes, for good.
-    pub async fn follow(self, current: Rc<CurrentPlan>) {
-        let mut pace = LogLimiter::new(100, 1.0);
+    /// Updates the pools' group position as the fleet changes, until the fleet member ends.
+    pub async fn follow_group(self, current_plan: Rc<CurrentPlan>) {
+        let mut limiter = LogLimiter::new(100, 1.0);
         let mut fleet = loop {
-            match self.place.get() {
+            match self.fleet.get() {
                 Some(fleet) => break fleet.clone(),
-                None => tokio::time::sleep(LOOK).await,
+                None => tokio::time::sleep(POLL_INTERVAL).await,
             }
         };
         loop {
             let group = fleet.view().snapshot.group;
             if self.group.get() != Some(group) {
-                self.regroup(&current, group, &mut pace).await;
+                self.set_group(&current_plan, group, &mut limiter).await;
             }
             if !fleet.changed().await {
                 return;
@@ -120,41 +129,51 @@
         }
     }
 
-    /// Lets the pools count so.
-    pub async fn regroup(&self, current: &CurrentPlan, group: Group, pace: &mut LogLimiter) {
+    /// Sets the group position of all pools of the current plan.
+    pub async fn set_group(&self, current_plan: &CurrentPlan, group: Group, limiter: &mut LogLimiter) {
         self.group.set(Some(group));
-        match current.get().set_group(group).await {
-            Ok(()) => pace.log(format_args!("fleet: counts as number {} of {}", group.ordinal, group.size)),
-            Err(why) => pace.log(format_args!("fleet: {why}")),
+        match current_plan.get().set_group(group).await {
+            Ok(()) => {
+                limiter.log(format_args!("fleet: this node is number {} of {}", group.ordinal, group.size))
+            }
+            Err(error) => limiter.log(format_args!("fleet: {error}")),
         }
     }
 
-    /// What a process that takes this one's place goes on with.
+    /// What a successor needs to continue this membership; none before the node has joined.
     pub fn handover(&self) -> Option<FleetHandover> {
-        let view = self.place.get()?.view();
+        let view = self.fleet.get()?.view();
         let Group { ordinal, size } = view.snapshot.group;
         let (incarnation, members) = view.handover;
         Some(FleetHandover { ordinal, size, incarnation, members })
     }
 }
 
-/// What a new file says of the fleet, if all of it can be taken over.
-pub fn reloaded(old: &Plan, new: &Plan) -> Result<Option<Config>, StartError> {
+/// The fleet member's new configuration after a reload.
+///
+/// # Errors
+/// If a key has changed that requires a restart, or the fleet key cannot be read.
+pub fn reloaded_config(old: &Plan, new: &Plan) -> Result<Option<Config>, StartError> {
     match (&old.fleet, &new.fleet) {
         (None, None) => Ok(None),
-        (Some(was), Some(told)) => match was.fixed(told) {
-            Some(key) => Err(StartError::Fixed { key: format!("fleet.{key}") }),
-            // Its own address is for good, and not looked at again.
-            None => config(new, told, told.advertise.unwrap_or(told.listen)).map(Some),
+        (Some(old_settings), Some(settings)) => match old_settings.fixed(settings) {
+            Some(key) => Err(StartError::RequiresRestart { key: format!("fleet.{key}") }),
+            // A running member keeps its address, so this one is not used.
+            None => member_config(new, settings, settings.advertise.unwrap_or(settings.listen)).map(Some),
         },
-        _ => Err(StartError::Fixed { key: "fleet".to_owned() }),
+        _ => Err(StartError::RequiresRestart { key: "fleet".to_owned() }),
     }
 }
 
-fn start(config: Config, socket: UdpSocket, seed: u64, metrics: &Metrics) -> Result<Fleet, StartError> {
-    let local = socket.local_addr()?;
-    log(format_args!("fleet {}: {} hears datagrams at {local}", config.fleet, config.name));
-    // Another life of the same node draws other numbers.
+fn start_member(
+    config: Config,
+    socket: UdpSocket,
+    seed: u64,
+    metrics: &Metrics,
+) -> Result<Fleet, StartError> {
+    let local_address = socket.local_addr()?;
+    log(format_args!("fleet {}: {} receives datagrams at {local_address}", config.fleet, config.name));
+    // Another process of the same node must draw other random numbers.
     let seed = seed ^ u64::from(std::process::id()).rotate_left(32);
     Ok(Fleet::start(config, socket, seed, Some(metrics.for_fleet()?))?)
 }
--- a/crates/corkhollow/src/commands/reload.rs
+++ b/crates/corkhollow/src/commands/reload.rs
@@ -1,5 +1,5 @@
-//! SIGHUP: a whole new file takes over between two requests, or none of it. It is read, checked, compiled and compared on a thread
-//! of its own; the thread that serves only puts it in force.
+//! Reload on SIGHUP. A new file is read, validated, compiled and compared with the current plan on a background thread; the
+//! serving thread only activates it, as a whole or not at all.
 
 use super::membership;
 use super::run::{Listeners, StartError};
@@ -22,186 +22,189 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Where the plan comes from, now and at each reload.
+/// Where the plan is read from, at the start and at each reload.
 #[derive(Clone)]
-pub enum Told {
-    /// An operator's file, and the operator's address where the command line gives another one.
+pub enum ConfigSource {
+    /// An operator's file, and the operator address of the command line, which overrides that of the file.
     File(PathBuf, Option<SocketAddr>),
-    /// The platform's file; what it held when it was last taken.
+    /// The platform's file, with its shape when it was last activated.
     Platform(Box<Shape>),
 }
 
-/// A file that can be put in force.
-struct Compiled {
+/// A plan that is ready to be activated.
+struct CompiledPlan {
     plan: Plan,
     change: Change,
-    /// What the fleet's node is told.
+    /// The new configuration of the fleet member.
     fleet: Option<FleetConfig>,
-    /// What the platform's file held.
+    /// The new shape of the platform's file.
     shape: Option<Box<Shape>>,
-    /// How long it took to read and check the file, and to compare its plan with the one in force.
-    read: Duration,
-    compared: Duration,
+    /// How long it took to read and validate the file.
+    read_time: Duration,
+    /// How long it took to compare the plan with the current one.
+    compare_time: Duration,
 }
 
-/// Reads an operator's file, on a thread of its own as later ones are: what is read into memory for that, many times the file, lies
-/// apart from what the program holds for longer, and is given back with the plan.
-pub fn first(path: &Path, operator: Option<SocketAddr>) -> Result<Plan, CommandError> {
+/// Reads an operator's file on a separate thread, as reloads do. Parsing allocates many times the file's size; from another
+/// thread, that memory is kept apart from long-lived allocations and can be returned to the system with the plan.
+pub fn load_first_plan(path: &Path, operator: Option<SocketAddr>) -> Result<Plan, CommandError> {
     std::thread::scope(|scope| {
-        scope.spawn(|| read(path, operator)).join().unwrap_or_else(|panic| std::panic::resume_unwind(panic))
+        scope
+            .spawn(|| load_plan(path, operator))
+            .join()
+            .unwrap_or_else(|panic| std::panic::resume_unwind(panic))
     })
 }
 
-fn read(path: &Path, operator: Option<SocketAddr>) -> Result<Plan, CommandError> {
+fn load_plan(path: &Path, operator: Option<SocketAddr>) -> Result<Plan, CommandError> {
     let plan = load(path)?.plan;
     Ok(Plan { operator: operator.or(plan.operator), ..plan })
 }
 
-fn compile(told: &Told, old: &Plan) -> Result<Compiled, CommandError> {
-    let begun = Instant::now();
-    let (plan, shape) = match told {
-        Told::File(path, operator) => (read(path, *operator)?, None),
-        Told::Platform(shape) => {
+fn compile(source: &ConfigSource, old: &Plan) -> Result<CompiledPlan, CommandError> {
+    let started_at = Instant::now();
+    let (plan, shape) = match source {
+        ConfigSource::File(path, operator) => (load_plan(path, *operator)?, None),
+        ConfigSource::Platform(shape) => {
             let config = Config::reload(shape).map_err(StartError::from)?;
             (config.plan_beside(old).map_err(StartError::from)?, Some(Box::new(config.shape)))
         }
     };
-    let fleet = membership::reloaded(old, &plan)?;
-    let read = begun.elapsed();
-    let begun = Instant::now();
+    let fleet = membership::reloaded_config(old, &plan)?;
+    let read_time = started_at.elapsed();
+    let started_at = Instant::now();
     let (plan, change) = plan.follow(old);
-    Ok(Compiled { plan, change, fleet, shape, read, compared: begun.elapsed() })
+    Ok(CompiledPlan { plan, change, fleet, shape, read_time, compare_time: started_at.elapsed() })
 }
 
-/// Files that are on their way.
-pub struct Reloads {
-    told: Told,
-    running: Option<Task<Result<Compiled, CommandError>>>,
-    /// Another SIGHUP has come: the file may be newer than what is being compiled.
-    again: bool,
-    /// What was compiled last was passed over for that. The next one is put in force, or one file after another would keep all out.
-    passed_over: bool,
+/// Compiles plans in the background, one at a time, and activates them.
+pub struct Reloader {
+    source: ConfigSource,
+    running: Option<Task<Result<CompiledPlan, CommandError>>>,
+    /// SIGHUP was received during the compilation: the file may have changed since it was read.
+    has_newer: bool,
+    /// The last compiled plan was discarded in favour of a newer file. The next one is activated in any case, so that
+    /// frequent signals cannot postpone a reload forever.
+    discarded_last: bool,
 }
 
-/// All that a file is put in force on.
-pub struct Target<'t> {
-    pub current: &'t CurrentPlan,
+/// What a plan is activated on.
+pub struct ReloadTarget<'t> {
+    pub current_plan: &'t CurrentPlan,
     pub listeners: &'t mut Listeners,
     pub clients: &'t Rc<ClientConnections>,
-    pub shared: &'t PoolContext,
+    pub context: &'t PoolContext,
     pub seed: u64,
-    pub place: &'t FleetCell,
-    /// What the node counts as in its fleet.
+    pub fleet: &'t FleetCell,
+    /// The node's position in its fleet.
     pub group: Option<Group>,
 }
 
-impl Reloads {
-    /// None is on its way.
-    pub fn new(told: Told) -> Self {
-        Reloads { told, running: None, again: false, passed_over: false }
+impl Reloader {
+    pub fn new(source: ConfigSource) -> Self {
+        Reloader { source, running: None, has_newer: false, discarded_last: false }
     }
 
-    /// SIGHUP has come.
-    pub fn begin(&mut self, current: &CurrentPlan, metrics: &Metrics) {
+    /// Starts a reload, or requests another one if one is running.
+    pub fn start(&mut self, current_plan: &CurrentPlan, metrics: &Metrics) {
         if self.running.is_some() {
-            self.again = true;
+            self.has_newer = true;
             return;
         }
-        let Some(old) = current.get().plan.share() else { return };
-        let told = self.told.clone();
-        match background::spawn(move || compile(&told, &old)) {
+        let Some(old) = current_plan.get().plan.share() else { return };
+        let source = self.source.clone();
+        match background::spawn(move || compile(&source, &old)) {
             Ok(running) => self.running = Some(running),
-            Err(why) => turn_down(metrics, &why),
+            Err(error) => reject(metrics, &error),
         }
     }
 
-    /// Waits for a file that is to be put in force, or is turned down. May be broken off and called again.
-    pub async fn compiled(&mut self) -> Ready {
+    /// Waits for the running compilation, forever if there is none. Cancel safe.
+    pub async fn wait_compiled(&mut self) -> CompileResult {
         let Some(running) = &mut self.running else { return pending().await };
         let compiled = running.join().await;
         self.running = None;
-        let newer = std::mem::take(&mut self.again);
-        self.passed_over = newer && !self.passed_over;
-        let ready = match compiled {
+        let has_newer = std::mem::take(&mut self.has_newer);
+        self.discarded_last = has_newer && !self.discarded_last;
+        let result = match compiled {
             Ok(Ok(compiled)) => Ok(Box::new(compiled)),
-            Ok(Err(why)) => Err(why.to_string()),
-            Err(panic) => {
-                Err(format!("the file cannot be compiled, which is a fault of this program: {panic}"))
-            }
+            Ok(Err(error)) => Err(error.to_string()),
+            Err(panic) => Err(format!("internal error: compiling the file panicked: {panic}")),
         };
-        Ready { compiled: (!self.passed_over).then_some(ready), newer }
+        CompileResult { compiled: (!self.discarded_last).then_some(result), has_newer }
     }
 
-    /// Puts in force what has been compiled, unless it is passed over; begins with what is newer.
-    pub fn finish(&mut self, ready: Ready, mut target: Target<'_>, metrics: &Metrics) {
-        match ready
+    /// Activates a compiled plan, unless it was discarded, and starts another reload if there may be a newer file.
+    pub fn finish(&mut self, result: CompileResult, mut target: ReloadTarget<'_>, metrics: &Metrics) {
+        match result
             .compiled
-            .map(|compiled| compiled.and_then(|c| self.put(*c, &mut target).map_err(|e| e.to_string())))
+            .map(|compiled| compiled.and_then(|c| self.activate(*c, &mut target).map_err(|e| e.to_string())))
         {
             None => {}
             Some(Ok(())) => metrics.reloads_applied.inc(),
-            Some(Err(why)) => turn_down(metrics, &why),
+            Some(Err(error)) => reject(metrics, &error),
         }
-        if ready.newer {
-            self.begin(target.current, metrics);
+        if result.has_newer {
+            self.start(target.current_plan, metrics);
         }
     }
 
-    fn put(&mut self, compiled: Compiled, target: &mut Target<'_>) -> Result<(), StartError> {
-        let Compiled { plan, change, fleet, shape, read, compared } = compiled;
-        let begun = Instant::now();
-        let old = target.current.get();
+    fn activate(&mut self, compiled: CompiledPlan, target: &mut ReloadTarget<'_>) -> Result<(), StartError> {
+        let CompiledPlan { plan, change, fleet, shape, read_time, compare_time } = compiled;
+        let started_at = Instant::now();
+        let old = target.current_plan.get();
         let bound = target.listeners.bind(&plan)?;
-        let site = old.reload(plan, &change, target.shared, target.seed, target.group)?;
-        let (now, then) = (&site.plan.limits, &old.plan.limits);
-        if (now.descriptors, now.memory) != (then.descriptors, then.memory) {
-            log(format_args!("`limits.descriptors` and `limits.memory` change with a restart only"));
+        let new = old.reload(plan, &change, target.context, target.seed, target.group)?;
+        let (new_limits, old_limits) = (&new.plan.limits, &old.plan.limits);
+        if (new_limits.descriptors, new_limits.memory) != (old_limits.descriptors, old_limits.memory) {
+            log(format_args!(
+                "changes of `limits.descriptors` and `limits.memory` take effect only after a restart"
+            ));
         }
-        if site.plan.operator != old.plan.operator {
-            log(format_args!("the operator's address changes with a restart only"));
+        if new.plan.operator != old.plan.operator {
+            log(format_args!("a change of the operator's address takes effect only after a restart"));
         }
-        target.current.set(site.clone());
-        if let (Some(node), Some(told)) = (target.place.get(), fleet) {
-            node.reconfigure(told);
+        target.current_plan.set(new.clone());
+        if let (Some(member), Some(config)) = (target.fleet.get(), fleet) {
+            member.reconfigure(config);
         }
-        if let (Told::Platform(old), Some(new)) = (&mut self.told, shape) {
-            *old = new;
+        if let (ConfigSource::Platform(old_shape), Some(shape)) = (&mut self.source, shape) {
+            *old_shape = shape;
         }
-        target.listeners.start(&site.plan, bound, target.clients)?;
-        let swapped = begun.elapsed();
-        let times = [read, compared, swapped];
-        tell(&site, &change, times);
-        let told = (times.map(|time| time.as_secs_f64()), change.touched());
-        target.shared.metrics.set_active_config(&change.to.to_string(), Some(told));
+        target.listeners.start(&new.plan, bound, target.clients)?;
+        let activate_time = started_at.elapsed();
+        let times = [read_time, compare_time, activate_time];
+        log_reload(&new, &change, times);
+        let reload = (times.map(|time| time.as_secs_f64()), change.touched());
+        target.context.metrics.set_active_config(&change.to.to_string(), Some(reload));
         Ok(())
     }
 }
 
-/// A file that has been compiled, or has failed to be.
-pub struct Ready {
-    /// None where it is passed over for a newer one.
-    compiled: Option<Result<Box<Compiled>, String>>,
-    /// There is a newer one.
-    newer: bool,
+/// The outcome of a compilation.
+pub struct CompileResult {
+    /// None if the plan was discarded in favour of a newer file.
+    compiled: Option<Result<Box<CompiledPlan>, String>>,
+    has_newer: bool,
 }
 
-fn turn_down(metrics: &Metrics, why: &dyn std::fmt::Display) {
+fn reject(metrics: &Metrics, reason: &dyn std::fmt::Display) {
     metrics.reloads_rejected.inc();
-    log(format_args!("not reloaded: {why}"));
+    log(format_args!("not reloaded: {reason}"));
 }
 
-fn tell(site: &ActivePlan, change: &Change, times: [Duration; 3]) {
-    let plan = &site.plan;
+fn log_reload(active_plan: &ActivePlan, change: &Change, times: [Duration; 3]) {
+    let plan = &active_plan.plan;
     for pool in &plan.pools {
-        if let Source::Discovery(from) = &pool.source {
-            log(format_args!("reloaded: discovery at {}", from.address));
+        if let Source::Discovery(discovery) = &pool.source {
+            log(format_args!("reloaded: discovery at {}", discovery.address));
         }
     }
     let (listeners, routes, pools) = (plan.listeners.len(), plan.routes.routes().len(), plan.pools.len());
-    let [read, compared, swapped] = times.map(|time| time.as_secs_f64() * 1e3);
+    let [read_ms, compare_ms, activate_ms] = times.map(|time| time.as_secs_f64() * 1e3);
     log(format_args!(
         "reloaded: listeners: {listeners}, routes: {routes}, pools: {pools}; version {} in place of {}; {change}; \
-         pools touched: {}; read and checked in {read:.1} ms, compared in {compared:.1} ms, in force in {swapped:.1} ms",
+         pools touched: {}; read and checked in {read_ms:.1} ms, compared in {compare_ms:.1} ms, in force in {activate_ms:.1} ms",
         change.to,
         change.from,
         change.touched(),
--- a/crates/corkhollow/src/commands/run.rs
+++ b/crates/corkhollow/src/commands/run.rs
@@ -1,10 +1,10 @@
-//! `corkhollow run`: runtime, listeners, signals, reload.
+//! `corkhollow run`: startup, listeners, signals, periodic tasks and shutdown.
 
 use super::membership::{self, Membership};
-use super::reload::{first, Reloads, Target, Told};
+use super::reload::{load_first_plan, ConfigSource, ReloadTarget, Reloader};
 use super::CommandError;
 use crate::cli::RunArgs;
-use crate::succession::{self, Neighbours};
+use crate::succession::{self, SuccessionLocks};
 use corkhollow_engine::{log, Clock, LogLimiter};
 use corkhollow_fleet::Group;
 use corkhollow_operate::{FleetHandover, Handover, Metrics, MetricsError, SharedLifecycle};
@@ -32,27 +32,28 @@
 use tokio::task::{spawn_local, JoinHandle, LocalSet};
 use tokio::time::timeout_at;
 
-/// Connections that the kernel may hold for us while we are busy; it cuts this down to what it allows.
-const BACKLOG: u32 = 4096;
-/// How often metrics and readiness are brought up to date.
-const WATCH: Duration = Duration::from_millis(50);
-/// Beyond `MANY` servers they are counted at one look of `SELDOM` only, which is once a second: each is looked at for that.
-const MANY: usize = 1_000;
-const SELDOM: u32 = 20;
-/// How often the share of the limits is settled anew.
-const SHARE: Duration = Duration::from_millis(100);
-/// How often a process that is about to be replaced writes down what it has learnt.
-const TELL: Duration = Duration::from_millis(250);
-/// How long a process that comes to another's place waits for what that one has learnt.
-const LEARN_WITHIN: Duration = Duration::from_millis(500);
-/// How often it looks.
-const LOOK: Duration = Duration::from_millis(10);
-/// How often tenants that have been idle for long are forgotten.
-const FORGET: Duration = Duration::from_secs(60);
-/// How often a draining node looks for connections without a request.
-const EMPTY: Duration = Duration::from_millis(20);
+/// Requested length of the accept queue; the kernel caps it at `somaxconn`.
+const LISTEN_BACKLOG: u32 = 4096;
+/// How often metrics, readiness and the draining state shown to the fleet are updated.
+const STATE_UPDATE_INTERVAL: Duration = Duration::from_millis(50);
+/// Up to this many servers are counted at each state update.
+const MAX_SERVERS_COUNTED_EACH_UPDATE: usize = 1_000;
+/// More servers are counted at one state update in this many, since a count visits each server.
+const UPDATES_PER_LARGE_COUNT: u32 = 20;
+/// How often the process checks whether there is a predecessor or successor to share the limits with.
+const SUCCESSION_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// How often a process with a successor rewrites the handover.
+const HANDOVER_WRITE_INTERVAL: Duration = Duration::from_millis(250);
+/// How long a successor that is ready waits for the handover.
+const HANDOVER_TIMEOUT: Duration = Duration::from_millis(500);
+/// How often a successor checks for the handover, and whether it may accept connections.
+const SUCCESSOR_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// How often idle tenants are forgotten.
+const TENANT_CLEANUP_INTERVAL: Duration = Duration::from_secs(60);
+/// How often a draining node closes idle connections.
+const DRAIN_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Why the program cannot serve.
+/// Why the process cannot start, or cannot activate a new plan.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     #[error("{0}")]
@@ -61,16 +62,16 @@
     Pool(#[from] PoolError),
     #[error("cannot listen on {address}: {error}")]
     Listen { address: SocketAddr, error: std::io::Error },
-    #[error("the socket that is handed down is bound to {address}, which is no listener's address")]
-    Handed { address: SocketAddr },
-    #[error("fleet: the name {name} is taken: the process at {by} has it and is there")]
-    Name { name: String, by: SocketAddr },
-    #[error("{}: {why}", path.display())]
-    Key { path: PathBuf, why: String },
-    #[error("`{key}` changes with a restart only")]
-    Fixed { key: String },
+    #[error("an inherited socket is bound to {address}, which is not the address of any listener")]
+    UnknownInheritedSocket { address: SocketAddr },
+    #[error("fleet: the name {name} is already used by the process at {holder}")]
+    NameTaken { name: String, holder: SocketAddr },
+    #[error("{}: {reason}", path.display())]
+    FleetKey { path: PathBuf, reason: String },
+    #[error("`{key}` can be changed only by a restart")]
+    RequiresRestart { key: String },
     #[error("{0}")]
-    System(#[from] std::io::Error),
+    Io(#[from] std::io::Error),
     #[error("{0}")]
     Metrics(#[from] MetricsError),
 }
@@ -78,74 +79,78 @@
 /// Serves until SIGTERM.
 pub fn run(args: RunArgs) -> Result<(), CommandError> {
     if args.config.is_some() {
-        give_memory_back();
+        lower_malloc_trim_threshold();
     }
     if args.until_stdin_ends {
-        end_with_stdin()?;
+        exit_when_stdin_ends()?;
     }
-    let handed = succession::handed().map_err(StartError::from)?;
+    let inherited = succession::inherited_listeners().map_err(StartError::from)?;
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(StartError::from)?;
-    LocalSet::new().block_on(&runtime, start(args, handed))
+    LocalSet::new().block_on(&runtime, load_and_serve(args, inherited))
 }
 
-/// Reads the configuration and serves by it. A SIGHUP that comes while it is read is kept: the file may be newer than what was
-/// read. SIGTERM ends the process at once until then, as nothing has been taken yet.
-async fn start(args: RunArgs, handed: Vec<std::net::TcpListener>) -> Result<(), CommandError> {
-    let hang_up = signal(SignalKind::hangup()).map_err(StartError::from)?;
-    let (told, plan) = match args.config {
+/// Reads the configuration and serves it. SIGHUP is handled from before the read on, so that a change of the file during the
+/// read is not missed. SIGTERM still has its default action then, which ends a process that serves nobody yet.
+async fn load_and_serve(args: RunArgs, inherited: Vec<std::net::TcpListener>) -> Result<(), CommandError> {
+    let hangup = signal(SignalKind::hangup()).map_err(StartError::from)?;
+    let (source, plan) = match args.config {
         Some(path) => {
-            let plan = first(&path, args.operator)?;
-            (Told::File(path, args.operator), plan)
+            let plan = load_first_plan(&path, args.operator)?;
+            (ConfigSource::File(path, args.operator), plan)
         }
         None => {
             let mut config = Config::load().map_err(StartError::from)?;
             config.operator = args.operator.or(config.operator);
-            (Told::Platform(Box::new(config.shape.clone())), config.plan())
+            (ConfigSource::Platform(Box::new(config.shape.clone())), config.plan())
         }
     };
     background::silence_panic_messages();
-    let neighbours = neighbours(&handed);
-    Ok(serve(hang_up, told, plan, handed, neighbours).await?)
+    let locks = join_succession(&inherited);
+    Ok(serve(hangup, source, plan, inherited, locks).await?)
 }
 
-/// The C library gives free memory back to the system once there is more than this of it at an end. Left to itself it raises that to
-/// twice the largest piece that was ever freed, which for a large file is tens of megabytes. It reads its settings when a process
-/// starts, so the program starts itself again in its own place; where that fails, or the setting is there, it goes on as it is.
-fn give_memory_back() {
-    const SETTING: &str = "MALLOC_TRIM_THRESHOLD_";
-    const MOST_FREE: &str = "1000000";
+/// Sets glibc's trim threshold, unless it is set already. By default glibc raises the threshold to twice the largest block
+/// ever freed, which for a large file is tens of megabytes that would not be returned to the system. glibc reads the setting
+/// only at process start, so the program executes itself again; if that fails, it continues as it is.
+fn lower_malloc_trim_threshold() {
+    const VARIABLE: &str = "MALLOC_TRIM_THRESHOLD_";
+    const TRIM_THRESHOLD_BYTES: &str = "1000000";
     let mut arguments = std::env::args_os();
     if let (None, Ok(program), Some(name)) =
-        (std::env::var_os(SETTING), std::env::current_exe(), arguments.next())
+        (std::env::var_os(VARIABLE), std::env::current_exe(), arguments.next())
     {
-        let why = Command::new(program).arg0(name).args(arguments).env(SETTING, MOST_FREE).exec();
-        log(format_args!("memory of large files is given back late: {why}"));
+        let error =
+            Command::new(program).arg0(name).args(arguments).env(VARIABLE, TRIM_THRESHOLD_BYTES).exec();
+        log(format_args!(
+            "cannot restart with {VARIABLE} set: {error}; memory freed after reading large files may stay allocated"
+        ));
     }
 }
 
-/// Ends the process when its standard input ends. A process that dies, however it does, lets go of its pipes: this is how a
-/// child hears of that.
-fn end_with_stdin() -> Result<(), StartError> {
+/// Exits the process when standard input ends. The kernel closes the pipe when the parent dies, however it dies.
+fn exit_when_stdin_ends() -> Result<(), StartError> {
     let wait = || {
-        // What is written there is nobody's; a pipe that breaks has ended too.
+        // The input is ignored, and a read error counts as its end.
         let _ = std::io::copy(&mut std::io::stdin().lock(), &mut std::io::sink());
-        log(format_args!("standard input has ended, and so does the program"));
+        log(format_args!("standard input has ended; exiting"));
         std::process::exit(0);
     };
     std::thread::Builder::new().name("stdin".to_owned()).spawn(wait)?;
     Ok(())
 }
 
-/// Finds the other processes on the sockets that this one has been handed. Without a folder to meet in, it is alone.
-fn neighbours(handed: &[std::net::TcpListener]) -> Option<Neighbours> {
-    // The smallest address stands for all: a process's sockets may come in any order.
-    let address = handed.iter().filter_map(|socket| socket.local_addr().ok()).min()?;
+/// Joins the processes that share the inherited sockets; none without such sockets, or if the lock files cannot be used.
+fn join_succession(inherited: &[std::net::TcpListener]) -> Option<SuccessionLocks> {
+    // The smallest address identifies the whole set, as each process may inherit its sockets in another order.
+    let address = inherited.iter().filter_map(|socket| socket.local_addr().ok()).min()?;
     let folder = std::env::temp_dir();
-    Neighbours::join(&folder, address)
-        .inspect_err(|why| {
+    SuccessionLocks::join(&folder, address)
+        .inspect_err(|error| {
             let folder = folder.display();
-            log(format_args!("other processes cannot be met in {folder}: {why}; begins cold, as if alone"));
+            log(format_args!(
+                "cannot coordinate with other processes in {folder}: {error}; starting cold, as the only process"
+            ));
         })
         .ok()
 }
@@ -155,381 +160,407 @@
         let socket = if address.is_ipv4() { TcpSocket::new_v4()? } else { TcpSocket::new_v6()? };
         socket.set_reuseaddr(true)?;
         socket.bind(address)?;
-        socket.listen(BACKLOG)
+        socket.listen(LISTEN_BACKLOG)
     };
     open().map_err(|error| StartError::Listen { address, error })
 }
 
-/// Opens the operator's address.
-fn listen_for_calls(address: SocketAddr) -> Result<std::net::TcpListener, StartError> {
+fn listen_for_operators(address: SocketAddr) -> Result<std::net::TcpListener, StartError> {
     let open = || listen(address).map(TcpListener::into_std);
     open()?.map_err(|error| StartError::Listen { address, error })
 }
 
-/// A listener that takes connections.
-struct Open {
-    told: SocketAddr,
+/// A listener that accepts connections.
+struct OpenListener {
+    /// The address in the plan, which may have port 0.
+    address: SocketAddr,
     stop: Rc<Notify>,
-    accepting: JoinHandle<()>,
+    accept_task: JoinHandle<()>,
 }
 
-/// All listeners, by name.
+/// The node's listeners.
 #[derive(Default)]
 pub struct Listeners {
-    open: BTreeMap<String, Open>,
-    /// Sockets of listeners that somebody else holds.
-    handed: Vec<std::net::TcpListener>,
+    /// By listener name.
+    open: BTreeMap<String, OpenListener>,
+    /// Inherited sockets, until the first plan's listeners are bound.
+    inherited: Vec<std::net::TcpListener>,
 }
 
 impl Listeners {
-    /// Opens those of a plan that are not open yet; nothing is accepted before `start`.
+    /// Binds the plan's listeners that are not open yet. They accept nothing before [`Listeners::start`].
     pub fn bind(&mut self, plan: &Plan) -> Result<Vec<(String, SocketAddr, TcpListener)>, StartError> {
         let open = &self.open;
-        let new = plan.listeners.iter().filter(|l| open.get(&l.name).is_none_or(|o| o.told != l.address));
-        let mut handed = std::mem::take(&mut self.handed);
-        for socket in &handed {
+        let new = plan.listeners.iter().filter(|l| open.get(&l.name).is_none_or(|o| o.address != l.address));
+        let mut inherited = std::mem::take(&mut self.inherited);
+        for socket in &inherited {
             let address = socket.local_addr()?;
             if !plan.listeners.iter().any(|l| l.address == address) {
-                return Err(StartError::Handed { address });
+                return Err(StartError::UnknownInheritedSocket { address });
             }
         }
-        let mut listen = |address| match handed
+        let mut listen = |address| match inherited
             .iter()
             .position(|socket| socket.local_addr().is_ok_and(|a| a == address))
         {
-            Some(at) => Ok(TcpListener::from_std(handed.swap_remove(at))?),
+            Some(index) => Ok(TcpListener::from_std(inherited.swap_remove(index))?),
             None => listen(address),
         };
         new.map(|l| Ok((l.name.clone(), l.address, listen(l.address)?))).collect()
     }
 
-    /// Takes connections on new listeners, and none on those that a plan no longer has.
+    /// Starts accepting on newly bound listeners, and closes those that are not in the plan any more.
     pub fn start(
         &mut self,
         plan: &Plan,
         bound: Vec<(String, SocketAddr, TcpListener)>,
         clients: &Rc<ClientConnections>,
     ) -> std::io::Result<()> {
-        let gone: Vec<_> = self
+        let removed: Vec<_> = self
             .open
             .keys()
             .filter(|name| !plan.listeners.iter().any(|l| l.name == **name))
             .cloned()
             .collect();
-        for name in gone {
+        for name in removed {
             if let Some(open) = self.open.remove(&name) {
                 open.stop.notify_one();
             }
             clients.close_listener(&name);
             log(format_args!("listener {name} is closed"));
         }
-        for (name, told, listener) in bound {
+        for (name, address, listener) in bound {
             let label = if plan.seed.is_some() { String::new() } else { format!("listener {name} ") };
             log(format_args!("{label}listening on {}", listener.local_addr()?));
             let stop = Rc::new(Notify::new());
-            let accepting = spawn_local(clients.clone().accept(name.as_str().into(), listener, stop.clone()));
-            if let Some(old) = self.open.insert(name, Open { told, stop, accepting }) {
+            let accept_task =
+                spawn_local(clients.clone().accept(name.as_str().into(), listener, stop.clone()));
+            if let Some(old) = self.open.insert(name, OpenListener { address, stop, accept_task }) {
                 old.stop.notify_one();
             }
         }
         Ok(())
     }
 
-    /// Takes no more: what the kernel has accepted is another process's.
-    fn leave(self) {
-        self.open.values().for_each(|open| open.accepting.abort());
+    /// Stops accepting at once and leaves connections in the backlog to the successor.
+    fn abandon_backlog(self) {
+        self.open.values().for_each(|open| open.accept_task.abort());
     }
 
-    /// Takes what the kernel has accepted by now, and then no more. Where there is no place for that, it waits for one until
-    /// then.
-    async fn close(self, until: tokio::time::Instant) {
+    /// Accepts the connections that are in the backlog and then stops. Gives up at the deadline if the connection limit
+    /// keeps it from accepting them.
+    async fn accept_backlog(self, deadline: tokio::time::Instant) {
         self.open.values().for_each(|open| open.stop.notify_one());
         for mut open in self.open.into_values() {
-            if timeout_at(until, &mut open.accepting).await.is_err() {
-                open.accepting.abort();
+            if timeout_at(deadline, &mut open.accept_task).await.is_err() {
+                open.accept_task.abort();
             }
         }
     }
 }
 
 async fn serve(
-    mut hang_up: Signal,
-    told: Told,
+    mut hangup: Signal,
+    source: ConfigSource,
     plan: Plan,
-    handed: Vec<std::net::TcpListener>,
-    neighbours: Option<Neighbours>,
+    inherited: Vec<std::net::TcpListener>,
+    locks: Option<SuccessionLocks>,
 ) -> Result<(), StartError> {
     let mut terminate = signal(SignalKind::terminate())?;
     let clock = Clock::start();
-    let neighbours = neighbours.map(Rc::new);
-    let own = if plan.fleet.is_some() { membership::DESCRIPTORS } else { 0 };
-    let budget = Budget::new(plan.limits.descriptors.saturating_sub(own), plan.limits.memory);
+    let locks = locks.map(Rc::new);
+    let fleet_descriptors = if plan.fleet.is_some() { membership::FLEET_DESCRIPTORS } else { 0 };
+    let budget = Budget::new(plan.limits.descriptors.saturating_sub(fleet_descriptors), plan.limits.memory);
     let metrics = Metrics::new()?;
-    let shared =
+    let context =
         PoolContext { clock, budget: budget.clone(), metrics: metrics.clone(), engines: Engines::default() };
-    let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    let seed = plan.seed.unwrap_or(since.as_nanos() as u64 ^ u64::from(std::process::id()));
-    let mut listeners = Listeners { handed, ..Listeners::default() };
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    let seed = plan.seed.unwrap_or(since_epoch.as_nanos() as u64 ^ u64::from(std::process::id()));
+    let mut listeners = Listeners { inherited, ..Listeners::default() };
     let bound = listeners.bind(&plan)?;
-    let calls = plan.operator.map(listen_for_calls).transpose()?;
-    let control = SharedLifecycle::default();
-    let member = Membership::default();
-    let succeeds = neighbours.as_ref().is_some_and(|n| n.now().has_predecessor);
-    if !succeeds {
+    let operator_listener = plan.operator.map(listen_for_operators).transpose()?;
+    let lifecycle = SharedLifecycle::default();
+    let membership = Membership::default();
+    let is_successor = locks.as_ref().is_some_and(|l| l.succession().has_predecessor);
+    if !is_successor {
         tokio::select! {
-            // Nothing has been taken yet.
+            // No connection has been accepted yet.
             _ = terminate.recv() => return Ok(()),
-            joined = member.join(&plan, &metrics, seed) => joined?,
+            joined = membership.join(&plan, &metrics, seed) => joined?,
         }
     }
-    let site = ActivePlan::start(plan, &shared, seed, member.group.get())?;
-    metrics.set_active_config(&site.plan.version.to_string(), None);
-    let current = CurrentPlan::new(site.clone());
+    let first_plan = ActivePlan::start(plan, &context, seed, membership.group.get())?;
+    metrics.set_active_config(&first_plan.plan.version.to_string(), None);
+    let current_plan = CurrentPlan::new(first_plan.clone());
     let service = Rc::new(Service {
-        current_plan: current.clone(),
+        current_plan: current_plan.clone(),
         clock,
         budget: budget.clone(),
-        lifecycle: control.clone(),
+        lifecycle: lifecycle.clone(),
         request_id_counter: Cell::new(seed),
         metrics: metrics.clone(),
     });
     let clients = ClientConnections::new(service.clone());
-    let changed = Arc::new(Notify::new());
-    if let Some(calls) = calls {
-        log(format_args!("operators call at {}", calls.local_addr()?));
-        let (control, metrics, changed) = (control.clone(), metrics.clone(), changed.clone());
-        let fleet = member.place.clone();
-        Operator { control, metrics, clock, changed, fleet }.start(calls)?;
+    let drain_changed = Arc::new(Notify::new());
+    if let Some(operator_listener) = operator_listener {
+        log(format_args!("operators call at {}", operator_listener.local_addr()?));
+        let (control, metrics, changed) = (lifecycle.clone(), metrics.clone(), drain_changed.clone());
+        let fleet = membership.fleet.clone();
+        Operator { control, metrics, clock, changed, fleet }.start(operator_listener)?;
     }
-    if let Some(neighbours) = &neighbours {
-        budget.keep_to(neighbours.now().limit_share());
+    if let Some(locks) = &locks {
+        budget.keep_to(locks.succession().limit_share());
         tokio::select! {
-            // Nothing has been taken yet.
+            // No connection has been accepted yet.
             _ = terminate.recv() => return Ok(()),
-            from = learn(neighbours, &site, clock, &control) => {
-                if let Some(from) = &from {
-                    let group = Group { ordinal: from.ordinal, size: from.size };
-                    member.regroup(&current, group, &mut LogLimiter::new(1, 0.0)).await;
+            fleet_handover = take_over(locks, &first_plan, clock, &lifecycle) => {
+                if let Some(handover) = &fleet_handover {
+                    let group = Group { ordinal: handover.ordinal, size: handover.size };
+                    membership.set_group(&current_plan, group, &mut LogLimiter::new(1, 0.0)).await;
                 }
-                if succeeds {
-                    if let Some(plan) = site.plan.share() {
-                        spawn_local(member.clone().succeed(plan, from, metrics.clone(), seed));
+                if is_successor {
+                    if let Some(plan) = first_plan.plan.share() {
+                        spawn_local(membership.clone().join_as_successor(plan, fleet_handover, metrics.clone(), seed));
                     }
                 }
             }
         }
     }
-    if site.plan.fleet.is_some() {
-        spawn_local(member.clone().follow(current.clone()));
+    if first_plan.plan.fleet.is_some() {
+        spawn_local(membership.clone().follow_group(current_plan.clone()));
     }
-    let open = Rc::new(Cell::new(neighbours.is_none()));
-    spawn_local(watch(current.clone(), control.clone(), metrics.clone(), budget.clone(), open.clone()));
-    spawn_local(tell_of_drains(member.place.clone(), control.clone()));
-    if let Some(neighbours) = &neighbours {
-        while !neighbours.now().accepts_connections(site.is_ready() && !control.lock().is_draining()) {
+    let is_listening = Rc::new(Cell::new(locks.is_none()));
+    spawn_local(update_metrics_and_readiness(
+        current_plan.clone(),
+        lifecycle.clone(),
+        metrics.clone(),
+        budget.clone(),
+        is_listening.clone(),
+    ));
+    spawn_local(report_draining_to_fleet(membership.fleet.clone(), lifecycle.clone()));
+    if let Some(locks) = &locks {
+        while !locks
+            .succession()
+            .accepts_connections(first_plan.is_ready() && !lifecycle.lock().is_draining())
+        {
             tokio::select! {
-                // Nothing has been taken yet.
+                // No connection has been accepted yet.
                 _ = terminate.recv() => return Ok(()),
-                () = tokio::time::sleep(LOOK) => {}
+                () = tokio::time::sleep(SUCCESSOR_POLL_INTERVAL) => {}
             }
         }
-        spawn_local(share(neighbours.clone(), budget.clone()));
-        spawn_local(teach(neighbours.clone(), current.clone(), control.clone(), member.clone()));
+        spawn_local(update_limit_share(locks.clone(), budget.clone()));
+        spawn_local(write_handovers(
+            locks.clone(),
+            current_plan.clone(),
+            lifecycle.clone(),
+            membership.clone(),
+        ));
     }
-    listeners.start(&site.plan, bound, &clients)?;
-    // It says yes when it takes clients, not before: the other process may end on that word.
-    open.set(true);
-    control.lock().set_servers_known(site.is_ready());
-    drop(site);
-    spawn_local(sweep(current.clone(), clients.clone()));
-    spawn_local(empty(clients.clone(), control.clone(), clock, changed));
+    listeners.start(&first_plan.plan, bound, &clients)?;
+    // The node must not report ready before it accepts connections: the predecessor may be terminated once it does.
+    is_listening.set(true);
+    lifecycle.lock().set_servers_known(first_plan.is_ready());
+    drop(first_plan);
+    spawn_local(close_expired(current_plan.clone(), clients.clone()));
+    spawn_local(close_idle_while_draining(clients.clone(), lifecycle.clone(), clock, drain_changed));
 
-    let mut reloads = Reloads::new(told);
+    let mut reloader = Reloader::new(source);
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
-            _ = hang_up.recv() => reloads.begin(&current, &metrics),
-            ready = reloads.compiled() => {
-                let target = Target {
-                    current: &current,
+            _ = hangup.recv() => reloader.start(&current_plan, &metrics),
+            result = reloader.wait_compiled() => {
+                let target = ReloadTarget {
+                    current_plan: &current_plan,
                     listeners: &mut listeners,
                     clients: &clients,
-                    shared: &shared,
+                    context: &context,
                     seed,
-                    place: &member.place,
-                    group: member.group.get(),
+                    fleet: &membership.fleet,
+                    group: membership.group.get(),
                 };
-                reloads.finish(ready, target, &metrics);
+                reloader.finish(result, target, &metrics);
             }
         }
     }
-    let succeeded = neighbours.is_some_and(|n| n.now().has_successor);
-    control.lock().begin_shutdown(clock.now(), succeeded);
-    let within = current.get().plan.drain_timeout;
-    let (answered, gone) = control.lock().shutdown_deadlines(within).unwrap_or_default();
-    shared.engines.set_shutdown_deadline(answered);
-    if let (Some(fleet), true) = (member.place.get(), succeeded) {
+    let has_successor = locks.is_some_and(|l| l.succession().has_successor);
+    lifecycle.lock().begin_shutdown(clock.now(), has_successor);
+    let drain_timeout = current_plan.get().plan.drain_timeout;
+    let (answer_deadline, exit_deadline) =
+        lifecycle.lock().shutdown_deadlines(drain_timeout).unwrap_or_default();
+    context.engines.set_shutdown_deadline(answer_deadline);
+    if let (Some(fleet), true) = (membership.fleet.get(), has_successor) {
         fleet.hand_over();
     }
-    while control.lock().accepts_connections(clock.now()) && clock.now() < gone {
+    while lifecycle.lock().accepts_connections(clock.now()) && clock.now() < exit_deadline {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    match succeeded {
-        true => listeners.leave(),
-        false => listeners.close(clock.instant(answered)).await,
+    match has_successor {
+        true => listeners.abandon_backlog(),
+        false => listeners.accept_backlog(clock.instant(answer_deadline)).await,
     }
-    if let (Some(fleet), false) = (member.place.get(), succeeded) {
-        // No new requests come: from here on the others may take its part.
+    if let (Some(fleet), false) = (membership.fleet.get(), has_successor) {
+        // Only now: no new requests are accepted any more, so the other members may take over this node's share.
         fleet.leave().await;
     }
-    while close_idle(&clients, &control, clock) > 0 && clock.now() < gone {
+    while close_idle(&clients, &lifecycle, clock) > 0 && clock.now() < exit_deadline {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
     Ok(())
 }
 
-/// Keeps the metrics and the node's readiness up to date, for good. It is not ready before its listeners are open.
-async fn watch(
-    current: Rc<CurrentPlan>,
-    control: SharedLifecycle,
+/// Keeps the metrics and the node's readiness up to date. The node is not ready before it accepts connections.
+async fn update_metrics_and_readiness(
+    current_plan: Rc<CurrentPlan>,
+    lifecycle: SharedLifecycle,
     metrics: Metrics,
     budget: Rc<Budget>,
-    open: Rc<Cell<bool>>,
+    is_listening: Rc<Cell<bool>>,
 ) {
-    let (mut looks, mut listed) = (0u32, 0);
+    let (mut updates, mut discovered) = (0u32, 0);
     loop {
-        let site = current.get();
-        control.lock().set_servers_known(open.get() && site.is_ready());
-        if listed < MANY || looks.is_multiple_of(SELDOM) {
+        let active_plan = current_plan.get();
+        lifecycle.lock().set_servers_known(is_listening.get() && active_plan.is_ready());
+        if discovered < MAX_SERVERS_COUNTED_EACH_UPDATE || updates.is_multiple_of(UPDATES_PER_LARGE_COUNT) {
             let ejected;
-            (listed, ejected) = site.server_counts();
-            metrics.discovered_servers.set(listed as i64);
+            (discovered, ejected) = active_plan.server_counts();
+            metrics.discovered_servers.set(discovered as i64);
             metrics.ejected_servers.set(ejected as i64);
         }
-        looks = looks.wrapping_add(1);
-        for (held, (now, most)) in [
+        updates = updates.wrapping_add(1);
+        for (gauges, (used, limit)) in [
             (&metrics.client_connections, budget.clients()),
             (&metrics.server_connections, budget.servers()),
             (&metrics.body_bytes, budget.bytes()),
         ] {
-            held.set(now, most);
+            gauges.set(used, limit);
         }
-        tokio::time::sleep(WATCH).await;
+        tokio::time::sleep(STATE_UPDATE_INTERVAL).await;
     }
 }
 
-/// Keeps to this process's share of the limits, for good.
-async fn share(neighbours: Rc<Neighbours>, budget: Rc<Budget>) {
+/// Adjusts the budget to this process's share of the node's limits.
+async fn update_limit_share(locks: Rc<SuccessionLocks>, budget: Rc<Budget>) {
     loop {
-        budget.keep_to(neighbours.now().limit_share());
-        tokio::time::sleep(SHARE).await;
+        budget.keep_to(locks.succession().limit_share());
+        tokio::time::sleep(SUCCESSION_CHECK_INTERVAL).await;
     }
 }
 
-/// Writes down what this process has learnt while there is one that comes to its place, for good.
-async fn teach(
-    neighbours: Rc<Neighbours>,
-    current: Rc<CurrentPlan>,
-    control: SharedLifecycle,
-    member: Membership,
+/// Writes the handover periodically while there is a successor.
+async fn write_handovers(
+    locks: Rc<SuccessionLocks>,
+    current_plan: Rc<CurrentPlan>,
+    lifecycle: SharedLifecycle,
+    membership: Membership,
 ) {
-    let mut failed = false;
+    let mut last_failed = false;
     loop {
-        let newer = neighbours.now().has_successor;
-        if newer {
-            let drains = control.lock().is_draining();
-            let handover = Handover { fleet: member.handover(), ..current.get().handover(drains) };
-            let told = neighbours.tell(&handover);
-            if let (Err(why), false) = (&told, failed) {
-                log(format_args!("the process that comes to this one's place begins cold: {why}"));
+        let has_successor = locks.succession().has_successor;
+        if has_successor {
+            let is_draining = lifecycle.lock().is_draining();
+            let handover =
+                Handover { fleet: membership.handover(), ..current_plan.get().handover(is_draining) };
+            let written = locks.write_handover(&handover);
+            if let (Err(error), false) = (&written, last_failed) {
+                log(format_args!("cannot write the handover: {error}; the successor starts cold"));
             }
-            failed = told.is_err();
+            last_failed = written.is_err();
         }
-        tokio::time::sleep(if newer { TELL } else { SHARE }).await;
+        tokio::time::sleep(if has_successor { HANDOVER_WRITE_INTERVAL } else { SUCCESSION_CHECK_INTERVAL })
+            .await;
     }
 }
 
-/// Tells the fleet when the operator empties the node and when no longer, for good.
-async fn tell_of_drains(place: FleetCell, control: SharedLifecycle) {
+/// Tells the other members of the fleet whether the node is draining.
+async fn report_draining_to_fleet(fleet: FleetCell, lifecycle: SharedLifecycle) {
     loop {
-        if let Some(fleet) = place.get() {
-            let drains = control.lock().is_draining();
-            if fleet.view().is_draining() != drains {
-                fleet.set_draining(drains);
+        if let Some(fleet) = fleet.get() {
+            let is_draining = lifecycle.lock().is_draining();
+            if fleet.view().is_draining() != is_draining {
+                fleet.set_draining(is_draining);
             }
         }
-        tokio::time::sleep(WATCH).await;
+        tokio::time::sleep(STATE_UPDATE_INTERVAL).await;
     }
 }
 
-/// Waits until the pools know their servers, and takes over what the older process has learnt of them, if there is one and
-/// it tells in time.
-async fn learn(
-    neighbours: &Neighbours,
-    site: &ActivePlan,
+/// Waits for this process's turn if there is a predecessor, and then until the pools know their servers and the handover has
+/// been read, or [`HANDOVER_TIMEOUT`] has passed. Returns the fleet part of the handover.
+async fn take_over(
+    locks: &SuccessionLocks,
+    first_plan: &ActivePlan,
     clock: Clock,
-    control: &SharedLifecycle,
+    lifecycle: &SharedLifecycle,
 ) -> Option<FleetHandover> {
-    if !neighbours.now().has_predecessor {
+    if !locks.succession().has_predecessor {
         return None;
     }
-    while neighbours.now().is_queued {
-        tokio::time::sleep(LOOK).await;
+    while locks.succession().is_queued {
+        tokio::time::sleep(SUCCESSOR_POLL_INTERVAL).await;
     }
-    neighbours.begin();
+    locks.start_turn();
     loop {
-        let told = neighbours.told(clock.now()).filter(|_| site.is_ready());
-        if told.as_ref().is_some_and(|told| told.drains) {
-            log(format_args!("begins drained, as the other process is; POST /-/resume ends that"));
-            control.lock().drain(clock.now());
+        let handover = locks.read_handover(clock.now()).filter(|_| first_plan.is_ready());
+        if handover.as_ref().is_some_and(|handover| handover.drains) {
+            log(format_args!("starting drained, as the predecessor is draining; POST /-/resume ends that"));
+            lifecycle.lock().drain(clock.now());
         }
-        if let Some(told) = told {
-            match site.restore_knowledge(&told) {
-                0 => log(format_args!("begins cold: nothing that the other process knows holds here")),
-                known => log(format_args!("begins with what is known of {known} servers")),
+        if let Some(handover) = handover {
+            match first_plan.restore_knowledge(&handover) {
+                0 => log(format_args!("starting cold: none of the predecessor's knowledge applies here")),
+                known => log(format_args!("starting with the predecessor's knowledge of {known} servers")),
             }
-            return told.fleet;
+            return handover.fleet;
         }
-        // One that has gone leaves its clients to this one, ready or not.
-        if !neighbours.now().has_predecessor || (site.is_ready() && neighbours.age() > LEARN_WITHIN) {
-            log(format_args!("begins cold: the other process has not told what it knows"));
+        // If the predecessor has exited, this process must serve its clients, ready or not.
+        if !locks.succession().has_predecessor
+            || (first_plan.is_ready() && locks.turn_age() > HANDOVER_TIMEOUT)
+        {
+            log(format_args!("starting cold: no handover from the predecessor"));
             return None;
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(SUCCESSOR_POLL_INTERVAL).await;
     }
 }
 
-/// Closes connections that have no request, as far as the node's life wants that; the number of those that are left.
-fn close_idle(clients: &ClientConnections, control: &SharedLifecycle, clock: Clock) -> usize {
-    let before = control.lock().idle_close_cutoff(clock.now());
-    clients.close_idle(before.unwrap_or(0))
+/// Closes idle connections that the lifecycle does not allow any more; returns how many connections are still open.
+fn close_idle(clients: &ClientConnections, lifecycle: &SharedLifecycle, clock: Clock) -> usize {
+    let cutoff = lifecycle.lock().idle_close_cutoff(clock.now());
+    clients.close_idle(cutoff.unwrap_or(0))
 }
 
-/// Empties the node as long as its operator wants that, for good.
-async fn empty(clients: Rc<ClientConnections>, control: SharedLifecycle, clock: Clock, changed: Arc<Notify>) {
+/// Closes idle connections while the node drains.
+async fn close_idle_while_draining(
+    clients: Rc<ClientConnections>,
+    lifecycle: SharedLifecycle,
+    clock: Clock,
+    drain_changed: Arc<Notify>,
+) {
     loop {
-        while control.lock().allows_keep_alive() {
-            changed.notified().await;
+        while lifecycle.lock().allows_keep_alive() {
+            drain_changed.notified().await;
         }
-        close_idle(&clients, &control, clock);
-        tokio::time::sleep(EMPTY).await;
+        close_idle(&clients, &lifecycle, clock);
+        tokio::time::sleep(DRAIN_INTERVAL).await;
     }
 }
 
-/// Closes what stands still, for good.
-async fn sweep(current: Rc<CurrentPlan>, clients: Rc<ClientConnections>) {
-    let mut forgotten = tokio::time::Instant::now();
+/// Enforces the timeouts of connections and of abandoned attempts, and forgets idle tenants.
+async fn close_expired(current_plan: Rc<CurrentPlan>, clients: Rc<ClientConnections>) {
+    let mut tenants_cleaned_at = tokio::time::Instant::now();
     loop {
         for _ in 0..5 {
             tokio::time::sleep(Duration::from_millis(200)).await;
             clients.close_slow_heads();
-            current.get().pools.iter().for_each(|p| p.upstreams.abort_overdue_attempts());
+            current_plan.get().pools.iter().for_each(|p| p.upstreams.abort_overdue_attempts());
         }
         clients.close_idle_and_stalled();
-        current.get().pools.iter().for_each(|p| p.upstreams.close_expired_idle());
-        if forgotten.elapsed() > FORGET {
-            forgotten = tokio::time::Instant::now();
-            current.get().pools.iter().for_each(|p| p.engine.forget_idle_tenants());
+        current_plan.get().pools.iter().for_each(|p| p.upstreams.close_expired_idle());
+        if tenants_cleaned_at.elapsed() > TENANT_CLEANUP_INTERVAL {
+            tenants_cleaned_at = tokio::time::Instant::now();
+            current_plan.get().pools.iter().for_each(|p| p.engine.forget_idle_tenants());
         }
     }
 }
--- a/crates/corkhollow/tests/fleet.rs
+++ b/crates/corkhollow/tests/fleet.rs
@@ -163,7 +163,7 @@
     }
     clients.open(&rig, None);
     rig.settles("rolled", SOON);
-    assert_eq!(rig.said("counts as number"), rig.said("fleet: counts as number"));
+    assert_eq!(rig.said("this node is number"), rig.said("fleet: this node is number"));
     let (asked, wrong) = clients.end();
     assert!(asked > 500 && wrong.is_empty(), "{asked} asked: {wrong:#?}\n{}", rig.timeline().join("\n"));
     let mut runs = BTreeMap::new();
@@ -248,7 +248,7 @@
     std::fs::remove_file(&path).unwrap();
     let told = String::from_utf8(output.stderr).unwrap();
     assert!(!output.status.success() && told.contains(&format!("cannot listen on {address}")), "{told}");
-    let words = format!("the name n1 is taken: the process at {} has it", rig.address(1));
+    let words = format!("the name n1 is already used by the process at {}", rig.address(1));
     assert!(said.contains(&words), "{said}");
     assert_eq!(Fleet::of(rig.node(0)).unwrap().view, before.view);
     rig.settles("unshaken", SOON);
@@ -290,9 +290,12 @@
     let renamed =
         file.replace("node = \"n0\"", "node = \"n9\"").replace("deadline = \"8s\"", "deadline = \"9s\"");
     for (k, (text, key)) in [
-        (renamed, "`fleet.node` changes"),
-        (file.replace("name = \"rig\"", "name = \"other\""), "`fleet.name` changes"),
-        (file.replace("127.0.0.1:0\"\nadvertise", "127.0.0.1:9\"\nadvertise"), "`fleet.listen` changes"),
+        (renamed, "`fleet.node` can be changed only by a restart"),
+        (file.replace("name = \"rig\"", "name = \"other\""), "`fleet.name` can be changed only by a restart"),
+        (
+            file.replace("127.0.0.1:0\"\nadvertise", "127.0.0.1:9\"\nadvertise"),
+            "`fleet.listen` can be changed only by a restart",
+        ),
         (file.replace(TIMES, &format!("{TIMES}\nkey_file = \"none\"")), "not reloaded"),
     ]
     .into_iter()
@@ -335,7 +338,7 @@
     };
     until("the first is there", || other(|m| m.state == "alive"));
     let second = run();
-    second.says("counts as number 1 of 2", 1);
+    second.says("this node is number 1 of 2", 1);
     assert_eq!(second.call("GET", "/-/fleet").unwrap().status(), 404, "the place is the first's");
     until("it takes clients", || second.call("GET", "/-/ready").is_some_and(|m| m.status() == 200));
     first.signal("-TERM");
@@ -413,7 +416,7 @@
             site(&servers.dials)
         );
         Node::site_heard(&text, move |line| {
-            if let Some((_, at)) = line.split_once("hears datagrams at ") {
+            if let Some((_, at)) = line.split_once("receives datagrams at ") {
                 heard.lock().unwrap().get_or_insert(at.parse().expect("an address"));
             }
         })
--- a/crates/corkhollow/tests/upgrade.rs
+++ b/crates/corkhollow/tests/upgrade.rs
@@ -157,7 +157,7 @@
     let new = Node::handed(&socket, &folder.0, discovery.address, &Options::default());
     until("it is ready", || is_ready(&new));
     until("it serves", || new.get("/safe/1", "").is_some_and(|m| m.status() == 200));
-    new.says("begins cold", 1);
+    new.says("starting cold", 1);
 }
 
 /// Started twice: the second successor takes nothing until the first is the node, and then comes to its place.
@@ -206,7 +206,7 @@
     until("the first process is ready", || is_ready(&old));
     assert_eq!(old.call("POST", "/-/drain").unwrap().status(), 200);
     let new = start();
-    new.says("begins drained", 1);
+    new.says("starting drained", 1);
     assert!(!is_ready(&new));
     old.signal("-TERM");
     assert!(old.exit().success());
@@ -271,7 +271,7 @@
         serving.lock().unwrap();
         let next = Node::handed(&socket, &folder.0, discovery.address, &Options::default());
         let begun = Instant::now();
-        let drains = || next.log.lock().unwrap().iter().any(|line| line.contains("begins drained"));
+        let drains = || next.log.lock().unwrap().iter().any(|line| line.contains("starting drained"));
         while !drains() {
             assert!(begun.elapsed() < Duration::from_secs(5), "{name}: {:?}", next.log.lock().unwrap());
             let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_nanos() as i64;
--- a/crates/soak/src/cluster.rs
+++ b/crates/soak/src/cluster.rs
@@ -18,7 +18,7 @@
 /// Far more than a start takes.
 const STARTS_WITHIN: Duration = Duration::from_secs(20);
 /// Words in the log that only a fault of the program writes.
-const FAULTS: [&str; 3] = ["panicked", "this is a fault", "fault of this program"];
+const FAULTS: [&str; 3] = ["panicked", "this is a fault", "internal error"];
 
 /// How a slot stands for clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/standin/src/rig.rs
+++ b/crates/standin/src/rig.rs
@@ -158,7 +158,7 @@
         let (shared, name) = (self.shared.clone(), format!("n{number}"));
         shared.tell(format!("{name} is started"));
         let node = Node::site_heard(&self.file(number, &name), move |line| {
-            if let Some((_, real)) = line.split_once("hears datagrams at ") {
+            if let Some((_, real)) = line.split_once("receives datagrams at ") {
                 shared.real.lock().unwrap()[number] = real.parse().ok();
             }
             shared.tell(format!("n{number}: {line}"));
