--- a/crates/corkhollow/src/commands/check.rs
+++ b/crates/corkhollow/src/commands/check.rs
@@ -21,7 +21,8 @@
     if let Some(path) = plan.fleet.as_ref().and_then(|fleet| fleet.key_file.as_ref()) {
         let text = std::fs::read_to_string(path)
             .map_err(|error| CommandError::ReadFile { path: path.clone(), error })?;
-        Fleet::key(&text).map_err(|reason| CommandError::Message(format!("{}: {reason}", path.display())))?;
+        Fleet::parse_key(&text)
+            .map_err(|reason| CommandError::Message(format!("{}: {reason}", path.display())))?;
     }
     let (routes, pools) = (plan.routes.routes().len(), plan.pools.len());
     writeln!(
--- a/crates/corkhollow/src/commands/membership.rs
+++ b/crates/corkhollow/src/commands/membership.rs
@@ -33,7 +33,7 @@
         |path: &std::path::Path, reason: String| StartError::FleetKey { path: path.to_owned(), reason };
     let key = settings.key_file.as_ref().map(|path| {
         let text = std::fs::read_to_string(path).map_err(|error| key_error(path, error.to_string()))?;
-        plan::Fleet::key(&text).map_err(|reason| key_error(path, reason))
+        plan::Fleet::parse_key(&text).map_err(|reason| key_error(path, reason))
     });
     Ok(Config {
         fleet: settings.name.clone(),
@@ -47,7 +47,7 @@
             probe_timeout: settings.probe_timeout,
             suspect_for: settings.suspect_for,
         },
-        datagram: settings.datagram,
+        datagram: settings.max_datagram_bytes,
         additions: Additions::default(),
         incarnation: 1,
     })
@@ -156,7 +156,7 @@
 pub fn reloaded_config(old: &Plan, new: &Plan) -> Result<Option<Config>, StartError> {
     match (&old.fleet, &new.fleet) {
         (None, None) => Ok(None),
-        (Some(old_settings), Some(settings)) => match old_settings.fixed(settings) {
+        (Some(old_settings), Some(settings)) => match old_settings.changed_fixed_key(settings) {
             Some(key) => Err(StartError::RequiresRestart { key: format!("fleet.{key}") }),
             // A running member keeps its address, so this one is not used.
             None => member_config(new, settings, settings.advertise.unwrap_or(settings.listen)).map(Some),
--- a/crates/corkhollow/src/commands/mod.rs
+++ b/crates/corkhollow/src/commands/mod.rs
@@ -9,7 +9,7 @@
 pub mod run;
 
 use corkhollow_plan::config::{self, CheckedConfig, Diagnostic};
-use corkhollow_plan::settled;
+use corkhollow_plan::stable_read;
 use std::io::Write;
 use std::path::{Path, PathBuf};
 
@@ -32,7 +32,7 @@
 /// Reads and validates an operator's file. Errors and warnings are printed to standard error, one per line.
 pub fn load(path: &Path) -> Result<CheckedConfig, CommandError> {
     let read_error = |error| CommandError::ReadFile { path: path.to_owned(), error };
-    let bytes = settled::read(path).map_err(read_error)?;
+    let bytes = stable_read::read(path).map_err(read_error)?;
     let text = String::from_utf8(bytes)
         .map_err(|error| read_error(std::io::Error::new(std::io::ErrorKind::InvalidData, error)))?;
     let folder = path.parent().unwrap_or(Path::new(""));
--- a/crates/corkhollow/src/commands/reload.rs
+++ b/crates/corkhollow/src/commands/reload.rs
@@ -10,7 +10,7 @@
 use corkhollow_operate::Metrics;
 use corkhollow_plan::change::Change;
 use corkhollow_plan::plan::{Plan, Source};
-use corkhollow_plan::platform::{Config, Shape};
+use corkhollow_plan::platform::{Config, RawConfig};
 use corkhollow_proxy::active_plan::{ActivePlan, CurrentPlan};
 use corkhollow_proxy::background::{self, Task};
 use corkhollow_proxy::fleet::FleetCell;
@@ -27,8 +27,8 @@
 pub enum ConfigSource {
     /// An operator's file, and the operator address of the command line, which overrides that of the file.
     File(PathBuf, Option<SocketAddr>),
-    /// The platform's file, with its shape when it was last activated.
-    Platform(Box<Shape>),
+    /// The platform's file, with its content when it was last activated.
+    Platform(Box<RawConfig>),
 }
 
 /// A plan that is ready to be activated.
@@ -37,8 +37,8 @@
     change: Change,
     /// The new configuration of the fleet member.
     fleet: Option<FleetConfig>,
-    /// The new shape of the platform's file.
-    shape: Option<Box<Shape>>,
+    /// The new content of the platform's file.
+    raw: Option<Box<RawConfig>>,
     /// How long it took to read and validate the file.
     read_time: Duration,
     /// How long it took to compare the plan with the current one.
@@ -63,18 +63,18 @@
 
 fn compile(source: &ConfigSource, old: &Plan) -> Result<CompiledPlan, CommandError> {
     let started_at = Instant::now();
-    let (plan, shape) = match source {
+    let (plan, raw) = match source {
         ConfigSource::File(path, operator) => (load_plan(path, *operator)?, None),
-        ConfigSource::Platform(shape) => {
-            let config = Config::reload(shape).map_err(StartError::from)?;
-            (config.plan_beside(old).map_err(StartError::from)?, Some(Box::new(config.shape)))
+        ConfigSource::Platform(raw) => {
+            let config = Config::reload(raw).map_err(StartError::from)?;
+            (config.plan_replacing(old).map_err(StartError::from)?, Some(Box::new(config.raw)))
         }
     };
     let fleet = membership::reloaded_config(old, &plan)?;
     let read_time = started_at.elapsed();
     let started_at = Instant::now();
-    let (plan, change) = plan.follow(old);
-    Ok(CompiledPlan { plan, change, fleet, shape, read_time, compare_time: started_at.elapsed() })
+    let (plan, change) = plan.rebase_on(old);
+    Ok(CompiledPlan { plan, change, fleet, raw, read_time, compare_time: started_at.elapsed() })
 }
 
 /// Compiles plans in the background, one at a time, and activates them.
@@ -150,13 +150,15 @@
     }
 
     fn activate(&mut self, compiled: CompiledPlan, target: &mut ReloadTarget<'_>) -> Result<(), StartError> {
-        let CompiledPlan { plan, change, fleet, shape, read_time, compare_time } = compiled;
+        let CompiledPlan { plan, change, fleet, raw, read_time, compare_time } = compiled;
         let started_at = Instant::now();
         let old = target.current_plan.get();
         let bound = target.listeners.bind(&plan)?;
         let new = old.reload(plan, &change, target.context, target.seed, target.group)?;
         let (new_limits, old_limits) = (&new.plan.limits, &old.plan.limits);
-        if (new_limits.descriptors, new_limits.memory) != (old_limits.descriptors, old_limits.memory) {
+        if (new_limits.descriptors, new_limits.memory_bytes)
+            != (old_limits.descriptors, old_limits.memory_bytes)
+        {
             log(format_args!(
                 "changes of `limits.descriptors` and `limits.memory` take effect only after a restart"
             ));
@@ -168,14 +170,14 @@
         if let (Some(member), Some(config)) = (target.fleet.get(), fleet) {
             member.reconfigure(config);
         }
-        if let (ConfigSource::Platform(old_shape), Some(shape)) = (&mut self.source, shape) {
-            *old_shape = shape;
+        if let (ConfigSource::Platform(old_raw), Some(raw)) = (&mut self.source, raw) {
+            *old_raw = raw;
         }
         target.listeners.start(&new.plan, bound, target.clients)?;
         let activate_time = started_at.elapsed();
         let times = [read_time, compare_time, activate_time];
         log_reload(&new, &change, times);
-        let reload = (times.map(|time| time.as_secs_f64()), change.touched());
+        let reload = (times.map(|time| time.as_secs_f64()), change.changed_pools());
         target.context.metrics.set_active_config(&change.to.to_string(), Some(reload));
         Ok(())
     }
@@ -207,6 +209,6 @@
          pools touched: {}; read and checked in {read_ms:.1} ms, compared in {compare_ms:.1} ms, in force in {activate_ms:.1} ms",
         change.to,
         change.from,
-        change.touched(),
+        change.changed_pools(),
     ));
 }
--- a/crates/corkhollow/src/commands/run.rs
+++ b/crates/corkhollow/src/commands/run.rs
@@ -102,7 +102,7 @@
         None => {
             let mut config = Config::load().map_err(StartError::from)?;
             config.operator = args.operator.or(config.operator);
-            (ConfigSource::Platform(Box::new(config.shape.clone())), config.plan())
+            (ConfigSource::Platform(Box::new(config.raw.clone())), config.plan())
         }
     };
     background::silence_panic_messages();
@@ -270,7 +270,8 @@
     let clock = Clock::start();
     let locks = locks.map(Rc::new);
     let fleet_descriptors = if plan.fleet.is_some() { membership::FLEET_DESCRIPTORS } else { 0 };
-    let budget = Budget::new(plan.limits.descriptors.saturating_sub(fleet_descriptors), plan.limits.memory);
+    let budget =
+        Budget::new(plan.limits.descriptors.saturating_sub(fleet_descriptors), plan.limits.memory_bytes);
     let metrics = Metrics::new()?;
     let context =
         PoolContext { clock, budget: budget.clone(), metrics: metrics.clone(), engines: Engines::default() };
@@ -309,7 +310,7 @@
         Operator { control, metrics, clock, changed, fleet }.start(operator_listener)?;
     }
     if let Some(locks) = &locks {
-        budget.keep_to(locks.succession().limit_share());
+        budget.set_limit_share(locks.succession().limit_share());
         tokio::select! {
             // No connection has been accepted yet.
             _ = terminate.recv() => return Ok(()),
@@ -430,9 +431,9 @@
         }
         updates = updates.wrapping_add(1);
         for (gauges, (used, limit)) in [
-            (&metrics.client_connections, budget.clients()),
-            (&metrics.server_connections, budget.servers()),
-            (&metrics.body_bytes, budget.bytes()),
+            (&metrics.client_connections, budget.client_usage()),
+            (&metrics.server_connections, budget.server_usage()),
+            (&metrics.body_bytes, budget.body_bytes_usage()),
         ] {
             gauges.set(used, limit);
         }
@@ -443,7 +444,7 @@
 /// Adjusts the budget to this process's share of the node's limits.
 async fn update_limit_share(locks: Rc<SuccessionLocks>, budget: Rc<Budget>) {
     loop {
-        budget.keep_to(locks.succession().limit_share());
+        budget.set_limit_share(locks.succession().limit_share());
         tokio::time::sleep(SUCCESSION_CHECK_INTERVAL).await;
     }
 }
--- a/crates/proxy/src/upstream/health_check.rs
+++ b/crates/proxy/src/upstream/health_check.rs
@@ -1,7 +1,7 @@
 //! Active health checks: `GET` on a path of each server, on a new connection for each check.
 
 use super::pool::Pool;
-use corkhollow_plan::plan::Check;
+use corkhollow_plan::plan::HealthCheck;
 use http_body_util::Empty;
 use hyper::body::Bytes;
 use hyper::client::conn::http1;
@@ -20,7 +20,7 @@
 const MAX_CONCURRENT_CHECKS: usize = 32;
 
 /// Checks all servers of a pool at an interval, until the pool is dropped.
-pub(super) async fn run(pool: Weak<Pool>, check: Check, seed: u64) {
+pub(super) async fn run(pool: Weak<Pool>, check: HealthCheck, seed: u64) {
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x6368_6563);
     loop {
         let Some(servers) = pool.upgrade().map(|p| p.servers_to_check()) else { return };
@@ -42,7 +42,7 @@
         }
         // Jitter, so that nodes that were started together do not check at the same time.
         let jitter = 0.75 + 0.5 * f64::from(rng.next_u32()) / f64::from(u32::MAX);
-        tokio::time::sleep(Duration::from_nanos(check.every).mul_f64(jitter)).await;
+        tokio::time::sleep(Duration::from_nanos(check.interval).mul_f64(jitter)).await;
     }
 }
 
@@ -52,7 +52,7 @@
     }
 }
 
-async fn passes_check(address: SocketAddr, check: &Check) -> bool {
+async fn passes_check(address: SocketAddr, check: &HealthCheck) -> bool {
     let Ok(stream) = TcpStream::connect(address).await else { return false };
     let Ok((mut sender, connection)) = http1::handshake(TokioIo::new(stream)).await else { return false };
     let driver = tokio::task::spawn_local(connection);
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -10,11 +10,11 @@
 use corkhollow_engine::{log, Clock, Engine};
 use corkhollow_fleet::Group;
 use corkhollow_operate::Metrics;
-use corkhollow_plan::change::Differs;
+use corkhollow_plan::change::PoolDifferences;
 use corkhollow_plan::config::parse_server_list;
 use corkhollow_plan::limits::Budget;
 use corkhollow_plan::plan::{self, Plan, Source};
-use corkhollow_plan::pools::{Listed, Roster};
+use corkhollow_plan::roster::{Roster, RosterEntry};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -177,7 +177,7 @@
         let roster = Rc::new(RefCell::new(Roster::new(
             config.settings.backup_zone,
             config.check.clone(),
-            config.cold,
+            config.slow_start,
         )));
         let pool = Rc::new(Pool {
             engine,
@@ -208,22 +208,22 @@
         &self,
         plan: &Plan,
         index: usize,
-        differs: Differs,
+        differences: PoolDifferences,
         quotas: bool,
         common: &CommonSettings,
         predecessors: impl FnOnce() -> Vec<Option<u16>>,
     ) -> Result<Option<Vec<u16>>, SettingsError> {
         let config = &plan.pools[index];
         let mut class_indexes = None;
-        if differs.settings {
+        if differences.settings {
             class_indexes = Some(self.engine.update_settings(common.settings(config), &predecessors())?);
         } else if quotas {
             self.engine.set_tenant_quotas(common.quotas.clone())?;
         }
-        if differs.times {
+        if differences.timeouts {
             self.upstreams.set_timeouts(config);
         }
-        if differs.source {
+        if differences.source {
             match (&self.discovery, &config.source) {
                 (Some(discovery), Source::Discovery(from)) => {
                     self.set_discovery_address(discovery, from.address)
@@ -275,15 +275,15 @@
         }
     }
 
-    /// Names and addresses of the servers to check.
+    /// Names and addresses of theservers to check.
     pub fn servers_to_check(&self) -> Vec<(String, SocketAddr)> {
-        self.roster.borrow().to_check()
+        self.roster.borrow().servers_to_check()
     }
 
     /// Records the result of a health check, and applies and logs a change of the server's state.
     pub fn record_check(&self, name: &str, passed: bool) {
         let now = self.engine.clock().now();
-        let changed = self.roster.borrow_mut().checked(now, name, passed);
+        let changed = self.roster.borrow_mut().record_check(now, name, passed);
         if let Some(listed) = changed {
             let state = if listed.phase == Phase::Ready { "healthy" } else { "unhealthy" };
             log(format_args!("pool {}: health checks mark server {name} {state}", self.config.name));
@@ -302,19 +302,19 @@
 
 impl ServerListUpdater {
     fn replace(&self, servers: &[plan::Server]) {
-        let listed = self.roster.borrow_mut().replace(self.engine.clock().now(), servers);
+        let listed = self.roster.borrow_mut().replace_list(self.engine.clock().now(), servers);
         self.apply(ListKind::Full, listed);
         self.ready.send_replace(true);
     }
 
-    fn apply(&self, kind: ListKind, listed: Vec<Listed>) {
+    fn apply(&self, kind: ListKind, listed: Vec<RosterEntry>) {
         let entries = listed.into_iter().map(listed_server).collect();
         let servers = self.upstreams.apply_list(kind, entries);
         self.engine.on_server_list(kind, servers);
     }
 }
 
-fn listed_server(listed: Listed) -> ListedServer {
+fn listed_server(listed: RosterEntry) -> ListedServer {
     ListedServer {
         host: listed.name,
         address: listed.address,
