--- a/crates/corkhollow/src/commands/membership.rs
+++ b/crates/corkhollow/src/commands/membership.rs
@@ -2,7 +2,7 @@
 
 use super::run::StartError;
 use corkhollow_engine::{log, LogLimiter};
-use corkhollow_fleet::{Additions, Config, Group, Timing};
+use corkhollow_fleet::{Config, Extensions, GroupPosition, Timing};
 use corkhollow_operate::{FleetHandover, Metrics};
 use corkhollow_plan::plan::{self, Plan};
 use corkhollow_proxy::active_plan::CurrentPlan;
@@ -24,7 +24,7 @@
     /// Empty until the node has joined.
     pub fleet: FleetCell,
     /// The group position that the pools use; none without a fleet.
-    pub group: Rc<Cell<Option<Group>>>,
+    pub group: Rc<Cell<Option<GroupPosition>>>,
 }
 
 /// Builds the configuration of the fleet member from a plan.
@@ -43,13 +43,13 @@
         seeds: settings.seeds.clone(),
         key: key.transpose()?,
         timing: Timing {
-            probe_every: settings.probe_every,
+            probe_interval: settings.probe_every,
             probe_timeout: settings.probe_timeout,
-            suspect_for: settings.suspect_for,
+            suspicion_timeout: settings.suspect_for,
         },
-        datagram: settings.max_datagram_bytes,
-        additions: Additions::default(),
-        incarnation: 1,
+        max_datagram_bytes: settings.max_datagram_bytes,
+        extensions: Extensions::default(),
+        initial_incarnation: 1,
     })
 }
 
@@ -69,7 +69,7 @@
         let mut fleet = start_member(config, socket, seed, metrics)?;
         let name = settings.node.clone();
         fleet.wait_until_joined().await.map_err(|holder| StartError::NameTaken { name, holder })?;
-        let group = fleet.view().snapshot.group;
+        let group = fleet.view().snapshot.group_position;
         self.group.set(Some(group));
         self.fleet.set(fleet);
         Ok(())
@@ -95,7 +95,7 @@
             let address = advertised_address(settings, &socket)?;
             let mut config = member_config(&plan, settings, address)?;
             if let Some(handover) = handover {
-                config.incarnation = handover.incarnation + 1;
+                config.initial_incarnation = handover.incarnation + 1;
                 config.seeds.extend(handover.members);
             }
             let mut fleet = start_member(config, socket, seed, &metrics)?;
@@ -119,7 +119,7 @@
             }
         };
         loop {
-            let group = fleet.view().snapshot.group;
+            let group = fleet.view().snapshot.group_position;
             if self.group.get() != Some(group) {
                 self.set_group(&current_plan, group, &mut limiter).await;
             }
@@ -130,7 +130,12 @@
     }
 
     /// Sets the group position of all pools of the current plan.
-    pub async fn set_group(&self, current_plan: &CurrentPlan, group: Group, limiter: &mut LogLimiter) {
+    pub async fn set_group(
+        &self,
+        current_plan: &CurrentPlan,
+        group: GroupPosition,
+        limiter: &mut LogLimiter,
+    ) {
         self.group.set(Some(group));
         match current_plan.get().set_group(group).await {
             Ok(()) => {
@@ -143,7 +148,7 @@
     /// What a successor needs to continue this membership; none before the node has joined.
     pub fn handover(&self) -> Option<FleetHandover> {
         let view = self.fleet.get()?.view();
-        let Group { ordinal, size } = view.snapshot.group;
+        let GroupPosition { ordinal, size } = view.snapshot.group_position;
         let (incarnation, members) = view.handover;
         Some(FleetHandover { ordinal, size, incarnation, members })
     }
--- a/crates/corkhollow/src/commands/reload.rs
+++ b/crates/corkhollow/src/commands/reload.rs
@@ -6,7 +6,7 @@
 use super::{load, CommandError};
 use corkhollow_engine::log;
 use corkhollow_fleet::Config as FleetConfig;
-use corkhollow_fleet::Group;
+use corkhollow_fleet::GroupPosition;
 use corkhollow_operate::Metrics;
 use corkhollow_plan::change::Change;
 use corkhollow_plan::plan::{Plan, Source};
@@ -97,7 +97,7 @@
     pub seed: u64,
     pub fleet: &'t FleetCell,
     /// The node's position in its fleet.
-    pub group: Option<Group>,
+    pub group: Option<GroupPosition>,
 }
 
 impl Reloader {
@@ -111,7 +111,7 @@
             self.has_newer = true;
             return;
         }
-        let Some(old) = current_plan.get().plan.share() else { return };
+        let Some(old) = current_plan.get().plan.to_arc() else { return };
         let source = self.source.clone();
         match background::spawn(move || compile(&source, &old)) {
             Ok(running) => self.running = Some(running),
--- a/crates/corkhollow/src/commands/run.rs
+++ b/crates/corkhollow/src/commands/run.rs
@@ -6,7 +6,7 @@
 use crate::cli::RunArgs;
 use crate::succession::{self, SuccessionLocks};
 use corkhollow_engine::{log, Clock, LogLimiter};
-use corkhollow_fleet::Group;
+use corkhollow_fleet::GroupPosition;
 use corkhollow_operate::{FleetHandover, Handover, Metrics, MetricsError, SharedLifecycle};
 use corkhollow_plan::limits::Budget;
 use corkhollow_plan::plan::Plan;
@@ -15,7 +15,7 @@
 use corkhollow_proxy::background;
 use corkhollow_proxy::fleet::FleetCell;
 use corkhollow_proxy::http1::{ClientConnections, Service};
-use corkhollow_proxy::operator::Operator;
+use corkhollow_proxy::operator::OperatorServer;
 use corkhollow_proxy::upstream::{Engines, PoolContext};
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -302,12 +302,13 @@
         metrics: metrics.clone(),
     });
     let clients = ClientConnections::new(service.clone());
-    let drain_changed = Arc::new(Notify::new());
+    let lifecycle_changed = Arc::new(Notify::new());
     if let Some(operator_listener) = operator_listener {
         log(format_args!("operators call at {}", operator_listener.local_addr()?));
-        let (control, metrics, changed) = (lifecycle.clone(), metrics.clone(), drain_changed.clone());
+        let (lifecycle, metrics, lifecycle_changed) =
+            (lifecycle.clone(), metrics.clone(), lifecycle_changed.clone());
         let fleet = membership.fleet.clone();
-        Operator { control, metrics, clock, changed, fleet }.start(operator_listener)?;
+        OperatorServer { lifecycle, metrics, clock, lifecycle_changed, fleet }.start(operator_listener)?;
     }
     if let Some(locks) = &locks {
         budget.set_limit_share(locks.succession().limit_share());
@@ -316,11 +317,11 @@
             _ = terminate.recv() => return Ok(()),
             fleet_handover = take_over(locks, &first_plan, clock, &lifecycle) => {
                 if let Some(handover) = &fleet_handover {
-                    let group = Group { ordinal: handover.ordinal, size: handover.size };
+                    let group = GroupPosition { ordinal: handover.ordinal, size: handover.size };
                     membership.set_group(&current_plan, group, &mut LogLimiter::new(1, 0.0)).await;
                 }
                 if is_successor {
-                    if let Some(plan) = first_plan.plan.share() {
+                    if let Some(plan) = first_plan.plan.to_arc() {
                         spawn_local(membership.clone().join_as_successor(plan, fleet_handover, metrics.clone(), seed));
                     }
                 }
@@ -364,7 +365,7 @@
     lifecycle.lock().set_servers_known(first_plan.is_ready());
     drop(first_plan);
     spawn_local(close_expired(current_plan.clone(), clients.clone()));
-    spawn_local(close_idle_while_draining(clients.clone(), lifecycle.clone(), clock, drain_changed));
+    spawn_local(close_idle_while_draining(clients.clone(), lifecycle.clone(), clock, lifecycle_changed));
 
     let mut reloader = Reloader::new(source);
     loop {
@@ -509,7 +510,7 @@
             lifecycle.lock().drain(clock.now());
         }
         if let Some(handover) = handover {
-            match first_plan.restore_knowledge(&handover) {
+            match first_plan.import_knowledge(&handover) {
                 0 => log(format_args!("starting cold: none of the predecessor's knowledge applies here")),
                 known => log(format_args!("starting with the predecessor's knowledge of {known} servers")),
             }
@@ -537,11 +538,11 @@
     clients: Rc<ClientConnections>,
     lifecycle: SharedLifecycle,
     clock: Clock,
-    drain_changed: Arc<Notify>,
+    lifecycle_changed: Arc<Notify>,
 ) {
     loop {
         while lifecycle.lock().allows_keep_alive() {
-            drain_changed.notified().await;
+            lifecycle_changed.notified().await;
         }
         close_idle(&clients, &lifecycle, clock);
         tokio::time::sleep(DRAIN_INTERVAL).await;
--- a/crates/proxy/src/http1/platform.rs
+++ b/crates/proxy/src/http1/platform.rs
@@ -116,7 +116,7 @@
             }
         };
     // The client's timeout includes the time that its connection spent in the backlog.
-    let time_left = time_left.saturating_sub(client.request_backlog_wait_nanos());
+    let time_left = time_left.saturating_sub(client.effective_backlog_wait());
     client.stage.set(RequestStage::AwaitingAnswer);
     let is_buffered = matches!(payload, Payload::Buffered(_));
     if is_buffered {
@@ -171,8 +171,8 @@
         Answer::Buffered { headers, body, .. } => {
             server_response(headers, AnswerBody::Buffered(BufferedBodyReader::new(Rc::new(body))))
         }
-        Answer::Stream { headers, length, frames: pieces, .. } => {
-            server_response(headers, AnswerBody::Stream { pieces, length })
+        Answer::Stream { headers, length, frames, .. } => {
+            server_response(headers, AnswerBody::Stream { frames, length })
         }
         Answer::Refused { retry_after } => refusal_response(retry_after, settings),
         Answer::Failed { timed_out: true } => {
