--- a/crates/corkhollow/src/commands/run.rs
+++ b/crates/corkhollow/src/commands/run.rs
@@ -68,7 +68,7 @@
     NameTaken { name: String, holder: SocketAddr },
     #[error("{}: {reason}", path.display())]
     FleetKey { path: PathBuf, reason: String },
-    #[error("`{key}` can be changed only by a restart")]
+    #[error("`{key}` can only change with a restart")]
     RequiresRestart { key: String },
     #[error("{0}")]
     Io(#[from] std::io::Error),
