--- a/crates/corkhollow/src/commands/membership.rs
+++ b/crates/corkhollow/src/commands/membership.rs
@@ -137,7 +137,7 @@
         limiter: &mut LogLimiter,
     ) {
         self.group.set(Some(group));
-        match current_plan.get().set_group(group).await {
+        match current_plan.get().set_group_position(group).await {
             Ok(()) => {
                 limiter.log(format_args!("fleet: this node is number {} of {}", group.ordinal, group.size))
             }
--- a/crates/corkhollow/tests/site/main.rs
+++ b/crates/corkhollow/tests/site/main.rs
@@ -5,7 +5,7 @@
 mod messages;
 mod pools;
 
-use corkhollow_standin::*;
+use corkhollow_test_support::*;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicUsize, Ordering::SeqCst};
@@ -27,7 +27,7 @@
 }
 
 fn plain(dials: &[SocketAddr]) -> Node {
-    Node::site(&site(dials, "", "", ""))
+    Node::start_with_operator_file(&site(dials, "", "", ""))
 }
 
 /// What comes back until the connection ends.
--- a/crates/corkhollow/tests/start.rs
+++ b/crates/corkhollow/tests/start.rs
@@ -1,6 +1,6 @@
 //! Signals that come while a process is starting.
 
-use corkhollow_standin::*;
+use corkhollow_test_support::*;
 use std::fs::{File, OpenOptions};
 use std::io::{BufRead, BufReader, Write};
 use std::os::unix::fs::OpenOptionsExt;
@@ -13,12 +13,12 @@
 
 /// A configuration that is a pipe: the process waits in the middle of its start until a test writes the file into it.
 struct SlowFile {
-    folder: Folder,
+    folder: TempFolder,
 }
 
 impl SlowFile {
     fn new(name: &str) -> Self {
-        let folder = Folder::new(name);
+        let folder = TempFolder::new(name);
         let file = SlowFile { folder };
         assert!(Command::new("mkfifo").arg(file.path()).status().unwrap().success());
         file
@@ -55,17 +55,17 @@
 /// the signal.
 #[test]
 fn a_signal_to_reload_during_the_start_ends_no_process() {
-    let servers = Servers::new(1, |_, _| ok("fine"));
-    let discovery = Discovery::new(vec![servers.list(1)], true);
-    let platform = config(discovery.address, &Options::default());
+    let servers = Servers::new(1, |_, _| ok_reply("fine"));
+    let discovery = Discovery::new(vec![servers.list_json(1)], true);
+    let platform = platform_config(discovery.address, &NodeOptions::default());
     let site = format!(
         "[[listener]]\nname = \"web\"\naddress = \"127.0.0.1:0\"\n[[pool]]\nname = \"main\"\n\
          servers = [{{ address = \"{}\" }}]\n[[route]]\nname = \"all\"\npool = \"main\"\n",
-        servers.dials[0]
+        servers.addresses[0]
     );
     for (name, text) in [("platform", platform), ("site", site)] {
         let file = SlowFile::new(&format!("start-{name}"));
-        let mut command = Command::new(program());
+        let mut command = Command::new(program_path());
         match name {
             "platform" => command.arg("run").env("GW_CONFIG", file.path()),
             _ => command.args(["run", "--config"]).arg(file.path()),
@@ -89,7 +89,7 @@
 #[test]
 fn a_signal_to_end_during_the_start_ends_the_process() {
     let file = SlowFile::new("start-end");
-    let mut child = Command::new(program()).arg("run").env("GW_CONFIG", file.path()).spawn().unwrap();
+    let mut child = Command::new(program_path()).arg("run").env("GW_CONFIG", file.path()).spawn().unwrap();
     let writer = file.wait_for_reader();
     signal(&child, "-TERM");
     let begun = Instant::now();
