--- a/crates/corkhollow/src/cli.rs
+++ b/crates/corkhollow/src/cli.rs
@@ -1,13 +1,15 @@
-//! The command-line interface. Doc comments are the help texts; commands and options are named by their variants and fields.
+//! The command-line interface. Doc comments are the help texts; commands and options are named by their
+//! variants and fields.
 
 use clap::{Args, Parser, Subcommand};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// A load-balancing gateway for HTTP, which sends each request to the shortest queue of a sample of servers (JSQ-DAS).
+/// A load-balancing gateway for HTTP, which sends each request to the shortest queue of a sample of servers
+/// (JSQ-DAS).
 ///
-/// Every request gets one final answer before its deadline. Its effect is repeated only as its class permits. Draining
-/// servers get no new requests, and servers that have just started are not overloaded.
+/// Every request gets one final answer before its deadline. Its effect is repeated only as its class permits.
+/// Draining servers get no new requests, and servers that have just started are not overloaded.
 #[derive(Debug, Parser)]
 #[command(
     version,
--- a/crates/corkhollow/src/commands/demo.rs
+++ b/crates/corkhollow/src/commands/demo.rs
@@ -1,8 +1,9 @@
-//! `corkhollow demo`: runs the gateway in front of a few simulated servers under a light load, and shows a live table.
+//! `corkhollow demo`: runs the gateway in front of a few simulated servers under a light load, and shows a
+//! live table.
 
 use super::CommandError;
 use crate::cli::DemoArgs;
-use corkhollow_test_support::{Load, Machine};
+use corkhollow_test_support::{DemoServer, LoadGenerator};
 use std::collections::VecDeque;
 use std::fmt::Write as _;
 use std::future::poll_fn;
@@ -57,19 +58,20 @@
 }
 
 async fn run_demo(args: &DemoArgs) -> Result<(), CommandError> {
-    // Handles signals from here on, so that the gateway, the clients and the files are cleaned up before the exit.
+    // Handles signals from here on, so that the gateway, the clients and the files are cleaned up before the
+    // exit.
     let mut end_signals = [SignalKind::interrupt(), SignalKind::terminate(), SignalKind::hangup()]
         .into_iter()
         .map(signal)
         .collect::<Result<Vec<_>, _>>()?;
-    let start_server = |k| Machine::start(&format!("box-{k}"), Duration::from_millis(8 + 4 * k), k);
+    let start_server = |k| DemoServer::start(&format!("box-{k}"), Duration::from_millis(8 + 4 * k), k);
     let servers = (1..=SERVER_COUNT).map(start_server).collect::<Result<Vec<_>, _>>()?;
     let gateway = start_gateway(&servers, args.port)?;
     let address = gateway
         .address
         .parse()
         .map_err(|_| CommandError::Message("the gateway logged an invalid listen address".to_owned()))?;
-    let load = Load::start(address, CLIENT_COUNT, Duration::from_millis(20), args.seed);
+    let load = LoadGenerator::start(address, CLIENT_COUNT, Duration::from_millis(20), args.seed);
     let stdout = std::io::stdout();
     println!(
         "The gateway listens on http://{}/ in front of {SERVER_COUNT} simulated servers. Try:\n",
@@ -111,15 +113,15 @@
             () = tokio::time::sleep(REDRAW_INTERVAL) => {}
         }
     }
-    let tally = load.tally.clone();
+    let stats = load.stats.clone();
     load.stop();
     let count = |counter: &std::sync::atomic::AtomicU64| counter.load(SeqCst);
     println!(
         "\nended: {} requests, {} served, {} refused, {} failed",
-        count(&tally.asked),
-        count(&tally.served),
-        count(&tally.refused),
-        count(&tally.failed)
+        count(&stats.requests),
+        count(&stats.successes),
+        count(&stats.rejections),
+        count(&stats.failures)
     );
     Ok(())
 }
@@ -133,7 +135,7 @@
     .await
 }
 
-fn start_gateway(servers: &[Arc<Machine>], port: u16) -> Result<GatewayProcess, CommandError> {
+fn start_gateway(servers: &[Arc<DemoServer>], port: u16) -> Result<GatewayProcess, CommandError> {
     let folder = std::env::temp_dir().join(format!("corkhollow-demo-{}", std::process::id()));
     std::fs::create_dir_all(&folder)?;
     write_server_list(servers, &folder, None)?;
@@ -222,7 +224,7 @@
 
 /// Atomically replaces the server list that the gateway watches.
 fn write_server_list(
-    servers: &[Arc<Machine>],
+    servers: &[Arc<DemoServer>],
     folder: &Path,
     draining: Option<usize>,
 ) -> std::io::Result<()> {
@@ -239,28 +241,33 @@
 }
 
 /// Drains, stops or restarts a server if that is due at this second of the cycle.
-fn apply_scheduled_event(second: u64, servers: &[Arc<Machine>], folder: &Path) -> std::io::Result<()> {
+fn apply_scheduled_event(second: u64, servers: &[Arc<DemoServer>], folder: &Path) -> std::io::Result<()> {
     match second {
         DRAIN_AT_SECS => write_server_list(servers, folder, Some(DRAINED_SERVER_INDEX))?,
         UNDRAIN_AT_SECS => write_server_list(servers, folder, None)?,
-        STOP_AT_SECS => servers[STOPPED_SERVER_INDEX].die(),
-        RESTART_AT_SECS => drop(servers[STOPPED_SERVER_INDEX].revive()),
+        STOP_AT_SECS => servers[STOPPED_SERVER_INDEX].stop(),
+        RESTART_AT_SECS => drop(servers[STOPPED_SERVER_INDEX].restart()),
         _ => {}
     }
     Ok(())
 }
 
-fn render_table(servers: &[Arc<Machine>], load: &Load, second: u64, gateway: &GatewayProcess) -> String {
-    let tally = &load.tally;
+fn render_table(
+    servers: &[Arc<DemoServer>],
+    load: &LoadGenerator,
+    second: u64,
+    gateway: &GatewayProcess,
+) -> String {
+    let stats = &load.stats;
     let count = |counter: &std::sync::atomic::AtomicU64| counter.load(SeqCst);
-    let (asked, served) = (count(&tally.asked), count(&tally.served));
-    let mean = count(&tally.micros) as f64 / 1000.0 / served.max(1) as f64;
+    let (asked, served) = (count(&stats.requests), count(&stats.successes));
+    let mean = count(&stats.success_micros) as f64 / 1000.0 / served.max(1) as f64;
     let mut out = String::new();
     let _ = writeln!(
         out,
         "{second:>4} s   requests {asked}   served {served}   refused {}   failed {}   mean {mean:.1} ms",
-        count(&tally.refused),
-        count(&tally.failed),
+        count(&stats.rejections),
+        count(&stats.failures),
     );
     let _ = writeln!(
         out,
@@ -270,7 +277,7 @@
     let cycle_second = second % CYCLE_SECS;
     for (index, server) in servers.iter().enumerate() {
         let state = match () {
-            () if !server.alive() => "dead",
+            () if !server.is_up() => "dead",
             () if index == DRAINED_SERVER_INDEX
                 && (DRAIN_AT_SECS..UNDRAIN_AT_SECS).contains(&cycle_second) =>
             {
@@ -278,7 +285,7 @@
             }
             () => "up",
         };
-        let (in_flight, served) = (server.in_flight(), server.served());
+        let (in_flight, served) = (server.in_flight(), server.answered_count());
         let address = server.address.to_string();
         let _ = writeln!(out, "  {:<8} {address:<22} {state:<9} {in_flight:>9} {served:>8}", server.name);
     }
--- a/crates/corkhollow/src/commands/membership.rs
+++ b/crates/corkhollow/src/commands/membership.rs
@@ -1,4 +1,5 @@
-//! The node's membership in its fleet: joining, following changes of the group, and the hand-over to a successor.
+//! The node's membership in its fleet: joining, following changes of the group, and the hand-over to a
+//! successor.
 
 use super::run::StartError;
 use corkhollow_engine::{log, LogLimiter};
@@ -75,8 +76,8 @@
         Ok(())
     }
 
-    /// Joins the fleet under the predecessor's name and address once the predecessor has released them. Until then the pools
-    /// use the predecessor's group position.
+    /// Joins the fleet under the predecessor's name and address once the predecessor has released them. Until
+    /// then the pools use the predecessor's group position.
     pub async fn join_as_successor(
         self,
         plan: Arc<Plan>,
--- a/crates/corkhollow/src/commands/reload.rs
+++ b/crates/corkhollow/src/commands/reload.rs
@@ -1,5 +1,5 @@
-//! Reload on SIGHUP. A new file is read, validated, compiled and compared with the current plan on a background thread; the
-//! serving thread only activates it, as a whole or not at all.
+//! Reload on SIGHUP. A new file is read, validated, compiled and compared with the current plan on a
+//! background thread; the serving thread only activates it, as a whole or not at all.
 
 use super::membership;
 use super::run::{Listeners, StartError};
@@ -45,8 +45,9 @@
     compare_time: Duration,
 }
 
-/// Reads an operator's file on a separate thread, as reloads do. Parsing allocates many times the file's size; from another
-/// thread, that memory is kept apart from long-lived allocations and can be returned to the system with the plan.
+/// Reads an operator's file on a separate thread, as reloads do. Parsing allocates many times the file's
+/// size; from another thread, that memory is kept apart from long-lived allocations and can be returned to
+/// the system with the plan.
 pub fn load_first_plan(path: &Path, operator: Option<SocketAddr>) -> Result<Plan, CommandError> {
     std::thread::scope(|scope| {
         scope
@@ -83,8 +84,8 @@
     running: Option<Task<Result<CompiledPlan, CommandError>>>,
     /// SIGHUP was received during the compilation: the file may have changed since it was read.
     has_newer: bool,
-    /// The last compiled plan was discarded in favour of a newer file. The next one is activated in any case, so that
-    /// frequent signals cannot postpone a reload forever.
+    /// The last compiled plan was discarded in favour of a newer file. The next one is activated in any case,
+    /// so that frequent signals cannot postpone a reload forever.
     discarded_last: bool,
 }
 
@@ -134,7 +135,8 @@
         CompileResult { compiled: (!self.discarded_last).then_some(result), has_newer }
     }
 
-    /// Activates a compiled plan, unless it was discarded, and starts another reload if there may be a newer file.
+    /// Activates a compiled plan, unless it was discarded, and starts another reload if there may be a newer
+    /// file.
     pub fn finish(&mut self, result: CompileResult, mut target: ReloadTarget<'_>, metrics: &Metrics) {
         match result
             .compiled
--- a/crates/corkhollow/src/commands/run.rs
+++ b/crates/corkhollow/src/commands/run.rs
@@ -90,8 +90,9 @@
     LocalSet::new().block_on(&runtime, load_and_serve(args, inherited))
 }
 
-/// Reads the configuration and serves it. SIGHUP is handled from before the read on, so that a change of the file during the
-/// read is not missed. SIGTERM still has its default action then, which ends a process that serves nobody yet.
+/// Reads the configuration and serves it. SIGHUP is handled from before the read on, so that a change of the
+/// file during the read is not missed. SIGTERM still has its default action then, which ends a process that
+/// serves nobody yet.
 async fn load_and_serve(args: RunArgs, inherited: Vec<std::net::TcpListener>) -> Result<(), CommandError> {
     let hangup = signal(SignalKind::hangup()).map_err(StartError::from)?;
     let (source, plan) = match args.config {
@@ -110,9 +111,10 @@
     Ok(serve(hangup, source, plan, inherited, locks).await?)
 }
 
-/// Sets glibc's trim threshold, unless it is set already. By default glibc raises the threshold to twice the largest block
-/// ever freed, which for a large file is tens of megabytes that would not be returned to the system. glibc reads the setting
-/// only at process start, so the program executes itself again; if that fails, it continues as it is.
+/// Sets glibc's trim threshold, unless it is set already. By default glibc raises the threshold to twice the
+/// largest block ever freed, which for a large file is tens of megabytes that would not be returned to the
+/// system. glibc reads the setting only at process start, so the program executes itself again; if that
+/// fails, it continues as it is.
 fn lower_malloc_trim_threshold() {
     const VARIABLE: &str = "MALLOC_TRIM_THRESHOLD_";
     const TRIM_THRESHOLD_BYTES: &str = "1000000";
@@ -128,7 +130,8 @@
     }
 }
 
-/// Exits the process when standard input ends. The kernel closes the pipe when the parent dies, however it dies.
+/// Exits the process when standard input ends. The kernel closes the pipe when the parent dies, however it
+/// dies.
 fn exit_when_stdin_ends() -> Result<(), StartError> {
     let wait = || {
         // The input is ignored, and a read error counts as its end.
@@ -140,9 +143,11 @@
     Ok(())
 }
 
-/// Joins the processes that share the inherited sockets; none without such sockets, or if the lock files cannot be used.
+/// Joins the processes that share the inherited sockets; none without such sockets, or if the lock files
+/// cannot be used.
 fn join_succession(inherited: &[std::net::TcpListener]) -> Option<SuccessionLocks> {
-    // The smallest address identifies the whole set, as each process may inherit its sockets in another order.
+    // The smallest address identifies the whole set, as each process may inherit its sockets in another
+    // order.
     let address = inherited.iter().filter_map(|socket| socket.local_addr().ok()).min()?;
     let folder = std::env::temp_dir();
     SuccessionLocks::join(&folder, address)
@@ -247,8 +252,8 @@
         self.open.values().for_each(|open| open.accept_task.abort());
     }
 
-    /// Accepts the connections that are in the backlog and then stops. Gives up at the deadline if the connection limit
-    /// keeps it from accepting them.
+    /// Accepts the connections that are in the backlog and then stops. Gives up at the deadline if the
+    /// connection limit keeps it from accepting them.
     async fn accept_backlog(self, deadline: tokio::time::Instant) {
         self.open.values().for_each(|open| open.stop.notify_one());
         for mut open in self.open.into_values() {
@@ -360,7 +365,8 @@
         ));
     }
     listeners.start(&first_plan.plan, bound, &clients)?;
-    // The node must not report ready before it accepts connections: the predecessor may be terminated once it does.
+    // The node must not report ready before it accepts connections: the predecessor may be terminated once it
+    // does.
     is_listening.set(true);
     lifecycle.lock().set_servers_known(first_plan.is_ready());
     drop(first_plan);
@@ -403,7 +409,8 @@
         false => listeners.accept_backlog(clock.instant(answer_deadline)).await,
     }
     if let (Some(fleet), false) = (membership.fleet.get(), has_successor) {
-        // Only now: no new requests are accepted any more, so the other members may take over this node's share.
+        // Only now: no new requests are accepted any more, so the other members may take over this node's
+        // share.
         fleet.leave().await;
     }
     while close_idle(&clients, &lifecycle, clock) > 0 && clock.now() < exit_deadline {
@@ -412,7 +419,8 @@
     Ok(())
 }
 
-/// Keeps the metrics and the node's readiness up to date. The node is not ready before it accepts connections.
+/// Keeps the metrics and the node's readiness up to date. The node is not ready before it accepts
+/// connections.
 async fn update_metrics_and_readiness(
     current_plan: Rc<CurrentPlan>,
     lifecycle: SharedLifecycle,
@@ -488,8 +496,8 @@
     }
 }
 
-/// Waits for this process's turn if there is a predecessor, and then until the pools know their servers and the handover has
-/// been read, or [`HANDOVER_TIMEOUT`] has passed. Returns the fleet part of the handover.
+/// Waits for this process's turn if there is a predecessor, and then until the pools know their servers and
+/// the handover has been read, or [`HANDOVER_TIMEOUT`] has passed. Returns the fleet part of the handover.
 async fn take_over(
     locks: &SuccessionLocks,
     first_plan: &ActivePlan,
@@ -527,7 +535,8 @@
     }
 }
 
-/// Closes idle connections that the lifecycle does not allow any more; returns how many connections are still open.
+/// Closes idle connections that the lifecycle does not allow any more; returns how many connections are still
+/// open.
 fn close_idle(clients: &ClientConnections, lifecycle: &SharedLifecycle, clock: Clock) -> usize {
     let cutoff = lifecycle.lock().idle_close_cutoff(clock.now());
     clients.close_idle(cutoff.unwrap_or(0))
--- a/crates/corkhollow/src/succession.rs
+++ b/crates/corkhollow/src/succession.rs
@@ -1,5 +1,5 @@
-//! Coordination of processes that share a listening socket, by file locks in a common folder. The kernel releases a lock
-//! when its holder exits, even after a crash.
+//! Coordination of processes that share a listening socket, by file locks in a common folder. The kernel
+//! releases a lock when its holder exits, even after a crash.
 
 use corkhollow_balance::interface::Nanos;
 use corkhollow_engine::log;
@@ -23,8 +23,8 @@
 /// SD_LISTEN_FDS_START of systemd's protocol.
 const FIRST_SYSTEMD_FD: u32 = 3;
 
-/// The inherited listening sockets: one from the platform, whose descriptor is in `GW_LISTEN_FD`, or any number from a
-/// service manager by systemd's protocol (sd_listen_fds(3)).
+/// The inherited listening sockets: one from the platform, whose descriptor is in `GW_LISTEN_FD`, or any
+/// number from a service manager by systemd's protocol (sd_listen_fds(3)).
 pub fn inherited_listeners() -> io::Result<Vec<TcpListener>> {
     if let Ok(number) = std::env::var("GW_LISTEN_FD") {
         if !number.parse::<i32>().is_ok_and(|n| n > 2) {
@@ -75,8 +75,8 @@
 }
 
 impl SuccessionLocks {
-    /// Takes the serving lock for `address`, or queues as a successor if another process holds it. Processes that serve
-    /// other addresses may use the same folder.
+    /// Takes the serving lock for `address`, or queues as a successor if another process holds it. Processes
+    /// that serve other addresses may use the same folder.
     pub fn join(folder: &Path, address: SocketAddr) -> io::Result<Self> {
         let path = |name: &str| folder.join(format!("{name}-{address}"));
         let mut options = OpenOptions::new();
@@ -127,7 +127,8 @@
         let LockState { has_predecessor, is_queued, holds_successor_lock } = &*self.state;
         let [has_predecessor, is_queued, holds_successor_lock] =
             [has_predecessor, is_queued, holds_successor_lock].map(|flag| flag.load(Ordering::SeqCst));
-        // While there is a predecessor, the successor lock is held by this process or by one before it in the queue.
+        // While there is a predecessor, the successor lock is held by this process or by one before it in the
+        // queue.
         let has_successor =
             !has_predecessor && !holds_successor_lock && self.is_successor_lock_held().unwrap_or(false);
         Succession { has_predecessor, has_successor, is_queued }
@@ -144,9 +145,10 @@
         })
     }
 
-    /// Reads the predecessor's handover, with its times converted to this process's clock, which shows `now`. None if there
-    /// is no valid handover written since this process's turn started. The age is the file system's: a wall clock step
-    /// affects one reading only, since the file is rewritten several times a second.
+    /// Reads the predecessor's handover, with its times converted to this process's clock, which shows `now`.
+    /// None if there is no valid handover written since this process's turn started. The age is the file
+    /// system's: a wall clock step affects one reading only, since the file is rewritten several times a
+    /// second.
     pub fn read_handover(&self, now: Nanos) -> Option<Handover> {
         let turn_started_at = now.saturating_sub(self.turn_started_at.get().elapsed().as_nanos() as Nanos);
         let file = File::open(&self.handover_path).ok()?;
