--- a/crates/test-support/src/rig.rs
+++ b/crates/test-support/src/rig.rs
@@ -164,7 +164,7 @@
         let (shared, name) = (self.shared.clone(), format!("n{index}"));
         shared.record(format!("starting {name}"));
         let node = Node::start_with_log_observer(&self.config_text(index, &name), move |line| {
-            if let Some((_, address)) = line.split_once("hears datagrams at ") {
+            if let Some((_, address)) = line.split_once("receives datagrams at ") {
                 shared.node_addresses.lock().unwrap()[index] = address.parse().ok();
             }
             shared.record(format!("n{index}: {line}"));
