--- a/crates/corkhollow/tests/soak.rs
+++ b/crates/corkhollow/tests/soak.rs
@@ -1,18 +1,18 @@
 //! The soak test at a size for CI: a few processes, a few seconds, a few seeds. More of all: `crates/soak`.
 
-use corkhollow_soak::{run, Options};
+use corkhollow_soak::{run, RunOptions};
 use std::time::Duration;
 
 #[test]
 fn no_rule_is_broken_under_faults_that_overlap() {
     for seed in [1, 2] {
-        let options = Options {
+        let options = RunOptions {
             seed,
             processes: 5,
             clients: 3,
             servers: 6,
             late_servers: 1,
-            time: Duration::from_secs(7),
+            duration: Duration::from_secs(7),
         };
         let report = run(options).unwrap();
         let violations: Vec<_> = report.violations.iter().map(ToString::to_string).collect();
--- a/crates/soak/src/bin/soak.rs
+++ b/crates/soak/src/bin/soak.rs
@@ -1,9 +1,10 @@
-//! Plays seeds of the soak test and prints what they break: `cargo run --release -p corkhollow-soak --bin soak -- --seeds 10`. The
-//! program is the one that was built beside this one.
+//! Runs seeds of the soak test and prints the violated rules:
+//! `cargo run --release -p corkhollow-soak --bin soak -- --seeds 10`.
+//! The program under test must be built beside this one.
 
 use clap::Parser;
-use corkhollow_soak::ledger::Outcome;
-use corkhollow_soak::{run, Options, Report};
+use corkhollow_soak::records::Outcome;
+use corkhollow_soak::{run, Report, RunOptions};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -27,47 +28,47 @@
     /// Seconds for which clients run.
     #[arg(long, default_value_t = 12)]
     seconds: u64,
-    /// A folder for the evidence of seeds that break a rule.
+    /// A directory for the records of seeds that violate a rule.
     #[arg(long)]
     evidence: Option<PathBuf>,
 }
 
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
-    let mut broken = 0;
+    let mut failed_seeds = 0;
     for seed in arguments.first..arguments.first + arguments.seeds {
-        let options = Options {
+        let options = RunOptions {
             seed,
             processes: arguments.processes,
             clients: arguments.clients,
             servers: 10,
             late_servers: 3,
-            time: Duration::from_secs(arguments.seconds),
+            duration: Duration::from_secs(arguments.seconds),
         };
         match run(options) {
             Ok(report) => {
-                broken += u64::from(!report.violations.is_empty());
-                print(seed, &report);
+                failed_seeds += u64::from(!report.violations.is_empty());
+                print_summary(seed, &report);
                 if let Some(folder) = arguments.evidence.as_ref().filter(|_| !report.violations.is_empty()) {
-                    if let Err(why) = keep(folder, seed, &report) {
-                        eprintln!("the evidence of seed {seed} is not kept: {why}");
+                    if let Err(error) = write_evidence(folder, seed, &report) {
+                        eprintln!("cannot write the evidence of seed {seed}: {error}");
                     }
                 }
             }
-            Err(why) => {
-                eprintln!("seed {seed} cannot be played: {why}");
+            Err(error) => {
+                eprintln!("seed {seed} cannot be run: {error}");
                 return ExitCode::FAILURE;
             }
         }
     }
-    println!("{} seeds, {broken} break a rule", arguments.seeds);
-    match broken {
+    println!("{} seeds, {failed_seeds} with violations", arguments.seeds);
+    match failed_seeds {
         0 => ExitCode::SUCCESS,
         _ => ExitCode::FAILURE,
     }
 }
 
-fn print(seed: u64, report: &Report) {
+fn print_summary(seed: u64, report: &Report) {
     let mut outcomes: BTreeMap<String, usize> = BTreeMap::new();
     for request in &report.records.requests {
         let name = match request.outcome {
@@ -82,22 +83,22 @@
         report.records.processes.len(),
         report.records.requests.len(),
         report.records.attempts.len(),
-        report.records.stalled.len(),
+        report.records.stalled_clients.len(),
         report.violations.len(),
     );
     let mut by_rule: BTreeMap<_, Vec<_>> = BTreeMap::new();
     for violation in &report.violations {
         by_rule.entry(violation.rule).or_default().push(violation);
     }
-    for (rule, all) in by_rule {
-        println!("  {rule:?}: {} times, first {}", all.len(), all[0].evidence);
+    for (rule, violations) in by_rule {
+        println!("  {rule:?}: {} times, first {}", violations.len(), violations[0].evidence);
     }
 }
 
-fn keep(folder: &Path, seed: u64, report: &Report) -> std::io::Result<()> {
+fn write_evidence(folder: &Path, seed: u64, report: &Report) -> std::io::Result<()> {
     let folder = folder.join(format!("seed-{seed}"));
     std::fs::create_dir_all(&folder)?;
-    let lines = |all: Vec<String>| all.join("\n") + "\n";
+    let lines = |texts: Vec<String>| texts.join("\n") + "\n";
     let violations = report.violations.iter().map(ToString::to_string).collect();
     std::fs::write(folder.join("violations"), lines(violations))?;
     let script = report.script.0.iter().map(|(at, fault)| format!("{at:?} {fault}")).collect();
--- a/crates/soak/src/check.rs
+++ b/crates/soak/src/check.rs
@@ -1,66 +1,67 @@
-//! The rules, held against a ledger.
+//! Checks the records of a run against the rules.
 
-use crate::ledger::{
-    AttemptRecord, Effect, Outcome, ProcessRecord, Records, RequestRecord, StalledClient, Time, Treatment,
+use crate::records::{
+    AttemptRecord, Effect, Outcome, ProcessRecord, Records, RequestRecord, StalledClient, Timestamp,
+    Treatment,
 };
 use std::collections::HashMap;
 use std::fmt;
 use std::time::Duration;
 
-/// What this side's own threads may be late, on a busy machine.
+/// Delay that the threads of the soak test may add on a busy machine.
 const HARNESS_SLACK: Duration = Duration::from_millis(120);
-/// An answer may come so long after its time and only earn nothing.
-const ANSWER_SLACK: Duration = Duration::from_millis(500);
-/// A server that drains gets nothing new after this.
+/// Tolerated delay of a response after the request's deadline.
+const LATE_ANSWER_TOLERANCE: Duration = Duration::from_millis(500);
+/// No attempt may begin later than this after the process was told that the server drains.
 const DRAIN_GRACE: Duration = Duration::from_millis(300);
-/// Nothing begins so long after its client has left.
-const LEFT_GRACE: Duration = Duration::from_millis(100);
-/// The timeout announced to a server may exceed what its client has left by this.
-const ANNOUNCED_SLACK: Duration = Duration::from_millis(150);
-/// Servers know a key again for this long.
-pub const KEY_WINDOW: Duration = Duration::from_millis(1_000);
-/// Clients that stop in the middle of a request get their error or close within this.
-const STALLED_WITHIN: Duration = Duration::from_secs(3);
-/// A process that starts is ready within this.
-const READY_WITHIN: Duration = Duration::from_secs(10);
-/// New connections come for so long after SIGTERM.
-const STILL_COME: Duration = Duration::from_millis(400);
-/// The exit status of a process that has no handler for SIGTERM yet.
-const ENDED_BY_SIGTERM: &str = "signal: 15 (SIGTERM)";
-/// SIGKILL may come so long after SIGTERM: the longest deadline, 3 s, and 0.7 s more.
+/// No attempt may begin later than this after the client left.
+const CLIENT_LEFT_GRACE: Duration = Duration::from_millis(100);
+/// Tolerated excess of the timeout announced to a server over the client's remaining time.
+const ANNOUNCED_TIMEOUT_TOLERANCE: Duration = Duration::from_millis(150);
+/// Servers recognize a repeated idempotency key for this long.
+pub const IDEMPOTENCY_WINDOW: Duration = Duration::from_millis(1_000);
+/// Stalled clients must get an error or be disconnected within this time.
+const STALLED_CLIENT_TIMEOUT: Duration = Duration::from_secs(3);
+/// A started process must be ready within this time.
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
+/// How long new connections reach a process after SIGTERM; later ones may be closed unanswered.
+const CONNECTIONS_AFTER_SIGTERM: Duration = Duration::from_millis(400);
+/// Exit status of a process that gets SIGTERM before it installs a handler.
+const SIGTERM_EXIT_STATUS: &str = "signal: 15 (SIGTERM)";
+/// Earliest SIGKILL after SIGTERM: the longest deadline of 3 s and 0.7 s more.
 pub const KILL_AFTER: Duration = Duration::from_millis(3_700);
 
-/// Which rule was broken.
+/// The rules.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Rule {
-    /// One final answer in time for each request.
-    Answered,
-    /// The answer is one that a server made for this request.
-    OwnAnswer,
-    /// No effect twice beyond its class.
-    RunOnce,
-    /// One attempt at a time.
-    OneAtATime,
-    /// Nothing new to a server that drains.
-    Drained,
-    /// Nothing begins for a client that has left.
-    ClientLeft,
-    /// The deadline announced to a server is what the client has left.
+    /// Each request gets one complete response in time.
+    AnsweredInTime,
+    /// A successful response belongs to the request.
+    AnswerMatchesRequest,
+    /// No request is executed more often than its effect allows.
+    ExecutedOnce,
+    /// Attempts of a request do not overlap.
+    OneAttemptAtATime,
+    /// A draining server gets no new attempts.
+    NoAttemptWhileDraining,
+    /// No attempt begins for a client that has left.
+    NoAttemptAfterClientLeft,
+    /// The timeout announced to a server does not exceed the client's remaining time.
     AnnouncedDeadline,
-    /// Clients that stop in the middle of a request are let go.
-    StalledClient,
-    /// Processes start, end as they are asked to, and do not crash.
-    Process,
-    /// A process has counted a broken rule of its own, or a panic.
+    /// Stalled clients are disconnected.
+    StalledClientReleased,
+    /// Processes become ready, end when asked to, and do not crash.
+    ProcessLifecycle,
+    /// No process reports a fault of its own in its log or metrics, or exceeds its descriptors.
     SelfReported,
 }
 
-/// A rule that was broken, with the evidence.
+/// A violated rule with its evidence.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// Which rule.
+    /// The rule.
     pub rule: Rule,
-    /// What was seen.
+    /// What was observed.
     pub evidence: String,
 }
 
@@ -70,121 +71,137 @@
     }
 }
 
-/// All violations in these records; `end` is when the run ended.
-pub fn check(records: &Records, end: Time) -> Vec<Violation> {
-    let index = Index::new(records);
-    let mut found = Vec::new();
+/// All violations in these records. `end` is the end of the run.
+pub fn check(records: &Records, end: Timestamp) -> Vec<Violation> {
+    let index = RecordIndex::new(records);
+    let mut violations = Vec::new();
     for request in &records.requests {
-        found.extend(check_answer(request, &index));
-        found.extend(check_runs(request, &index));
-        found.extend(check_one_at_a_time(request, &index));
+        violations.extend(check_answer(request, &index));
+        violations.extend(check_executions(request, &index));
+        violations.extend(check_one_at_a_time(request, &index));
         for attempt in index.attempts_of(request) {
-            found.extend(check_attempt(request, attempt, records));
+            violations.extend(check_attempt(request, attempt, records));
         }
     }
-    found.extend(records.stalled.iter().filter_map(|client| check_stalled(client, &index, end)));
-    found.extend(records.processes.iter().filter_map(|process| check_process(process, end)));
-    let collect_self_reports = |text: &String| Violation { rule: Rule::SelfReported, evidence: text.clone() };
-    found.extend(records.self_reports.iter().map(collect_self_reports));
-    found
+    violations.extend(records.stalled_clients.iter().filter_map(|client| check_stalled(client, &index, end)));
+    violations.extend(records.processes.iter().filter_map(|process| check_process(process, end)));
+    let self_report_violation =
+        |text: &String| Violation { rule: Rule::SelfReported, evidence: text.clone() };
+    violations.extend(records.self_reports.iter().map(self_report_violation));
+    violations
 }
 
-struct Index<'r> {
+struct RecordIndex<'r> {
     attempts: HashMap<u64, Vec<&'r AttemptRecord>>,
     processes: HashMap<usize, &'r ProcessRecord>,
     records: &'r Records,
 }
 
-impl<'r> Index<'r> {
+impl<'r> RecordIndex<'r> {
     fn new(records: &'r Records) -> Self {
         let mut attempts: HashMap<u64, Vec<&AttemptRecord>> = HashMap::new();
         for attempt in &records.attempts {
             attempts.entry(attempt.id).or_default().push(attempt);
         }
-        for all in attempts.values_mut() {
-            all.sort_by_key(|attempt| attempt.whole_at);
+        for request_attempts in attempts.values_mut() {
+            request_attempts.sort_by_key(|attempt| attempt.received_at);
         }
         let processes = records.processes.iter().map(|process| (process.process, process)).collect();
-        Index { attempts, processes, records }
+        RecordIndex { attempts, processes, records }
     }
 
     fn attempts_of(&self, request: &RequestRecord) -> &[&'r AttemptRecord] {
         self.attempts.get(&request.id).map_or(&[], Vec::as_slice)
     }
 
-    /// Whether the process was killed, without a chance to answer, before this time.
-    fn killed_before(&self, process: usize, time: Time) -> bool {
+    /// Whether the process was killed by this time, and so may not have answered.
+    fn killed_before(&self, process: usize, time: Timestamp) -> bool {
         let killed = self.processes.get(&process).and_then(|process| process.killed_at);
         killed.is_some_and(|at| at <= time + HARNESS_SLACK)
     }
 
-    fn terminated_at(&self, process: usize) -> Option<Time> {
+    fn terminated_at(&self, process: usize) -> Option<Timestamp> {
         self.processes.get(&process).and_then(|process| process.terminated_at)
     }
 }
 
-fn violation(rule: Rule, request: &RequestRecord, index: &Index<'_>, what: &str) -> Option<Violation> {
+fn violation(rule: Rule, request: &RequestRecord, index: &RecordIndex<'_>, what: &str) -> Option<Violation> {
     let attempts = index.attempts_of(request);
     Some(Violation { rule, evidence: format!("{what}: {request:?}; its attempts: {attempts:?}") })
 }
 
-fn check_answer(request: &RequestRecord, index: &Index<'_>) -> Option<Violation> {
+fn check_answer(request: &RequestRecord, index: &RecordIndex<'_>) -> Option<Violation> {
     if index.killed_before(request.process, request.ended_at) {
         return None;
     }
-    let latest = request.sent_at + request.patience + ANSWER_SLACK + HARNESS_SLACK;
+    let latest = request.sent_at + request.timeout + LATE_ANSWER_TOLERANCE + HARNESS_SLACK;
     match request.outcome {
-        Outcome::Answered { status: 200, own: false } => {
-            violation(Rule::OwnAnswer, request, index, "an answer that is another request's")
+        Outcome::Answered { status: 200, is_own: false } => {
+            violation(Rule::AnswerMatchesRequest, request, index, "answer belongs to another request")
         }
         Outcome::Answered { .. } if request.ended_at > latest => {
-            violation(Rule::Answered, request, index, "answered late")
+            violation(Rule::AnsweredInTime, request, index, "answered late")
         }
-        Outcome::Answered { .. } | Outcome::NotSent | Outcome::Left => None,
-        Outcome::Silence => violation(Rule::Answered, request, index, "never answered"),
-        Outcome::Cut => violation(Rule::Answered, request, index, "its answer was cut"),
+        Outcome::Answered { .. } | Outcome::NotSent | Outcome::ClientLeft => None,
+        Outcome::NoAnswer => violation(Rule::AnsweredInTime, request, index, "never answered"),
+        Outcome::Truncated => violation(Rule::AnsweredInTime, request, index, "answer truncated"),
         Outcome::Closed => check_close(request, index),
     }
 }
 
-/// A connection that ended without an answer: a close between requests may cross a request that was not read.
-fn check_close(request: &RequestRecord, index: &Index<'_>) -> Option<Violation> {
+/// Checks a connection that ended without a response. Closing a reused connection may race with a new
+/// request, which is allowed if no attempt was made.
+fn check_close(request: &RequestRecord, index: &RecordIndex<'_>) -> Option<Violation> {
     if !index.attempts_of(request).is_empty() {
-        return violation(Rule::Answered, request, index, "sent on, and its connection closed");
+        return violation(
+            Rule::AnsweredInTime,
+            request,
+            index,
+            "attempted, then its connection closed without an answer",
+        );
     }
-    let late = index.terminated_at(request.process).is_some_and(|at| request.connected_at > at + STILL_COME);
-    let crowded = index.records.crowded.contains(&request.process);
-    match request.reused || late || crowded {
+    let is_late = index
+        .terminated_at(request.process)
+        .is_some_and(|at| request.connected_at > at + CONNECTIONS_AFTER_SIGTERM);
+    let is_flooded = index.records.flooded_processes.contains(&request.process);
+    match request.connection_reused || is_late || is_flooded {
         true => None,
-        false => violation(Rule::Answered, request, index, "its new connection closed without an answer"),
+        false => violation(Rule::AnsweredInTime, request, index, "new connection closed without an answer"),
     }
 }
 
-fn check_runs(request: &RequestRecord, index: &Index<'_>) -> Option<Violation> {
+fn check_executions(request: &RequestRecord, index: &RecordIndex<'_>) -> Option<Violation> {
     let attempts = index.attempts_of(request);
-    let mut ran = attempts.iter().filter(|attempt| attempt.treatment == Treatment::Ran);
-    let first = ran.next()?;
+    let mut executions = attempts.iter().filter(|attempt| attempt.treatment == Treatment::Executed);
+    let first = executions.next()?;
     match request.effect {
         Effect::Safe => None,
-        Effect::Unsafe if ran.next().is_some() => violation(Rule::RunOnce, request, index, "run twice"),
+        Effect::Unsafe if executions.next().is_some() => {
+            violation(Rule::ExecutedOnce, request, index, "executed twice")
+        }
         Effect::Unsafe => None,
         Effect::Keyed => {
-            let until = first.first_byte_at + KEY_WINDOW + HARNESS_SLACK;
-            match ran.any(|later| later.first_byte_at > until) {
-                true => violation(Rule::RunOnce, request, index, "run again after its window"),
+            let window_end = first.first_byte_at + IDEMPOTENCY_WINDOW + HARNESS_SLACK;
+            match executions.any(|later| later.first_byte_at > window_end) {
+                true => violation(
+                    Rule::ExecutedOnce,
+                    request,
+                    index,
+                    "executed again after the idempotency window",
+                ),
                 false => None,
             }
         }
     }
 }
 
-fn check_one_at_a_time(request: &RequestRecord, index: &Index<'_>) -> Option<Violation> {
-    let overlap = index.attempts_of(request).windows(2).any(|pair| {
-        let closed_at = pair[0].ended_at.unwrap_or(Time::MAX);
-        pair[1].whole_at + HARNESS_SLACK < closed_at
+fn check_one_at_a_time(request: &RequestRecord, index: &RecordIndex<'_>) -> Option<Violation> {
+    let has_overlap = index.attempts_of(request).windows(2).any(|pair| {
+        let closed_at = pair[0].ended_at.unwrap_or(Timestamp::MAX);
+        pair[1].received_at + HARNESS_SLACK < closed_at
     });
-    match overlap {
-        true => violation(Rule::OneAtATime, request, index, "two attempts open at once"),
+    match has_overlap {
+        true => violation(Rule::OneAttemptAtATime, request, index, "overlapping attempts"),
         false => None,
     }
 }
@@ -198,56 +215,64 @@
         Some(Violation { rule, evidence: format!("{what}: {attempt:?}; its request: {request:?}") })
     };
     let notified_draining = records.notified_draining.get(&(request.process, attempt.server));
-    let drained =
+    let sent_while_draining =
         notified_draining.is_some_and(|at| attempt.first_byte_at > *at + DRAIN_GRACE + HARNESS_SLACK);
-    let left =
-        request.outcome == Outcome::Left && attempt.whole_at > request.ended_at + LEFT_GRACE + HARNESS_SLACK;
-    let remaining = (request.sent_at + request.patience).saturating_sub(attempt.first_byte_at);
-    let announced_more = attempt
+    let begun_after_client_left = request.outcome == Outcome::ClientLeft
+        && attempt.received_at > request.ended_at + CLIENT_LEFT_GRACE + HARNESS_SLACK;
+    let remaining = (request.sent_at + request.timeout).saturating_sub(attempt.first_byte_at);
+    let exceeds_remaining = attempt
         .announced_timeout
-        .is_some_and(|announced| announced > remaining + ANNOUNCED_SLACK + HARNESS_SLACK);
+        .is_some_and(|announced| announced > remaining + ANNOUNCED_TIMEOUT_TOLERANCE + HARNESS_SLACK);
     [
-        drained.then(|| evidence(Rule::Drained, "sent to a server that drains")).flatten(),
-        left.then(|| evidence(Rule::ClientLeft, "begun for a client that had left")).flatten(),
-        announced_more
-            .then(|| evidence(Rule::AnnouncedDeadline, "announced more time than is left"))
+        sent_while_draining
+            .then(|| evidence(Rule::NoAttemptWhileDraining, "attempt sent to a draining server"))
+            .flatten(),
+        begun_after_client_left
+            .then(|| evidence(Rule::NoAttemptAfterClientLeft, "attempt begun after the client left"))
+            .flatten(),
+        exceeds_remaining
+            .then(|| evidence(Rule::AnnouncedDeadline, "announced timeout exceeds the remaining time"))
             .flatten(),
     ]
     .into_iter()
     .flatten()
 }
 
-fn check_stalled(client: &StalledClient, index: &Index<'_>, end: Time) -> Option<Violation> {
-    let due = client.stopped_at + STALLED_WITHIN + HARNESS_SLACK;
-    let freed_at = client.freed_at.unwrap_or(end);
-    let ended = index.killed_before(client.process, due);
-    let late = freed_at > due && !ended;
-    let evidence = || format!("a client that stopped is held for over 3 s: {client:?}");
-    late.then(|| Violation { rule: Rule::StalledClient, evidence: evidence() })
+fn check_stalled(client: &StalledClient, index: &RecordIndex<'_>, end: Timestamp) -> Option<Violation> {
+    let deadline = client.stalled_at + STALLED_CLIENT_TIMEOUT + HARNESS_SLACK;
+    let released_at = client.released_at.unwrap_or(end);
+    let was_killed = index.killed_before(client.process, deadline);
+    let is_late = released_at > deadline && !was_killed;
+    let evidence = || format!("stalled client held for over 3 s: {client:?}");
+    is_late.then(|| Violation { rule: Rule::StalledClientReleased, evidence: evidence() })
 }
 
-fn check_process(process: &ProcessRecord, end: Time) -> Option<Violation> {
-    let fails =
-        |what: &str| Some(Violation { rule: Rule::Process, evidence: format!("{what}: {process:?}") });
-    // One that is asked to end before it has taken anything may end as the system does that: it has not crashed.
-    let asked_in_its_start = process.terminated_at.is_some() && process.ready_at.is_none();
+fn check_process(process: &ProcessRecord, end: Timestamp) -> Option<Violation> {
+    let process_violation = |what: &str| {
+        Some(Violation { rule: Rule::ProcessLifecycle, evidence: format!("{what}: {process:?}") })
+    };
+    // SIGTERM during the start may end the process before it installs a handler.
+    let terminated_during_start = process.terminated_at.is_some() && process.ready_at.is_none();
     let failure = process.failure.as_deref();
-    let crashed = failure.is_some_and(|status| !(asked_in_its_start && status == ENDED_BY_SIGTERM));
+    let crashed = failure.is_some_and(|status| !(terminated_during_start && status == SIGTERM_EXIT_STATUS));
     if crashed && process.killed_at.is_none() {
-        return fails("it ended badly");
+        return process_violation("failure exit status");
     }
     let asked_to_end = process.terminated_at.or(process.killed_at);
     if process.ended_at.is_some() && asked_to_end.is_none() {
-        return fails("it ended by itself");
+        return process_violation("ended unasked");
     }
-    let gone_by = process.terminated_at.map(|at| at + KILL_AFTER + HARNESS_SLACK);
-    if gone_by.is_some_and(|by| by < end && process.ended_at.is_none_or(|at| at > by)) {
-        return fails("it did not end in time");
+    let end_deadline = process.terminated_at.map(|at| at + KILL_AFTER + HARNESS_SLACK);
+    if end_deadline.is_some_and(|by| by < end && process.ended_at.is_none_or(|at| at > by)) {
+        return process_violation("did not end in time");
     }
-    let ready_by = process.started_at + READY_WITHIN;
-    let lived = asked_to_end.unwrap_or(end) > ready_by;
-    match lived && !process.started_blind && process.ready_at.is_none_or(|at| at > ready_by) {
-        true => fails("it was not ready in time"),
+    let ready_deadline = process.started_at + READY_TIMEOUT;
+    let should_be_ready = asked_to_end.unwrap_or(end) > ready_deadline;
+    match should_be_ready
+        && !process.started_without_discovery
+        && process.ready_at.is_none_or(|at| at > ready_deadline)
+    {
+        true => process_violation("not ready in time"),
         false => None,
     }
 }
--- a/crates/soak/src/clients.rs
+++ b/crates/soak/src/clients.rs
@@ -1,151 +1,152 @@
-//! Clients: most of them ask one request after the other on kept connections; some leave, stop in the middle, or are slow.
+//! Clients that send requests on persistent connections. Some are slow, leave early or stall in the middle of
+//! a request.
 
 use crate::cluster::{Cluster, SlotState};
-use crate::connection::{Connection, NoMessage};
-use crate::ledger::{Effect, Ledger, Outcome, RequestRecord, StalledClient, Time};
+use crate::connection::{Connection, ReadError};
+use crate::records::{Effect, Outcome, Recorder, RequestRecord, StalledClient, Timestamp};
 use corkhollow_test_support::SeededRng;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The mean time between two requests of a client.
-const PAUSE: Duration = Duration::from_millis(40);
-/// An answer is waited for so long beyond the request's time, to see whether it comes at all.
-const BEYOND: Duration = Duration::from_millis(2_500);
-/// Clients that stop in the middle of a request stay for so long.
-const STAYS: Duration = Duration::from_millis(4_500);
-/// New connections come for so long after SIGTERM.
-const STILL_COME: Duration = Duration::from_millis(300);
+/// Mean time between two requests of a client.
+const MEAN_REQUEST_INTERVAL: Duration = Duration::from_millis(40);
+/// How long a client waits for a response after the request's deadline, to tell a late response from none.
+const LATE_ANSWER_WAIT: Duration = Duration::from_millis(2_500);
+/// How long a stalled client waits to be disconnected.
+const STALL_TIME: Duration = Duration::from_millis(4_500);
+/// How long clients still connect to a process after SIGTERM.
+const CONNECT_AFTER_SIGTERM: Duration = Duration::from_millis(300);
 
 /// What a client does with its next request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ClientBehaviour {
-    /// It sends it and waits.
-    Usual,
-    /// It writes it in pieces.
+    /// Sends the request and reads the response.
+    Normal,
+    /// Sends the request in several pieces.
     Slow,
-    /// It has a long body.
+    /// Sends a long body.
     LongBody,
-    /// It asks for a long answer and reads that slowly.
-    LongAnswer,
-    /// It leaves some time after the last byte.
+    /// Requests a long response and reads it late.
+    LongResponse,
+    /// Leaves some time after sending the request.
     Leaves,
-    /// The same, behind a long body.
-    LeavesBehindLongBody,
-    /// It stops in its first head, and stays.
-    StopsInHead,
-    /// It stops in a body, and stays.
-    StopsInBody,
-    /// It stops in a head that begins in one piece with the request before it, and stays.
-    StopsInNextHead,
+    /// Like `Leaves`, with a long body.
+    LeavesAfterLongBody,
+    /// Stalls in a request head.
+    StallsInHead,
+    /// Stalls in a request body.
+    StallsInBody,
+    /// Stalls in the head of a pipelined second request.
+    StallsInPipelinedHead,
 }
 
 impl ClientBehaviour {
-    fn draw(draw: &mut SeededRng) -> Self {
-        match draw.next_u64() % 100 {
+    fn choose(rng: &mut SeededRng) -> Self {
+        match rng.next_u64() % 100 {
             0..=5 => ClientBehaviour::Slow,
             6..=8 => ClientBehaviour::LongBody,
-            9..=10 => ClientBehaviour::LongAnswer,
+            9..=10 => ClientBehaviour::LongResponse,
             11..=18 => ClientBehaviour::Leaves,
-            19..=20 => ClientBehaviour::LeavesBehindLongBody,
-            21 => ClientBehaviour::StopsInHead,
-            22 => ClientBehaviour::StopsInBody,
-            23 => ClientBehaviour::StopsInNextHead,
-            _ => ClientBehaviour::Usual,
+            19..=20 => ClientBehaviour::LeavesAfterLongBody,
+            21 => ClientBehaviour::StallsInHead,
+            22 => ClientBehaviour::StallsInBody,
+            23 => ClientBehaviour::StallsInPipelinedHead,
+            _ => ClientBehaviour::Normal,
         }
     }
 }
 
-/// What all clients have in common.
+/// The state shared by all clients.
 pub struct Clients {
     cluster: Arc<Cluster>,
-    ledger: Arc<Ledger>,
+    recorder: Arc<Recorder>,
     stop: AtomicBool,
     next_id: AtomicU64,
 }
 
-struct Kept {
+struct ClientConnection {
     connection: Connection,
     process: usize,
-    connected_at: Time,
-    used: bool,
+    connected_at: Timestamp,
+    is_used: bool,
 }
 
-/// A request as it is about to be sent.
-struct Draft {
+/// A request ready to be sent.
+struct PreparedRequest {
     id: u64,
     effect: Effect,
-    patience: Duration,
+    timeout: Duration,
     bytes: Vec<u8>,
 }
 
 impl Clients {
-    /// None yet.
-    pub fn new(cluster: Arc<Cluster>, ledger: Arc<Ledger>) -> Arc<Self> {
-        Arc::new(Clients { cluster, ledger, stop: AtomicBool::new(false), next_id: AtomicU64::new(1) })
+    /// Creates the shared state without starting a client.
+    pub fn new(cluster: Arc<Cluster>, recorder: Arc<Recorder>) -> Arc<Self> {
+        Arc::new(Clients { cluster, recorder, stop: AtomicBool::new(false), next_id: AtomicU64::new(1) })
     }
 
     /// Starts a client of a slot.
-    pub fn begin(self: &Arc<Self>, slot: usize, seed: u64) -> thread::JoinHandle<()> {
+    pub fn start_client(self: &Arc<Self>, slot: usize, seed: u64) -> thread::JoinHandle<()> {
         let clients = self.clone();
-        thread::spawn(move || clients.ask_on(slot, SeededRng::new(seed)))
+        thread::spawn(move || clients.run_client(slot, SeededRng::new(seed)))
     }
 
-    /// Has all of them end behind what they are doing.
+    /// Tells all clients to end after their current request.
     pub fn stop(&self) {
         self.stop.store(true, Ordering::SeqCst);
     }
 
-    fn stopped(&self) -> bool {
+    fn is_stopped(&self) -> bool {
         self.stop.load(Ordering::SeqCst)
     }
 
-    fn ask_on(&self, slot: usize, mut draw: SeededRng) {
-        let mut kept: Option<Kept> = None;
-        while !self.stopped() {
-            thread::sleep(draw.next_duration(PAUSE));
-            let Some(client) = kept.take().or_else(|| self.connect(slot)) else {
+    fn run_client(&self, slot: usize, mut rng: SeededRng) {
+        let mut idle_connection: Option<ClientConnection> = None;
+        while !self.is_stopped() {
+            thread::sleep(rng.next_duration(MEAN_REQUEST_INTERVAL));
+            let Some(client) = idle_connection.take().or_else(|| self.connect(slot)) else {
                 thread::sleep(Duration::from_millis(20));
                 continue;
             };
-            kept = match ClientBehaviour::draw(&mut draw) {
-                ClientBehaviour::StopsInHead => self.stop_in(client, "its head", &mut draw),
-                ClientBehaviour::StopsInBody => self.stop_in(client, "its body", &mut draw),
-                ClientBehaviour::StopsInNextHead => self.stop_in(client, "its next head", &mut draw),
-                behaviour => self.ask(client, behaviour, &mut draw),
+            idle_connection = match ClientBehaviour::choose(&mut rng) {
+                ClientBehaviour::StallsInHead => self.stall(client, "request head", &mut rng),
+                ClientBehaviour::StallsInBody => self.stall(client, "request body", &mut rng),
+                ClientBehaviour::StallsInPipelinedHead => self.stall(client, "pipelined head", &mut rng),
+                behaviour => self.send_request(client, behaviour, &mut rng),
             };
         }
     }
 
-    fn connect(&self, slot: usize) -> Option<Kept> {
-        let now = self.ledger.now();
-        let open = match self.cluster.slots[slot].state() {
+    fn connect(&self, slot: usize) -> Option<ClientConnection> {
+        let now = self.recorder.now();
+        let accepts_clients = match self.cluster.slots[slot].state() {
             SlotState::Up => true,
-            SlotState::Leaving(since) => now < since + STILL_COME,
+            SlotState::Terminating(since) => now < since + CONNECT_AFTER_SIGTERM,
             SlotState::Down => false,
         };
-        let address = self.cluster.slots[slot].address().filter(|_| open)?;
+        let address = self.cluster.slots[slot].address().filter(|_| accepts_clients)?;
         let process = self.cluster.process(slot);
         let connection = Connection::open(address)?;
-        let connected_at = self.ledger.now();
-        (self.cluster.process(slot) == process).then_some(Kept {
+        let connected_at = self.recorder.now();
+        (self.cluster.process(slot) == process).then_some(ClientConnection {
             connection,
             process,
             connected_at,
-            used: false,
+            is_used: false,
         })
     }
 
-    fn draft(&self, long: bool, long_body: bool, draw: &mut SeededRng) -> Draft {
+    fn prepare_request(&self, long_answer: bool, long_body: bool, rng: &mut SeededRng) -> PreparedRequest {
         let id = self.next_id.fetch_add(1, Ordering::SeqCst);
-        let effect = match draw.next_u64() % 3 {
-            _ if long => Effect::Safe,
+        let effect = match rng.next_u64() % 3 {
+            _ if long_answer => Effect::Safe,
             0 => Effect::Safe,
             1 => Effect::Keyed,
             _ => Effect::Unsafe,
         };
-        let patience = Duration::from_millis(300 + draw.next_u64() % 1_200);
+        let timeout = Duration::from_millis(300 + rng.next_u64() % 1_200);
         let (method, class, key) = match effect {
             Effect::Safe => ("GET", "safe", String::new()),
             Effect::Keyed => ("POST", "keyed", format!("Idempotency-Key: {id:x}\r\n")),
@@ -153,13 +154,13 @@
         };
         let length = match (effect, long_body) {
             (Effect::Safe, _) => 0,
-            (_, true) => 200_000 + draw.next_u64() as usize % 700_000,
-            (_, false) => draw.next_u64() as usize % 600,
+            (_, true) => 200_000 + rng.next_u64() as usize % 700_000,
+            (_, false) => rng.next_u64() as usize % 600,
         };
-        let path = if long { "long" } else { "short" };
+        let path = if long_answer { "long" } else { "short" };
         let mut bytes = format!(
             "{method} /{class}/{path} HTTP/1.1\r\nHost: app.svc\r\nX-Request-ID: {id:x}\r\nX-Timeout-Ms: {}\r\n{key}",
-            patience.as_millis()
+            timeout.as_millis()
         )
         .into_bytes();
         if effect != Effect::Safe {
@@ -167,111 +168,120 @@
         }
         bytes.extend(b"\r\n");
         bytes.resize(bytes.len() + length, b'b');
-        Draft { id, effect, patience, bytes }
+        PreparedRequest { id, effect, timeout, bytes }
     }
 
-    fn ask(&self, mut client: Kept, behaviour: ClientBehaviour, draw: &mut SeededRng) -> Option<Kept> {
-        let long_body =
-            matches!(behaviour, ClientBehaviour::LongBody | ClientBehaviour::LeavesBehindLongBody);
-        let draft = self.draft(behaviour == ClientBehaviour::LongAnswer, long_body, draw);
-        let leaves = matches!(behaviour, ClientBehaviour::Leaves | ClientBehaviour::LeavesBehindLongBody);
-        let resets = leaves && draw.next_u64().is_multiple_of(2);
-        let leaves_after = Duration::from_millis(draw.next_u64() % 200);
-        let written = match behaviour {
-            ClientBehaviour::Slow => write_slowly(&mut client.connection, &draft.bytes, draw),
-            _ => client.connection.write(&draft.bytes),
+    fn send_request(
+        &self,
+        mut client: ClientConnection,
+        behaviour: ClientBehaviour,
+        rng: &mut SeededRng,
+    ) -> Option<ClientConnection> {
+        let long_body = matches!(behaviour, ClientBehaviour::LongBody | ClientBehaviour::LeavesAfterLongBody);
+        let request = self.prepare_request(behaviour == ClientBehaviour::LongResponse, long_body, rng);
+        let leaves = matches!(behaviour, ClientBehaviour::Leaves | ClientBehaviour::LeavesAfterLongBody);
+        let resets = leaves && rng.next_u64().is_multiple_of(2);
+        let leaves_after = Duration::from_millis(rng.next_u64() % 200);
+        let is_written = match behaviour {
+            ClientBehaviour::Slow => write_slowly(&mut client.connection, &request.bytes, rng),
+            _ => client.connection.write(&request.bytes),
         };
-        let sent_at = self.ledger.now();
+        let sent_at = self.recorder.now();
         let mut record = RequestRecord {
-            id: draft.id,
+            id: request.id,
             process: client.process,
-            effect: draft.effect,
+            effect: request.effect,
             connected_at: client.connected_at,
-            reused: client.used,
+            connection_reused: client.is_used,
             sent_at,
-            patience: draft.patience,
+            timeout: request.timeout,
             ended_at: sent_at,
             outcome: Outcome::NotSent,
         };
-        if !written {
-            self.ledger.lock().requests.push(record);
+        if !is_written {
+            self.recorder.lock().requests.push(record);
             return None;
         }
         if leaves {
-            let answered = client.connection.stirs(Instant::now() + leaves_after);
+            let answered = client.connection.wait_for_activity(Instant::now() + leaves_after);
             if !answered {
                 match resets {
                     true => client.connection.reset(),
                     false => drop(client),
                 }
-                record.ended_at = self.ledger.now();
-                record.outcome = Outcome::Left;
-                self.ledger.lock().requests.push(record);
+                record.ended_at = self.recorder.now();
+                record.outcome = Outcome::ClientLeft;
+                self.recorder.lock().requests.push(record);
                 return None;
             }
         }
-        if behaviour == ClientBehaviour::LongAnswer {
-            thread::sleep(Duration::from_millis(draw.next_u64() % 300));
+        if behaviour == ClientBehaviour::LongResponse {
+            thread::sleep(Duration::from_millis(rng.next_u64() % 300));
         }
-        let until = Instant::now() + draft.patience + BEYOND;
-        let read = client.connection.read(until, false);
-        record.ended_at = self.ledger.now();
-        let mut keeps = false;
+        let deadline = Instant::now() + request.timeout + LATE_ANSWER_WAIT;
+        let read = client.connection.read(deadline, false);
+        record.ended_at = self.recorder.now();
+        let mut keeps_connection = false;
         record.outcome = match &read {
             Ok(answer) => {
-                let own = answer.body.starts_with(format!("id={:x} ", draft.id).as_bytes());
-                keeps = answer.header("connection") != Some("close");
-                Outcome::Answered { status: answer.status(), own }
+                let is_own = answer.body.starts_with(format!("id={:x} ", request.id).as_bytes());
+                keeps_connection = answer.header("connection") != Some("close");
+                Outcome::Answered { status: answer.status(), is_own }
             }
-            Err(NoMessage::Closed) => Outcome::Closed,
-            Err(NoMessage::Cut) => Outcome::Cut,
-            Err(NoMessage::TimeOut) => Outcome::Silence,
+            Err(ReadError::Closed) => Outcome::Closed,
+            Err(ReadError::Truncated) => Outcome::Truncated,
+            Err(ReadError::TimedOut) => Outcome::NoAnswer,
         };
-        self.ledger.lock().requests.push(record);
-        client.used = true;
-        keeps.then_some(client)
+        self.recorder.lock().requests.push(record);
+        client.is_used = true;
+        keeps_connection.then_some(client)
     }
 
-    /// Stops in the middle of a request and stays, until it is let go or long after it should have been.
-    fn stop_in(&self, mut client: Kept, stopped_in: &'static str, draw: &mut SeededRng) -> Option<Kept> {
-        let draft = self.draft(false, false, draw);
-        let head = draft.bytes.windows(4).position(|w| w == b"\r\n\r\n").map_or(0, |at| at + 4);
-        let id = draft.id;
+    /// Sends part of a request and waits to be disconnected, but no longer than `STALL_TIME`.
+    fn stall(
+        &self,
+        mut client: ClientConnection,
+        stalled_in: &'static str,
+        rng: &mut SeededRng,
+    ) -> Option<ClientConnection> {
+        let request = self.prepare_request(false, false, rng);
+        let head = request.bytes.windows(4).position(|w| w == b"\r\n\r\n").map_or(0, |at| at + 4);
+        let id = request.id;
         let with_body = format!(
             "POST /once/short HTTP/1.1\r\nHost: a\r\nX-Request-ID: {id:x}\r\nContent-Length: 90\r\n\r\nhalf"
         );
-        let mut bytes = match stopped_in {
-            "its body" => with_body.into_bytes(),
-            _ => draft.bytes[..head / 2].to_vec(),
+        let mut bytes = match stalled_in {
+            "request body" => with_body.into_bytes(),
+            _ => request.bytes[..head / 2].to_vec(),
         };
-        if stopped_in == "its next head" {
+        if stalled_in == "pipelined head" {
             bytes.splice(0..0, *b"GET /up HTTP/1.1\r\nHost: a\r\n\r\n");
         }
         if !client.connection.write(&bytes) {
             return None;
         }
-        let mut stopped_at = self.ledger.now();
-        let until = Instant::now() + STAYS;
-        if stopped_in == "its next head" {
-            if client.connection.read(until, false).is_err() {
+        let mut stalled_at = self.recorder.now();
+        let deadline = Instant::now() + STALL_TIME;
+        if stalled_in == "pipelined head" {
+            if client.connection.read(deadline, false).is_err() {
                 return None;
             }
-            stopped_at = self.ledger.now();
+            stalled_at = self.recorder.now();
         }
-        let freed = client.connection.stirs(until);
-        let freed_at = freed.then(|| self.ledger.now());
+        let released = client.connection.wait_for_activity(deadline);
+        let released_at = released.then(|| self.recorder.now());
         let process = client.process;
-        let record = StalledClient { process, stopped_in, stopped_at, freed_at };
-        self.ledger.lock().stalled.push(record);
+        let record = StalledClient { process, stalled_in, stalled_at, released_at };
+        self.recorder.lock().stalled_clients.push(record);
         None
     }
 }
 
-/// Writes a request in a few pieces, with pauses that the platform allows.
-fn write_slowly(connection: &mut Connection, bytes: &[u8], draw: &mut SeededRng) -> bool {
+/// Writes a request in pieces, pausing for less than 150 ms before each.
+fn write_slowly(connection: &mut Connection, bytes: &[u8], rng: &mut SeededRng) -> bool {
     let size = (bytes.len() / 4).max(1);
     bytes.chunks(size).all(|piece| {
-        thread::sleep(Duration::from_millis(draw.next_u64() % 150));
+        thread::sleep(Duration::from_millis(rng.next_u64() % 150));
         connection.write(piece)
     })
 }
--- a/crates/soak/src/cluster.rs
+++ b/crates/soak/src/cluster.rs
@@ -1,8 +1,8 @@
-//! The processes of the program: started, signalled, ended and started anew, each in a slot with an address of its own.
+//! The processes of the program. Each runs in a slot, which keeps its address over restarts.
 
 use crate::connection::Connection;
 use crate::discovery::Discovery;
-use crate::ledger::{Ledger, ProcessRecord, Time};
+use crate::records::{ProcessRecord, Recorder, Timestamp};
 use corkhollow_test_support::{get_request, platform_config, Node, NodeOptions};
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -13,48 +13,48 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Descriptors that a process may hold.
-pub const DESCRIPTORS: u64 = 128;
-/// Far more than a start takes.
-const STARTS_WITHIN: Duration = Duration::from_secs(20);
-/// Words in the log that only a fault of the program writes.
-const FAULTS: [&str; 3] = ["panicked", "this is a fault", "fault of this program"];
+/// The limit on file descriptors of each process.
+pub const MAX_DESCRIPTORS: u64 = 128;
+/// Longer than any start takes.
+const START_TIMEOUT: Duration = Duration::from_secs(20);
+/// Log texts that only a fault of the program causes.
+const FAULT_MARKERS: [&str; 3] = ["panicked", "this is a fault", "fault of this program"];
 
-/// How a slot stands for clients.
+/// Whether clients may connect to the process in a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SlotState {
-    /// Nothing there takes clients.
+    /// No process accepts clients.
     Down,
-    /// It takes clients.
+    /// The process accepts clients.
     Up,
-    /// SIGTERM was sent then.
-    Leaving(Time),
+    /// SIGTERM was sent at this time.
+    Terminating(Timestamp),
 }
 
 #[derive(Debug)]
-struct Running {
+struct RunningProcess {
     child: Child,
     process: usize,
     config: PathBuf,
-    operator: Arc<Mutex<Option<SocketAddr>>>,
+    operator_address: Arc<Mutex<Option<SocketAddr>>>,
 }
 
-/// A slot of a process.
+/// A place for one process at a time.
 #[derive(Debug)]
 pub struct Slot {
-    running: Mutex<Option<Running>>,
+    running: Mutex<Option<RunningProcess>>,
     state: Mutex<SlotState>,
     address: Mutex<Option<SocketAddr>>,
-    /// Which of its two agents its configuration names.
-    side: AtomicUsize,
+    /// The index of the discovery agent that the configuration names.
+    agent_index: AtomicUsize,
 }
 
-/// All slots.
+/// The slots and what their processes need.
 pub struct Cluster {
-    /// By number.
+    /// The slots by index.
     pub slots: Vec<Slot>,
     discovery: Arc<Discovery>,
-    ledger: Arc<Ledger>,
+    recorder: Arc<Recorder>,
     next_process: AtomicUsize,
 }
 
@@ -63,28 +63,28 @@
 }
 
 impl Slot {
-    /// Where its process listens.
+    /// The listening address of the process.
     pub fn address(&self) -> Option<SocketAddr> {
         *lock(&self.address)
     }
 
-    /// How it stands.
+    /// Whether clients may connect.
     pub fn state(&self) -> SlotState {
         *lock(&self.state)
     }
 }
 
 impl Cluster {
-    /// So many empty slots.
-    pub fn new(slots: usize, discovery: Arc<Discovery>, ledger: Arc<Ledger>) -> Arc<Self> {
+    /// Creates empty slots.
+    pub fn new(slots: usize, discovery: Arc<Discovery>, recorder: Arc<Recorder>) -> Arc<Self> {
         let slot = |_| Slot {
             running: Mutex::default(),
             state: Mutex::new(SlotState::Down),
             address: Mutex::default(),
-            side: AtomicUsize::new(0),
+            agent_index: AtomicUsize::new(0),
         };
         let slots = (0..slots).map(slot).collect();
-        Arc::new(Cluster { slots, discovery, ledger, next_process: AtomicUsize::new(0) })
+        Arc::new(Cluster { slots, discovery, recorder, next_process: AtomicUsize::new(0) })
     }
 
     /// The number of the process in a slot.
@@ -93,10 +93,10 @@
     }
 
     fn config(&self, slot: usize) -> String {
-        let side = self.slots[slot].side.load(Ordering::SeqCst);
-        let options = NodeOptions { max_sockets: DESCRIPTORS, memory_mb: 64, ..NodeOptions::default() };
+        let agent_index = self.slots[slot].agent_index.load(Ordering::SeqCst);
+        let options = NodeOptions { max_sockets: MAX_DESCRIPTORS, memory_mb: 64, ..NodeOptions::default() };
         let keyed = r#""classes":[{"name":"keyed","aimNs":1000000000,"giveUpNs":3000000000,"worth":5.0,"effect":"token","group":"all","windowNs":1000000000},"#;
-        let text = platform_config(self.discovery.agent_addresses[slot][side], &options);
+        let text = platform_config(self.discovery.agent_addresses[slot][agent_index], &options);
         let text = text.replace("\"classes\":[", keyed);
         match self.slots[slot].address() {
             Some(address) => {
@@ -106,70 +106,71 @@
         }
     }
 
-    /// Starts a process in an empty slot, and waits until it is up where `waits`; a SIGHUP follows the start after this time.
-    pub fn start(self: &Arc<Self>, slot: usize, blind: bool, hang_up_after: Option<Duration>) {
+    /// Starts a process in an empty slot without waiting until it is ready. With `sighup_after`, sends it
+    /// SIGHUP so long after it began to execute.
+    pub fn start(self: &Arc<Self>, slot: usize, discovery_is_down: bool, sighup_after: Option<Duration>) {
         let process = self.next_process.fetch_add(1, Ordering::SeqCst);
         self.discovery.processes[slot].store(process, Ordering::SeqCst);
-        let started_at = self.ledger.now();
+        let started_at = self.recorder.now();
         let (mut child, config) = Node::spawn(&self.config(slot));
-        if let Some(after) = hang_up_after {
-            wait_until_it_runs(child.id());
+        if let Some(after) = sighup_after {
+            wait_until_executing(child.id());
             thread::sleep(after);
             signal(child.id(), "-HUP");
         }
         let lines = BufReader::new(child.stderr.take().expect("its standard error is a pipe")).lines();
-        let operator = Arc::new(Mutex::new(None));
+        let operator_address = Arc::new(Mutex::new(None));
         let address = Arc::new(Mutex::new(self.slots[slot].address()));
-        self.follow_log(process, lines, operator.clone(), address.clone());
-        self.ledger.lock().processes.push(ProcessRecord {
+        self.follow_log(process, lines, operator_address.clone(), address.clone());
+        self.recorder.lock().processes.push(ProcessRecord {
             process,
             started_at,
             ready_at: None,
-            started_blind: blind,
+            started_without_discovery: discovery_is_down,
             terminated_at: None,
             killed_at: None,
             ended_at: None,
             failure: None,
         });
-        *lock(&self.slots[slot].running) = Some(Running { child, process, config, operator });
+        *lock(&self.slots[slot].running) = Some(RunningProcess { child, process, config, operator_address });
         let cluster = self.clone();
-        thread::spawn(move || cluster.wait_until_up(slot, process, &address));
+        thread::spawn(move || cluster.wait_until_ready(slot, process, &address));
     }
 
     fn follow_log(
         &self,
         process: usize,
         lines: impl Iterator<Item = std::io::Result<String>> + Send + 'static,
-        operator: Arc<Mutex<Option<SocketAddr>>>,
+        operator_address: Arc<Mutex<Option<SocketAddr>>>,
         address: Arc<Mutex<Option<SocketAddr>>>,
     ) {
-        let ledger = self.ledger.clone();
+        let recorder = self.recorder.clone();
         thread::spawn(move || {
             for line in lines.map_while(Result::ok) {
-                if let Some((_, calls)) = line.split_once("operators call at ") {
-                    *lock(&operator) = calls.parse().ok();
+                if let Some((_, address)) = line.split_once("operators call at ") {
+                    *lock(&operator_address) = address.parse().ok();
                 }
-                if let Some((_, listens)) = line.split_once("listening on ") {
-                    *lock(&address) = listens.parse().ok();
+                if let Some((_, listening_address)) = line.split_once("listening on ") {
+                    *lock(&address) = listening_address.parse().ok();
                 }
-                if FAULTS.iter().any(|fault| line.contains(fault)) {
-                    ledger.lock().self_reports.push(format!("process {process}: {line}"));
+                if FAULT_MARKERS.iter().any(|fault| line.contains(fault)) {
+                    recorder.lock().self_reports.push(format!("process {process}: {line}"));
                 }
             }
         });
     }
 
-    fn wait_until_up(&self, slot: usize, process: usize, address: &Mutex<Option<SocketAddr>>) {
-        let begun = Instant::now();
-        while begun.elapsed() < STARTS_WITHIN && self.process(slot) == process {
-            if let Some(listens) = *lock(address) {
-                if is_up(listens) {
-                    let now = self.ledger.now();
-                    let mut records = self.ledger.lock();
+    fn wait_until_ready(&self, slot: usize, process: usize, address: &Mutex<Option<SocketAddr>>) {
+        let start = Instant::now();
+        while start.elapsed() < START_TIMEOUT && self.process(slot) == process {
+            if let Some(listening_address) = *lock(address) {
+                if is_ready(listening_address) {
+                    let now = self.recorder.now();
+                    let mut records = self.recorder.lock();
                     let record = records.processes.iter_mut().find(|record| record.process == process);
-                    record.expect("it was written down").ready_at.get_or_insert(now);
+                    record.expect("the process has a record").ready_at.get_or_insert(now);
                     drop(records);
-                    *lock(&self.slots[slot].address) = Some(listens);
+                    *lock(&self.slots[slot].address) = Some(listening_address);
                     let mut state = lock(&self.slots[slot].state);
                     if *state == SlotState::Down && self.process(slot) == process {
                         *state = SlotState::Up;
@@ -181,94 +182,101 @@
         }
     }
 
-    /// Has the process in a slot stand still for this time, whatever other signals it gets meanwhile.
-    pub fn pause(&self, slot: usize, time: Duration) {
-        // By its id: it may be taken out of its slot while it stands still, and end there.
-        let Some(id) = lock(&self.slots[slot].running).as_ref().map(|running| running.child.id()) else {
+    /// Stops the process in a slot with SIGSTOP for this time.
+    pub fn pause(&self, slot: usize, duration: Duration) {
+        // Resumes by process ID: meanwhile the process may be taken out of its slot to be terminated.
+        let Some(pid) = lock(&self.slots[slot].running).as_ref().map(|running| running.child.id()) else {
             return;
         };
-        signal(id, "-STOP");
-        thread::sleep(time);
-        if is_child(id) {
-            signal(id, "-CONT");
+        signal(pid, "-STOP");
+        thread::sleep(duration);
+        if is_child(pid) {
+            signal(pid, "-CONT");
         }
     }
 
-    /// Replaces the configuration of a slot by one that names its other agent, or by half of a file.
-    pub fn reload(&self, slot: usize, broken: bool) {
-        if !broken {
-            self.slots[slot].side.fetch_xor(1, Ordering::SeqCst);
+    /// Reloads the process in a slot with a configuration that names the other agent, or with a truncated
+    /// file.
+    pub fn reload(&self, slot: usize, is_truncated: bool) {
+        if !is_truncated {
+            self.slots[slot].agent_index.fetch_xor(1, Ordering::SeqCst);
         }
         let text = self.config(slot);
-        let text = if broken { text[..text.len() / 2].to_owned() } else { text };
+        let text = if is_truncated { text[..text.len() / 2].to_owned() } else { text };
         if let Some(running) = &*lock(&self.slots[slot].running) {
             let _ = std::fs::write(&running.config, text);
             signal(running.child.id(), "-HUP");
         }
     }
 
-    /// Tells the process in a slot to end, and waits until it has, or kills it when it may be.
+    /// Sends SIGTERM to the process in a slot and waits for its end; kills it after `KILL_AFTER`.
     pub fn terminate(&self, slot: usize) {
         let Some(mut running) = lock(&self.slots[slot].running).take() else { return };
-        let now = self.ledger.now();
-        *lock(&self.slots[slot].state) = SlotState::Leaving(now);
-        self.note(running.process, |record| record.terminated_at = Some(now));
+        let now = self.recorder.now();
+        *lock(&self.slots[slot].state) = SlotState::Terminating(now);
+        self.update_record(running.process, |record| record.terminated_at = Some(now));
         signal(running.child.id(), "-TERM");
-        let begun = Instant::now();
+        let start = Instant::now();
         let status = loop {
             if let Ok(Some(status)) = running.child.try_wait() {
                 break Some(status);
             }
-            if begun.elapsed() > crate::check::KILL_AFTER {
+            if start.elapsed() > crate::check::KILL_AFTER {
                 break None;
             }
             thread::sleep(Duration::from_millis(5));
         };
-        let ended_at = self.ledger.now();
+        let ended_at = self.recorder.now();
         let failure = match status {
             Some(status) if status.success() => None,
             Some(status) => Some(status.to_string()),
-            None => Some("it had to be killed".to_owned()),
+            None => Some("killed after its deadline".to_owned()),
         };
         let _ = running.child.kill();
         let _ = running.child.wait();
-        self.forget(slot, &running, ended_at, failure);
+        self.record_end(slot, &running, ended_at, failure);
     }
 
     /// Kills the process in a slot.
     pub fn kill(&self, slot: usize) {
         let Some(mut running) = lock(&self.slots[slot].running).take() else { return };
-        let now = self.ledger.now();
-        self.note(running.process, |record| record.killed_at = Some(now));
+        let now = self.recorder.now();
+        self.update_record(running.process, |record| record.killed_at = Some(now));
         let _ = running.child.kill();
         let _ = running.child.wait();
-        self.forget(slot, &running, now, None);
+        self.record_end(slot, &running, now, None);
     }
 
-    fn forget(&self, slot: usize, running: &Running, ended_at: Time, failure: Option<String>) {
+    fn record_end(
+        &self,
+        slot: usize,
+        running: &RunningProcess,
+        ended_at: Timestamp,
+        failure: Option<String>,
+    ) {
         *lock(&self.slots[slot].state) = SlotState::Down;
-        self.note(running.process, |record| {
+        self.update_record(running.process, |record| {
             record.ended_at = Some(ended_at);
             record.failure = failure;
         });
         let _ = std::fs::remove_file(&running.config);
     }
 
-    fn note(&self, process: usize, note: impl FnOnce(&mut ProcessRecord)) {
-        let mut records = self.ledger.lock();
+    fn update_record(&self, process: usize, update: impl FnOnce(&mut ProcessRecord)) {
+        let mut records = self.recorder.lock();
         if let Some(record) = records.processes.iter_mut().find(|record| record.process == process) {
-            note(record);
+            update(record);
         }
     }
 
-    /// Looks whether processes have ended unasked, and whether they hold more descriptors than they may.
+    /// Records processes that ended unasked, and those that hold more descriptors than their limit.
     pub fn inspect(&self) {
         for slot in &self.slots {
             let mut running = lock(&slot.running);
-            let Some(all) = running.as_mut() else { continue };
-            if let Ok(Some(status)) = all.child.try_wait() {
-                let now = self.ledger.now();
-                self.note(all.process, |record| {
+            let Some(running_process) = running.as_mut() else { continue };
+            if let Ok(Some(status)) = running_process.child.try_wait() {
+                let now = self.recorder.now();
+                self.update_record(running_process.process, |record| {
                     record.ended_at = Some(now);
                     record.failure = Some(status.to_string());
                 });
@@ -276,74 +284,79 @@
                 *running = None;
                 continue;
             }
-            let held = std::fs::read_dir(format!("/proc/{}/fd", all.child.id())).map_or(0, Iterator::count);
-            if held as u64 > DESCRIPTORS {
-                let text = format!("process {}: {held} descriptors of {DESCRIPTORS}", all.process);
-                self.ledger.lock().self_reports.push(text);
+            let descriptors = std::fs::read_dir(format!("/proc/{}/fd", running_process.child.id()))
+                .map_or(0, Iterator::count);
+            if descriptors as u64 > MAX_DESCRIPTORS {
+                let text = format!(
+                    "process {}: {descriptors} descriptors of {MAX_DESCRIPTORS}",
+                    running_process.process
+                );
+                self.recorder.lock().self_reports.push(text);
             }
         }
     }
 
-    /// Asks each process for the rules that it has seen itself break; with `events`, also for its events.
-    pub fn collect_self_reports(&self, events: bool) -> Vec<(usize, String)> {
+    /// Records the rule violations that the processes count in their metrics; with `with_events`, returns
+    /// their event pages.
+    pub fn collect_self_reports(&self, with_events: bool) -> Vec<(usize, String)> {
         let mut pages = Vec::new();
         for slot in &self.slots {
-            let running = lock(&slot.running).as_ref().map(|r| (r.process, *lock(&r.operator)));
-            let Some((process, Some(operator))) = running else { continue };
-            let page = call(operator, "/-/metrics").unwrap_or_default();
-            let bad = |line: &&str| {
-                let rules = line.starts_with("gw_rule_violations{") && !line.ends_with(" 0");
-                let denied = line.starts_with("gw_denied{at=\"send\"")
+            let running = lock(&slot.running).as_ref().map(|r| (r.process, *lock(&r.operator_address)));
+            let Some((process, Some(operator_address))) = running else { continue };
+            let page = fetch_page(operator_address, "/-/metrics").unwrap_or_default();
+            let reports_fault = |line: &&str| {
+                let violates_rule = line.starts_with("gw_rule_violations{") && !line.ends_with(" 0");
+                let is_unexpected_denial = line.starts_with("gw_denied{at=\"send\"")
                     && !["request-over", "out-of-time", "too-many-attempts", "body-spent"]
                         .iter()
                         .any(|expected| line.contains(expected));
-                rules || denied
+                violates_rule || is_unexpected_denial
             };
-            for line in page.lines().filter(bad) {
-                self.ledger.lock().self_reports.push(format!("process {process}: {line}"));
+            for line in page.lines().filter(reports_fault) {
+                self.recorder.lock().self_reports.push(format!("process {process}: {line}"));
             }
-            if events {
-                pages.push((process, call(operator, "/-/events").unwrap_or_default()));
+            if with_events {
+                pages.push((process, fetch_page(operator_address, "/-/events").unwrap_or_default()));
             }
         }
         pages
     }
 }
 
-/// Waits until a process has begun to run its own code: Rust's runtime has it ignore SIGPIPE before anything else. What is sent before
-/// that meets a process that the system is still making, about 1 ms, and no program can keep it from ending that.
-fn wait_until_it_runs(id: u32) {
+/// Waits until a process ignores SIGPIPE, which Rust's runtime sets up first. A signal sent earlier ends the
+/// process before the program can handle it.
+fn wait_until_executing(pid: u32) {
     const SIGPIPE: u64 = 1 << 12;
     let ignored = || {
-        let status = std::fs::read_to_string(format!("/proc/{id}/status")).ok()?;
+        let status = std::fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
         let line = status.lines().find_map(|line| line.strip_prefix("SigIgn:"))?;
         u64::from_str_radix(line.trim(), 16).ok()
     };
-    let begun = Instant::now();
-    while begun.elapsed() < Duration::from_secs(2) && ignored().is_none_or(|set| set & SIGPIPE == 0) {
+    let start = Instant::now();
+    while start.elapsed() < Duration::from_secs(2) && ignored().is_none_or(|set| set & SIGPIPE == 0) {
         thread::yield_now();
     }
 }
 
-/// Whether a process of this id is a child of this one: an id may be free again, or another's.
-fn is_child(id: u32) -> bool {
-    let status = std::fs::read_to_string(format!("/proc/{id}/status")).unwrap_or_default();
+/// Whether the process of this ID is a child of this one. IDs of ended processes may be reused.
+fn is_child(pid: u32) -> bool {
+    let status = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
     let parent = status.lines().find_map(|line| line.strip_prefix("PPid:")?.trim().parse::<u32>().ok());
     parent == Some(std::process::id())
 }
 
-fn signal(id: u32, name: &str) {
-    let _ = Command::new("kill").args([name, &id.to_string()]).status();
+fn signal(pid: u32, name: &str) {
+    let _ = Command::new("kill").args([name, &pid.to_string()]).status();
 }
 
-fn is_up(address: SocketAddr) -> bool {
+fn is_ready(address: SocketAddr) -> bool {
     let Some(mut connection) = Connection::open(address) else { return false };
     let until = Instant::now() + Duration::from_secs(2);
     connection.write(&get_request("/up", ""))
         && connection.read(until, false).is_ok_and(|m| m.status() == 200)
 }
 
-fn call(address: SocketAddr, path: &str) -> Option<String> {
+fn fetch_page(address: SocketAddr, path: &str) -> Option<String> {
     let mut connection = Connection::open(address)?;
     connection.write(&get_request(path, "Connection: close\r\n"));
     let answer = connection.read(Instant::now() + Duration::from_secs(2), true).ok()?;
--- a/crates/soak/src/discovery.rs
+++ b/crates/soak/src/discovery.rs
@@ -1,7 +1,8 @@
-//! Discovery: one registry of servers, and for each slot of a process two agents that push it, of which one is in force.
+//! Discovery: one registry of servers, and for each slot two agents that publish it. The configuration of the
+//! slot's process names one of them.
 
 use crate::connection::Connection;
-use crate::ledger::Ledger;
+use crate::records::Recorder;
 use corkhollow_test_support::{host_json, list_json};
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -9,60 +10,60 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// While nothing changes, an empty line comes this often.
-const HEARTBEAT: Duration = Duration::from_secs(2);
-/// How often watches look whether they have been silenced or ended.
-const LOOK: Duration = Duration::from_millis(50);
+/// An idle watch gets an empty line at this interval.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
+/// The interval at which watches check whether their agent is down or silenced.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A server as it is listed.
+/// The state of a server in the registry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Listing {
-    /// Not at all.
+    /// Not listed.
     Absent,
-    /// It takes requests.
+    /// Listed as taking requests.
     Active,
-    /// It drains.
-    Leaving,
+    /// Listed as draining.
+    Draining,
 }
 
 #[derive(Debug)]
-struct State {
+struct Registry {
     version: u64,
     listings: Vec<Listing>,
-    /// Changes by version, from the first one on.
+    /// The server changed by each version from 2 on.
     changes: Vec<usize>,
 }
 
-/// What an agent does with calls.
+/// How an agent treats calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AgentMode {
-    /// It answers.
+    /// Answers calls.
     Up,
-    /// It resets calls, and has ended its watches.
-    Refuses,
-    /// It takes calls and says nothing; its watches have ended.
+    /// Resets calls and ends its watches.
+    Resets,
+    /// Accepts calls without answering and ends its watches.
     Silent,
 }
 
 #[derive(Debug)]
 struct Agent {
     mode: Mutex<AgentMode>,
-    /// Watches opened before this one say nothing any more, and stay.
-    silenced: AtomicUsize,
-    watches: AtomicUsize,
+    /// Watches with a lower index are silent but stay open.
+    silenced_before: AtomicUsize,
+    watch_count: AtomicUsize,
 }
 
 /// The registry and its agents.
 pub struct Discovery {
-    state: Mutex<State>,
+    registry: Mutex<Registry>,
     changed: Condvar,
     servers: Vec<SocketAddr>,
     agents: Vec<[Agent; 2]>,
-    /// Where the agents of each slot listen.
+    /// The addresses of the two agents of each slot.
     pub agent_addresses: Vec<[SocketAddr; 2]>,
-    /// The process that runs in each slot.
+    /// The number of the process in each slot.
     pub processes: Vec<AtomicUsize>,
-    ledger: Arc<Ledger>,
+    recorder: Arc<Recorder>,
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
@@ -70,18 +71,18 @@
 }
 
 impl Discovery {
-    /// Agents for so many slots; the first servers are listed.
+    /// Starts the agents of `slots` slots. The first `listed` servers are listed as active.
     pub fn start(
         slots: usize,
         servers: Vec<SocketAddr>,
         listed: usize,
-        ledger: Arc<Ledger>,
+        recorder: Arc<Recorder>,
     ) -> std::io::Result<Arc<Self>> {
         let listing = |server| if server < listed { Listing::Active } else { Listing::Absent };
         let agent = || Agent {
             mode: Mutex::new(AgentMode::Up),
-            silenced: AtomicUsize::new(0),
-            watches: AtomicUsize::new(0),
+            silenced_before: AtomicUsize::new(0),
+            watch_count: AtomicUsize::new(0),
         };
         let mut listeners = Vec::new();
         for _ in 0..slots {
@@ -92,7 +93,7 @@
             agent_addresses.push([first.local_addr()?, second.local_addr()?]);
         }
         let discovery = Arc::new(Discovery {
-            state: Mutex::new(State {
+            registry: Mutex::new(Registry {
                 version: 1,
                 listings: (0..servers.len()).map(listing).collect(),
                 changes: Vec::new(),
@@ -102,28 +103,28 @@
             agents: (0..slots).map(|_| [agent(), agent()]).collect(),
             agent_addresses,
             processes: (0..slots).map(|_| AtomicUsize::new(usize::MAX)).collect(),
-            ledger,
+            recorder,
         });
         for (slot, pair) in listeners.into_iter().enumerate() {
-            for (side, listener) in pair.into_iter().enumerate() {
+            for (agent_index, listener) in pair.into_iter().enumerate() {
                 let discovery = discovery.clone();
-                thread::spawn(move || discovery.listen(slot, side, &listener));
+                thread::spawn(move || discovery.listen(slot, agent_index, &listener));
             }
         }
         Ok(discovery)
     }
 
-    /// Lists a server so from here on.
-    pub fn set(&self, server: usize, listing: Listing) {
-        let mut state = lock(&self.state);
-        state.version += 1;
-        state.listings[server] = listing;
-        state.changes.push(server);
-        drop(state);
+    /// Changes the state of a server.
+    pub fn set_listing(&self, server: usize, listing: Listing) {
+        let mut registry = lock(&self.registry);
+        registry.version += 1;
+        registry.listings[server] = listing;
+        registry.changes.push(server);
+        drop(registry);
         self.changed.notify_all();
     }
 
-    /// Sets what the agents of a slot do.
+    /// Changes how the agents of a slot treat calls.
     pub fn set_mode(&self, slot: usize, mode: AgentMode) {
         for agent in &self.agents[slot] {
             *lock(&agent.mode) = mode;
@@ -131,44 +132,44 @@
         self.changed.notify_all();
     }
 
-    /// Silences all watches of a slot that are open now.
+    /// Silences all open watches of a slot.
     pub fn silence_watches(&self, slot: usize) {
         for agent in &self.agents[slot] {
-            agent.silenced.store(agent.watches.load(Ordering::SeqCst), Ordering::SeqCst);
+            agent.silenced_before.store(agent.watch_count.load(Ordering::SeqCst), Ordering::SeqCst);
         }
     }
 
-    fn listen(self: Arc<Self>, slot: usize, side: usize, listener: &TcpListener) {
+    fn listen(self: Arc<Self>, slot: usize, agent_index: usize, listener: &TcpListener) {
         for stream in listener.incoming().flatten() {
             let discovery = self.clone();
             let process = self.processes[slot].load(Ordering::SeqCst);
-            thread::spawn(move || discovery.serve(slot, side, process, Connection::new(stream)));
+            thread::spawn(move || discovery.serve(slot, agent_index, process, Connection::new(stream)));
         }
     }
 
-    fn serve(&self, slot: usize, side: usize, process: usize, mut connection: Connection) {
+    fn serve(&self, slot: usize, agent_index: usize, process: usize, mut connection: Connection) {
         let Ok(call) = connection.read(Instant::now() + Duration::from_secs(10), false) else { return };
-        let agent = &self.agents[slot][side];
+        let agent = &self.agents[slot][agent_index];
         loop {
             match *lock(&agent.mode) {
                 AgentMode::Up => break,
-                AgentMode::Refuses => return connection.reset(),
+                AgentMode::Resets => return connection.reset(),
                 AgentMode::Silent => {}
             }
-            if connection.stirs(Instant::now() + LOOK) {
+            if connection.wait_for_activity(Instant::now() + POLL_INTERVAL) {
                 return;
             }
         }
-        let watch = agent.watches.fetch_add(1, Ordering::SeqCst);
+        let watch = agent.watch_count.fetch_add(1, Ordering::SeqCst);
         let since =
             call.head.split_once("since=").and_then(|(_, rest)| rest.split([' ', '&']).next()?.parse().ok());
         if connection.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n") {
-            self.push(agent, watch, process, since, &mut connection);
+            self.push_changes(agent, watch, process, since, &mut connection);
         }
     }
 
-    /// Says the list, then changes and heartbeats, until the watch ends.
-    fn push(
+    /// Sends the list, then changes and heartbeats, until the watch ends.
+    fn push_changes(
         &self,
         agent: &Agent,
         watch: usize,
@@ -176,69 +177,72 @@
         since: Option<u64>,
         connection: &mut Connection,
     ) {
-        let mut notified = since;
-        let mut said_at = Instant::now();
+        let mut sent_version = since;
+        let mut last_sent_at = Instant::now();
         loop {
-            let state = lock(&self.state);
-            let (state, _) = self
+            let registry = lock(&self.registry);
+            let (registry, _) = self
                 .changed
-                .wait_timeout_while(state, LOOK, |state| notified == Some(state.version))
+                .wait_timeout_while(registry, POLL_INTERVAL, |registry| {
+                    sent_version == Some(registry.version)
+                })
                 .unwrap_or_else(PoisonError::into_inner);
-            let news = (notified != Some(state.version)).then(|| self.words(&state, notified));
-            let (version, listings) = (state.version, state.listings.clone());
-            drop(state);
+            let update =
+                (sent_version != Some(registry.version)).then(|| self.list_update(&registry, sent_version));
+            let (version, listings) = (registry.version, registry.listings.clone());
+            drop(registry);
             if *lock(&agent.mode) != AgentMode::Up {
                 return;
             }
-            if agent.silenced.load(Ordering::SeqCst) > watch {
-                // It stays open and says nothing, until its process ends it.
-                let _ = connection.stirs(Instant::now() + Duration::from_secs(60));
+            if agent.silenced_before.load(Ordering::SeqCst) > watch {
+                // Keep the watch open and silent until the process closes it.
+                let _ = connection.wait_for_activity(Instant::now() + Duration::from_secs(60));
                 return;
             }
-            let line = match news {
-                Some(news) => news,
-                None if said_at.elapsed() >= HEARTBEAT => String::new(),
+            let line = match update {
+                Some(update) => update,
+                None if last_sent_at.elapsed() >= HEARTBEAT_INTERVAL => String::new(),
                 None => continue,
             };
             let chunk = format!("{:x}\r\n{line}\n\r\n", line.len() + 1);
             if !connection.write(chunk.as_bytes()) {
                 return;
             }
-            said_at = Instant::now();
-            if notified != Some(version) {
-                self.note_notified(process, &listings);
-                notified = Some(version);
+            last_sent_at = Instant::now();
+            if sent_version != Some(version) {
+                self.record_notified(process, &listings);
+                sent_version = Some(version);
             }
         }
     }
 
-    fn words(&self, state: &State, notified: Option<u64>) -> String {
+    fn list_update(&self, registry: &Registry, sent_version: Option<u64>) -> String {
         let entry = |server: usize| {
-            let health = match state.listings[server] {
+            let health = match registry.listings[server] {
                 Listing::Active => "active",
-                Listing::Leaving => "leaving",
+                Listing::Draining => "leaving",
                 Listing::Absent => "left",
             };
             host_json(&format!("s-{server}"), self.servers[server], health)
         };
-        match notified.filter(|notified| *notified >= 1 && *notified <= state.version) {
-            Some(notified) => {
-                let mut changed: Vec<_> = state.changes[notified as usize - 1..].to_vec();
+        match sent_version.filter(|sent_version| *sent_version >= 1 && *sent_version <= registry.version) {
+            Some(sent_version) => {
+                let mut changed: Vec<_> = registry.changes[sent_version as usize - 1..].to_vec();
                 changed.sort_unstable();
                 changed.dedup();
                 let entries: Vec<_> = changed.into_iter().map(entry).collect();
-                list_json(state.version, false, &entries)
+                list_json(registry.version, false, &entries)
             }
             None => {
-                let listed = (0..self.servers.len()).filter(|s| state.listings[*s] != Listing::Absent);
-                list_json(state.version, true, &listed.map(entry).collect::<Vec<_>>())
+                let listed = (0..self.servers.len()).filter(|s| registry.listings[*s] != Listing::Absent);
+                list_json(registry.version, true, &listed.map(entry).collect::<Vec<_>>())
             }
         }
     }
 
-    fn note_notified(&self, process: usize, listings: &[Listing]) {
-        let now = self.ledger.now();
-        let mut records = self.ledger.lock();
+    fn record_notified(&self, process: usize, listings: &[Listing]) {
+        let now = self.recorder.now();
+        let mut records = self.recorder.lock();
         for (server, listing) in listings.iter().enumerate() {
             match listing {
                 Listing::Active => drop(records.notified_draining.remove(&(process, server))),
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -1,82 +1,82 @@
-//! What goes wrong when: a script drawn from a seed, in which faults come in groups that overlap.
+//! Fault scripts drawn from a seed: groups of faults that overlap.
 
 use crate::servers::Behaviour;
 use corkhollow_test_support::SeededRng;
 use std::fmt;
 use std::time::Duration;
 
-/// One fault.
+/// A fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// A process gets SIGTERM, and is started anew once it has; a SIGHUP may follow so long after it has begun to run.
+    /// Terminates a process with SIGTERM and starts a new one, which may get SIGHUP early in its start.
     Restart {
-        /// Its slot.
+        /// The slot of the process.
         slot: usize,
-        /// When the SIGHUP comes.
-        hang_up_after: Option<Duration>,
+        /// Time from the start of execution to SIGHUP.
+        sighup_after: Option<Duration>,
     },
-    /// A process is killed and started anew.
+    /// Kills a process and starts a new one.
     Kill {
-        /// Its slot.
+        /// The slot of the process.
         slot: usize,
     },
-    /// A process gets SIGHUP with a file that moves discovery, or with half a file.
+    /// Reloads a process with a file that names the other discovery agent, or with a truncated file.
     Reload {
-        /// Its slot.
+        /// The slot of the process.
         slot: usize,
-        /// The file is half a file.
-        broken: bool,
+        /// The file is truncated.
+        is_truncated: bool,
     },
-    /// A process stands still.
+    /// Stops a process for a while.
     Pause {
-        /// Its slot.
+        /// The slot of the process.
         slot: usize,
-        /// For so long.
-        time: Duration,
+        /// How long.
+        duration: Duration,
     },
-    /// A server behaves otherwise.
+    /// Changes the behaviour of a server for a while.
     Misbehave {
-        /// The server.
+        /// The index of the server.
         server: usize,
-        /// How.
+        /// The behaviour.
         behaviour: Behaviour,
-        /// For so long.
-        time: Duration,
+        /// How long.
+        duration: Duration,
     },
-    /// A server drains, is taken from the list, and comes back.
+    /// Drains a server, removes it from discovery and lists it again.
     Drain {
-        /// The server.
+        /// The index of the server.
         server: usize,
-        /// After so long.
-        time: Duration,
+        /// How long it drains.
+        duration: Duration,
     },
-    /// A server is listed whose connections come up only after a while.
+    /// Lists a server that accepts connections later.
     LateServer {
-        /// Which of the late ones.
-        number: usize,
-        /// After so long.
-        time: Duration,
+        /// The index among the late servers.
+        index: usize,
+        /// The delay of its connections.
+        duration: Duration,
     },
-    /// The discovery agent of a slot is down.
+    /// Takes the discovery agents of a slot down.
     DiscoveryDown {
         /// The slot.
         slot: usize,
-        /// It takes calls and says nothing, in place of resetting them.
-        silent: bool,
-        /// For so long.
-        time: Duration,
+        /// The agents accept calls without answering, instead of resetting them.
+        is_silent: bool,
+        /// How long.
+        duration: Duration,
     },
-    /// The watches of a slot fall silent and stay open.
+    /// Silences the open watches of a slot.
     SilentWatch {
         /// The slot.
         slot: usize,
     },
-    /// Idle connections take all descriptors that a process gives to clients.
+    /// Exhausts the descriptors that a process has for clients with idle connections.
     IdleFlood {
-        /// Its slot.
+        /// The slot of the process.
         slot: usize,
-        /// For so long.
-        time: Duration,
+        /// How long.
+        duration: Duration,
     },
 }
 
@@ -86,44 +86,44 @@
     }
 }
 
-/// Faults by their time.
+/// Faults with their times since the start of the clients, in order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Script(pub Vec<(Duration, Fault)>);
 
-/// What a script is drawn for.
+/// The dimensions that a script is drawn for.
 #[derive(Clone, Copy, Debug)]
-pub struct Size {
-    /// Places of processes.
+pub struct ScriptSize {
+    /// Number of slots.
     pub slots: usize,
-    /// Servers that are listed from the start.
+    /// Servers listed from the start.
     pub servers: usize,
-    /// Servers whose connections come up late.
-    pub late: usize,
+    /// Servers that accept connections late.
+    pub late_servers: usize,
     /// How long clients run.
-    pub time: Duration,
+    pub duration: Duration,
 }
 
-/// The first fault comes so long after the clients' start.
-const QUIET_START: Duration = Duration::from_millis(700);
-/// No fault begins so shortly before the end.
-const QUIET_END: Duration = Duration::from_millis(2_500);
-/// The faults of a group begin within this.
-const GROUP: u64 = 400;
+/// Time before the first fault.
+const FAULT_FREE_START: Duration = Duration::from_millis(700);
+/// Time at the end in which no fault begins.
+const FAULT_FREE_END: Duration = Duration::from_millis(2_500);
+/// Time within which the faults of a group begin.
+const GROUP_SPAN_MS: u64 = 400;
 
 impl Script {
-    /// The script of a seed: groups of two to four faults, at one slot or one server where that is possible, so that they overlap.
-    pub fn draw(seed: u64, size: Size) -> Self {
-        let mut draw = SeededRng::new(seed);
-        let span = size.time.saturating_sub(QUIET_START + QUIET_END);
-        let groups = (size.slots as u64).max(size.time.as_secs() * 2);
+    /// Draws a script: groups of two to four faults, at the same slot or server where possible.
+    pub fn generate(seed: u64, size: ScriptSize) -> Self {
+        let mut rng = SeededRng::new(seed);
+        let span = size.duration.saturating_sub(FAULT_FREE_START + FAULT_FREE_END);
+        let groups = (size.slots as u64).max(size.duration.as_secs() * 2);
         let mut faults = Vec::new();
         for _ in 0..groups {
-            let begin = QUIET_START + span.mul_f64(draw.next_fraction());
-            let slot = draw.next_u64() as usize % size.slots;
-            let server = draw.next_u64() as usize % size.servers;
-            for _ in 0..2 + draw.next_u64() % 3 {
-                let at = begin + Duration::from_millis(draw.next_u64() % GROUP);
-                faults.push((at, fault(&mut draw, slot, server, size)));
+            let begin = FAULT_FREE_START + span.mul_f64(rng.next_fraction());
+            let slot = rng.next_u64() as usize % size.slots;
+            let server = rng.next_u64() as usize % size.servers;
+            for _ in 0..2 + rng.next_u64() % 3 {
+                let at = begin + Duration::from_millis(rng.next_u64() % GROUP_SPAN_MS);
+                faults.push((at, draw_fault(&mut rng, slot, server, size)));
             }
         }
         faults.sort_by_key(|(at, _)| *at);
@@ -131,42 +131,43 @@
     }
 }
 
-fn fault(draw: &mut SeededRng, slot: usize, server: usize, size: Size) -> Fault {
-    let time =
-        |draw: &mut SeededRng, least: u64, more: u64| Duration::from_millis(least + draw.next_u64() % more);
-    match draw.next_u64() % 20 {
+fn draw_fault(rng: &mut SeededRng, slot: usize, server: usize, size: ScriptSize) -> Fault {
+    let draw_duration = |rng: &mut SeededRng, min_ms: u64, range_ms: u64| {
+        Duration::from_millis(min_ms + rng.next_u64() % range_ms)
+    };
+    match rng.next_u64() % 20 {
         0..=2 => {
-            let hang_up = draw.next_u64().is_multiple_of(2);
-            let after = time(draw, 3, 17);
-            Fault::Restart { slot, hang_up_after: hang_up.then_some(after) }
+            let sends_sighup = rng.next_u64().is_multiple_of(2);
+            let delay = draw_duration(rng, 3, 17);
+            Fault::Restart { slot, sighup_after: sends_sighup.then_some(delay) }
         }
         3 => Fault::Kill { slot },
-        4 | 5 => Fault::Reload { slot, broken: draw.next_u64().is_multiple_of(4) },
-        6 | 7 => Fault::Pause { slot, time: time(draw, 20, 130) },
+        4 | 5 => Fault::Reload { slot, is_truncated: rng.next_u64().is_multiple_of(4) },
+        6 | 7 => Fault::Pause { slot, duration: draw_duration(rng, 20, 130) },
         8..=11 => {
             let behaviours = [
                 Behaviour::Slow,
                 Behaviour::Hangs,
                 Behaviour::Resets,
                 Behaviour::Fails,
-                Behaviour::TurnsAway,
+                Behaviour::Rejects,
                 Behaviour::Closes,
             ];
-            let behaviour = behaviours[draw.next_u64() as usize % behaviours.len()];
-            Fault::Misbehave { server, behaviour, time: time(draw, 500, 2_000) }
+            let behaviour = behaviours[rng.next_u64() as usize % behaviours.len()];
+            Fault::Misbehave { server, behaviour, duration: draw_duration(rng, 500, 2_000) }
         }
-        12..=14 => Fault::Drain { server, time: time(draw, 800, 2_000) },
-        15 if size.late > 0 => {
-            let number = draw.next_u64() as usize % size.late;
-            Fault::LateServer { number, time: time(draw, 300, 1_200) }
+        12..=14 => Fault::Drain { server, duration: draw_duration(rng, 800, 2_000) },
+        15 if size.late_servers > 0 => {
+            let index = rng.next_u64() as usize % size.late_servers;
+            Fault::LateServer { index, duration: draw_duration(rng, 300, 1_200) }
         }
         15 | 16 => Fault::DiscoveryDown {
             slot,
-            silent: draw.next_u64().is_multiple_of(2),
-            time: time(draw, 500, 2_500),
+            is_silent: rng.next_u64().is_multiple_of(2),
+            duration: draw_duration(rng, 500, 2_500),
         },
         17 => Fault::SilentWatch { slot },
-        18 => Fault::IdleFlood { slot, time: time(draw, 500, 1_500) },
-        _ => Fault::Drain { server, time: time(draw, 800, 2_000) },
+        18 => Fault::IdleFlood { slot, duration: draw_duration(rng, 500, 1_500) },
+        _ => Fault::Drain { server, duration: draw_duration(rng, 800, 2_000) },
     }
 }
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,7 +1,8 @@
-//! A soak test over real sockets and processes: gateways between scripted servers, discovery agents and clients, with faults that
-//! overlap in time. Everything that crosses a socket is written into a ledger, and the ledger is judged by the rules afterwards.
+//! A soak test over real sockets and processes: several nodes between scripted servers, discovery agents and
+//! clients, under overlapping faults. All observations are recorded and checked against the rules afterwards.
 //!
-//! The same seed gives the same script of faults; what meets what in them depends on the machine, as it does in production.
+//! A seed determines the script of faults. How the faults interleave with requests depends on the machine's
+//! timing.
 
 pub mod check;
 mod clients;
@@ -9,9 +10,9 @@
 mod connection;
 mod discovery;
 mod faults;
-pub mod ledger;
+pub mod records;
 mod run;
 mod servers;
 
 pub use faults::{Fault, Script};
-pub use run::{run, Options, Report};
+pub use run::{run, Report, RunOptions};
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,44 +1,44 @@
-//! One run: everything is started, a script of faults is played under load, and what was seen is judged.
+//! One run: starts everything, injects the scripted faults under load and checks the records.
 
 use crate::check::{check, Violation};
 use crate::clients::Clients;
 use crate::cluster::Cluster;
 use crate::connection::Connection;
 use crate::discovery::{AgentMode, Discovery, Listing};
-use crate::faults::{Fault, Script, Size};
-use crate::ledger::{Ledger, Records};
+use crate::faults::{Fault, Script, ScriptSize};
+use crate::records::{Recorder, Records};
 use crate::servers::{Behaviour, Servers};
 use std::sync::atomic::{AtomicBool, AtomicU32, Ordering};
 use std::sync::Arc;
 use std::thread;
 use std::time::Duration;
 
-/// How large a run is.
+/// The size of a run.
 #[derive(Clone, Copy, Debug)]
-pub struct Options {
-    /// Settles the script and all draws.
+pub struct RunOptions {
+    /// Determines the script and all random choices.
     pub seed: u64,
-    /// Processes of the program.
+    /// Number of processes.
     pub processes: usize,
-    /// Clients of each.
+    /// Clients per process.
     pub clients: usize,
-    /// Servers that are listed from the start.
+    /// Servers listed from the start.
     pub servers: usize,
-    /// Servers whose connections come up late.
+    /// Servers that accept connections late.
     pub late_servers: usize,
     /// How long clients run.
-    pub time: Duration,
+    pub duration: Duration,
 }
 
-/// What came of a run.
+/// The result of a run.
 pub struct Report {
-    /// Rules that were broken.
+    /// The violated rules.
     pub violations: Vec<Violation>,
-    /// All that was seen.
+    /// All records.
     pub records: Records,
-    /// The script.
+    /// The script of faults.
     pub script: Script,
-    /// The last events of each process that ran at the end, where a rule was broken.
+    /// The event pages of the processes running at the end, by process number; only where a rule is violated.
     pub events: Vec<(usize, String)>,
 }
 
@@ -46,45 +46,45 @@
     cluster: Arc<Cluster>,
     servers: Arc<Servers>,
     discovery: Arc<Discovery>,
-    ledger: Arc<Ledger>,
-    /// By slot: a restart is under way, and another one has to wait for the next fault.
+    recorder: Arc<Recorder>,
+    /// By slot: a restart is in progress; further ones are skipped.
     restarting: Vec<AtomicBool>,
-    /// By slot: how many outages of its agents overlap now.
+    /// By slot: how many outages of its agents overlap.
     outages: Vec<AtomicU32>,
-    options: Options,
+    options: RunOptions,
 }
 
-/// Plays a seed.
+/// Runs the soak test once.
 ///
 /// # Errors
-/// Where the system has no sockets for it.
-pub fn run(options: Options) -> std::io::Result<Report> {
-    let ledger = Arc::new(Ledger::new());
-    let Options { seed, processes, servers, late_servers, time, .. } = options;
-    let all = Servers::start(servers, late_servers, seed, ledger.clone())?;
-    let discovery = Discovery::start(processes, all.addresses.clone(), servers, ledger.clone())?;
-    let cluster = Cluster::new(processes, discovery.clone(), ledger.clone());
+/// Fails where the system has no sockets for the servers or agents.
+pub fn run(options: RunOptions) -> std::io::Result<Report> {
+    let recorder = Arc::new(Recorder::new());
+    let RunOptions { seed, processes, servers, late_servers, duration, .. } = options;
+    let server_group = Servers::start(servers, late_servers, seed, recorder.clone())?;
+    let discovery = Discovery::start(processes, server_group.addresses.clone(), servers, recorder.clone())?;
+    let cluster = Cluster::new(processes, discovery.clone(), recorder.clone());
     let run = Arc::new(Run {
         cluster: cluster.clone(),
-        servers: all,
+        servers: server_group,
         discovery,
-        ledger: ledger.clone(),
+        recorder: recorder.clone(),
         restarting: (0..processes).map(|_| AtomicBool::new(false)).collect(),
         outages: (0..processes).map(|_| AtomicU32::new(0)).collect(),
         options,
     });
     (0..processes).for_each(|slot| cluster.start(slot, false, None));
-    wait_for_all(&cluster, processes);
-    let clients = Clients::new(cluster.clone(), ledger.clone());
+    wait_until_all_up(&cluster, processes);
+    let clients = Clients::new(cluster.clone(), recorder.clone());
     let mut threads = Vec::new();
     for client in 0..processes * options.clients {
-        let own = seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) ^ client as u64;
-        threads.push(clients.begin(client % processes, own));
+        let client_seed = seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) ^ client as u64;
+        threads.push(clients.start_client(client % processes, client_seed));
     }
-    let script = Script::draw(seed, Size { slots: processes, servers, late: late_servers, time });
-    let begun = ledger.now();
-    let faults = play(&run, &script, begun);
-    while ledger.now() < begun + time {
+    let script = Script::generate(seed, ScriptSize { slots: processes, servers, late_servers, duration });
+    let start = recorder.now();
+    let faults = schedule_faults(&run, &script, start);
+    while recorder.now() < start + duration {
         cluster.inspect();
         thread::sleep(Duration::from_millis(250));
     }
@@ -93,21 +93,21 @@
         let _ = thread.join();
     }
     cluster.inspect();
-    let end = ledger.now();
-    let broken = !check(&ledger.lock(), end).is_empty();
-    let events = cluster.collect_self_reports(broken);
-    let enders: Vec<_> = (0..processes)
+    let end = recorder.now();
+    let has_violations = !check(&recorder.lock(), end).is_empty();
+    let events = cluster.collect_self_reports(has_violations);
+    let terminating_threads: Vec<_> = (0..processes)
         .map(|slot| {
             let cluster = cluster.clone();
             thread::spawn(move || cluster.terminate(slot))
         })
         .collect();
-    enders.into_iter().for_each(|ender| drop(ender.join()));
-    let records = ledger.lock().clone();
-    Ok(Report { violations: check(&records, ledger.now()), records, script, events })
+    terminating_threads.into_iter().for_each(|thread| drop(thread.join()));
+    let records = recorder.lock().clone();
+    Ok(Report { violations: check(&records, recorder.now()), records, script, events })
 }
 
-fn wait_for_all(cluster: &Cluster, processes: usize) {
+fn wait_until_all_up(cluster: &Cluster, processes: usize) {
     let up = |slot: usize| cluster.slots[slot].state() == crate::cluster::SlotState::Up;
     for _ in 0..1_000 {
         if (0..processes).all(up) {
@@ -117,76 +117,78 @@
     }
 }
 
-fn play(run: &Arc<Run>, script: &Script, begun: Duration) -> Vec<thread::JoinHandle<()>> {
-    let play_one = |(at, fault): &(Duration, Fault)| {
-        let (run, due, fault) = (run.clone(), begun + *at, *fault);
+fn schedule_faults(run: &Arc<Run>, script: &Script, start: Duration) -> Vec<thread::JoinHandle<()>> {
+    let schedule_fault = |(at, fault): &(Duration, Fault)| {
+        let (run, due, fault) = (run.clone(), start + *at, *fault);
         thread::spawn(move || {
-            thread::sleep(due.saturating_sub(run.ledger.now()));
-            run.commit(fault);
+            thread::sleep(due.saturating_sub(run.recorder.now()));
+            run.inject(fault);
         })
     };
-    script.0.iter().map(play_one).collect()
+    script.0.iter().map(schedule_fault).collect()
 }
 
 impl Run {
-    fn commit(&self, fault: Fault) {
+    fn inject(&self, fault: Fault) {
         match fault {
-            Fault::Restart { slot, hang_up_after } => self.restart(slot, hang_up_after, false),
+            Fault::Restart { slot, sighup_after } => self.restart(slot, sighup_after, false),
             Fault::Kill { slot } => self.restart(slot, None, true),
-            Fault::Reload { slot, broken } => self.cluster.reload(slot, broken),
-            Fault::Pause { slot, time } => self.cluster.pause(slot, time),
-            Fault::Misbehave { server, behaviour, time } => {
+            Fault::Reload { slot, is_truncated } => self.cluster.reload(slot, is_truncated),
+            Fault::Pause { slot, duration } => self.cluster.pause(slot, duration),
+            Fault::Misbehave { server, behaviour, duration } => {
                 self.servers.set_behaviour(server, behaviour);
-                thread::sleep(time);
-                self.servers.set_behaviour(server, Behaviour::Usual);
+                thread::sleep(duration);
+                self.servers.set_behaviour(server, Behaviour::Normal);
             }
-            Fault::Drain { server, time } => {
-                self.discovery.set(server, Listing::Leaving);
-                thread::sleep(time);
-                self.discovery.set(server, Listing::Absent);
+            Fault::Drain { server, duration } => {
+                self.discovery.set_listing(server, Listing::Draining);
+                thread::sleep(duration);
+                self.discovery.set_listing(server, Listing::Absent);
                 thread::sleep(Duration::from_millis(300));
-                self.discovery.set(server, Listing::Active);
+                self.discovery.set_listing(server, Listing::Active);
             }
-            Fault::LateServer { number, time } => {
-                let server = self.options.servers + number;
-                self.discovery.set(server, Listing::Active);
-                thread::sleep(time);
+            Fault::LateServer { index, duration } => {
+                let server = self.options.servers + index;
+                self.discovery.set_listing(server, Listing::Active);
+                thread::sleep(duration);
                 self.servers.open(server, self.options.seed);
             }
-            Fault::DiscoveryDown { slot, silent, time } => self.discovery_down(slot, silent, time),
+            Fault::DiscoveryDown { slot, is_silent, duration } => {
+                self.discovery_down(slot, is_silent, duration)
+            }
             Fault::SilentWatch { slot } => self.discovery.silence_watches(slot),
-            Fault::IdleFlood { slot, time } => self.flood(slot, time),
+            Fault::IdleFlood { slot, duration } => self.open_idle_connections(slot, duration),
         }
     }
 
-    fn restart(&self, slot: usize, hang_up_after: Option<Duration>, kills: bool) {
+    fn restart(&self, slot: usize, sighup_after: Option<Duration>, is_kill: bool) {
         if self.restarting[slot].swap(true, Ordering::SeqCst) {
             return;
         }
-        match kills {
+        match is_kill {
             true => self.cluster.kill(slot),
             false => self.cluster.terminate(slot),
         }
-        let blind = self.outages[slot].load(Ordering::SeqCst) > 0;
-        self.cluster.start(slot, blind, hang_up_after);
+        let discovery_is_down = self.outages[slot].load(Ordering::SeqCst) > 0;
+        self.cluster.start(slot, discovery_is_down, sighup_after);
         self.restarting[slot].store(false, Ordering::SeqCst);
     }
 
-    fn discovery_down(&self, slot: usize, silent: bool, time: Duration) {
+    fn discovery_down(&self, slot: usize, is_silent: bool, duration: Duration) {
         self.outages[slot].fetch_add(1, Ordering::SeqCst);
-        self.discovery.set_mode(slot, if silent { AgentMode::Silent } else { AgentMode::Refuses });
-        thread::sleep(time);
+        self.discovery.set_mode(slot, if is_silent { AgentMode::Silent } else { AgentMode::Resets });
+        thread::sleep(duration);
         if self.outages[slot].fetch_sub(1, Ordering::SeqCst) == 1 {
             self.discovery.set_mode(slot, AgentMode::Up);
         }
     }
 
-    fn flood(&self, slot: usize, time: Duration) {
+    fn open_idle_connections(&self, slot: usize, duration: Duration) {
         let Some(address) = self.cluster.slots[slot].address() else { return };
         let process = self.cluster.process(slot);
-        self.ledger.lock().crowded.insert(process);
-        let idle: Vec<_> = (0..150).filter_map(|_| Connection::open(address)).collect();
-        thread::sleep(time);
-        drop(idle);
+        self.recorder.lock().flooded_processes.insert(process);
+        let idle_connections: Vec<_> = (0..150).filter_map(|_| Connection::open(address)).collect();
+        thread::sleep(duration);
+        drop(idle_connections);
     }
 }
--- a/crates/test-support/src/discovery.rs
+++ b/crates/test-support/src/discovery.rs
@@ -21,8 +21,8 @@
     format!(r#"{{"seq":{seq},"whole":{is_complete},"hosts":[{}]}}"#, hosts.join(","))
 }
 
-/// A discovery service. Each watch first gets the next opening line (the last one is repeated), then the lines that
-/// the test pushes.
+/// A discovery service. Each watch first gets the next opening line (the last one is repeated), then the
+/// lines that the test pushes.
 pub struct Discovery {
     /// The listening address.
     pub address: SocketAddr,
@@ -32,7 +32,8 @@
 }
 
 impl Discovery {
-    /// Starts the service. With `sends_heartbeats`, an idle watch gets an empty line every 2 s, as the protocol demands.
+    /// Starts the service. With `sends_heartbeats`, an idle watch gets an empty line every 2 s, as the
+    /// protocol demands.
     pub fn new(opening_lines: Vec<String>, sends_heartbeats: bool) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let discovery = Discovery {
@@ -149,7 +150,8 @@
         self.calls.recv_timeout(time).ok()
     }
 
-    /// Waits for a call and returns the newest one that has arrived; older ones stay open, unanswered, in `unanswered`.
+    /// Waits for a call and returns the newest one that has arrived; older ones stay open, unanswered, in
+    /// `unanswered`.
     pub fn newest_call(&self, unanswered: &mut Vec<ReceivedCall>) -> ReceivedCall {
         let mut newest = self.next_call();
         while let Ok(newer) = self.calls.try_recv() {
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -1,4 +1,5 @@
-//! Scripted servers, clients and discovery services on loopback sockets, and helpers that run the program under test.
+//! Scripted servers, clients and discovery services on loopback sockets, and helpers that run the program
+//! under test.
 
 mod clients;
 mod demo;
--- a/crates/test-support/src/link.rs
+++ b/crates/test-support/src/link.rs
@@ -1,7 +1,7 @@
 //! A TCP relay that injects network faults: delay, jitter, loss, limited bandwidth, resets and black holes.
 //!
-//! Faults apply to the bytes that leave the relay. Connecting is not delayed, and lost bytes are never retransmitted:
-//! to emulate TCP over a lossy path, use `delay` and `jitter`.
+//! Faults apply to the bytes that leave the relay. Connecting is not delayed, and lost bytes are never
+//! retransmitted: to emulate TCP over a lossy path, use `delay` and `jitter`.
 
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64;
@@ -87,8 +87,8 @@
         (self.rng.next_u64() as f64) < self.faults.loss_ratio * u64::MAX as f64
     }
 
-    /// Applies the faults to bytes read at time `now`: the pieces to forward with the times when they are due, and the end of
-    /// the link if its byte limit is reached.
+    /// Applies the faults to bytes read at time `now`: the pieces to forward with the times when they are
+    /// due, and the end of the link if its byte limit is reached.
     fn schedule(&mut self, now: Duration, bytes: &[u8]) -> (Vec<(Duration, Vec<u8>)>, Option<LinkEnd>) {
         let (remaining, mut end) = match self.faults.end {
             Some((limit, end)) => (limit.saturating_sub(self.bytes_taken), Some(end)),
@@ -136,7 +136,8 @@
 }
 
 impl Link {
-    /// Starts a relay. The script gets the index of each connection, from 0. `seed` determines jitter and loss.
+    /// Starts a relay. The script gets the index of each connection, from 0. `seed` determines jitter and
+    /// loss.
     pub fn new(
         to: SocketAddr,
         seed: u64,
--- a/crates/test-support/src/message.rs
+++ b/crates/test-support/src/message.rs
@@ -13,8 +13,8 @@
     pub body: Vec<u8>,
     /// The whole body was received.
     pub is_complete: bool,
-    /// How long the connection was idle before this request, measured from the server's previous reply; zero for the
-    /// first request.
+    /// How long the connection was idle before this request, measured from the server's previous reply; zero
+    /// for the first request.
     pub idle_before: Duration,
 }
 
--- a/crates/test-support/src/program.rs
+++ b/crates/test-support/src/program.rs
@@ -101,7 +101,8 @@
 }
 
 impl Node {
-    /// Starts the program on a platform configuration and returns the process and the path of the file, without waiting.
+    /// Starts the program on a platform configuration and returns the process and the path of the file,
+    /// without waiting.
     pub fn spawn(config: &str) -> (Child, PathBuf) {
         let path = config_file_path("json");
         std::fs::write(&path, config).unwrap();
@@ -122,8 +123,8 @@
         Self::wait_until_listening(child, config, None)
     }
 
-    /// Starts a node on an inherited listening socket (`GW_LISTEN_FD`), with `folder` as its temporary directory, which
-    /// nodes on the same socket share. Waits until its operator interface is open.
+    /// Starts a node on an inherited listening socket (`GW_LISTEN_FD`), with `folder` as its temporary
+    /// directory, which nodes on the same socket share. Waits until its operator interface is open.
     pub fn start_with_listener(
         listener: &std::net::TcpListener,
         folder: &Path,
@@ -144,7 +145,8 @@
         Self::wait_until_listening(child, path, Some(address))
     }
 
-    /// Starts a node on an operator's file and a listening socket passed by systemd's socket activation protocol.
+    /// Starts a node on an operator's file and a listening socket passed by systemd's socket activation
+    /// protocol.
     pub fn start_socket_activated(
         listener: &std::net::TcpListener,
         folder: &Path,
@@ -163,8 +165,8 @@
         Self::wait_until_listening(child, path, Some(listener.local_addr().unwrap()))
     }
 
-    /// Starts a node with a shell command line of a deployment file, in which `$0` is the path of the program. `folder` is
-    /// its temporary directory.
+    /// Starts a node with a shell command line of a deployment file, in which `$0` is the path of the
+    /// program. `folder` is its temporary directory.
     pub fn start_deployed(line: &str, folder: &Path, config: &str) -> Self {
         let path = config_file_path("json");
         std::fs::write(&path, config).unwrap();
--- a/crates/test-support/src/rig.rs
+++ b/crates/test-support/src/rig.rs
@@ -1,5 +1,6 @@
-//! Runs several processes of the program whose gossip passes through relays, which inject faults per direction between
-//! any two nodes. The fault scripts are those of the simulated nodes. Dropping the rig ends all processes.
+//! Runs several processes of the program whose gossip passes through relays, which inject faults per
+//! direction between any two nodes. The fault scripts are those of the simulated nodes. Dropping the rig ends
+//! all processes.
 
 use crate::program::Node;
 use corkhollow_faults::{Action, Network, Script};
@@ -105,8 +106,8 @@
 }
 
 impl Rig {
-    /// Creates relays for `count` nodes without starting any. `extra_config` gives the rest of each node's file,
-    /// `fleet_settings` are further lines of its table `[fleet]`. All nodes get the same `seeds`.
+    /// Creates relays for `count` nodes without starting any. `extra_config` gives the rest of each node's
+    /// file, `fleet_settings` are further lines of its table `[fleet]`. All nodes get the same `seeds`.
     pub fn new(
         node_count: usize,
         seed: u64,
@@ -246,8 +247,8 @@
         self.wait_for_views(what, within, |_| true)
     }
 
-    /// Waits until all running nodes have the same view, with the right size, and report it as settled. Returns how long
-    /// that took.
+    /// Waits until all running nodes have the same view, with the right size, and report it as settled.
+    /// Returns how long that took.
     ///
     /// # Panics
     /// If it takes longer than `within`; the message holds the timeline.
--- a/crates/test-support/src/servers.rs
+++ b/crates/test-support/src/servers.rs
@@ -28,8 +28,8 @@
     Reply::Send(response("200 OK", "", body.as_bytes()))
 }
 
-/// Servers that share one script. The script gets the request and its index among the complete requests to all of
-/// them; requests whose body is incomplete are ignored.
+/// Servers that share one script. The script gets the request and its index among the complete requests to
+/// all of them; requests whose body is incomplete are ignored.
 pub struct Servers {
     /// The listening addresses.
     pub addresses: Vec<SocketAddr>,
@@ -182,8 +182,8 @@
         self.listener.into()
     }
 
-    /// Accepts connections for `time` and returns all bytes received on them. A peer's kernel retransmits its SYN after
-    /// about one second.
+    /// Accepts connections for `time` and returns all bytes received on them. A peer's kernel retransmits its
+    /// SYN after about one second.
     pub fn accept_and_collect(self, time: Duration) -> Vec<u8> {
         let listener = self.drain_backlog();
         listener.set_nonblocking(true).unwrap();
