--- a/crates/corkhollow/tests/fleet.rs
+++ b/crates/corkhollow/tests/fleet.rs
@@ -172,8 +172,8 @@
     clients.open(&rig, None);
     rig.wait_until_settled("rolled", SOON);
     assert_eq!(
-        rig.count_timeline_lines("counts as number"),
-        rig.count_timeline_lines("fleet: counts as number")
+        rig.count_timeline_lines("this node is number"),
+        rig.count_timeline_lines("fleet: this node is number")
     );
     let (asked, wrong) = clients.end();
     assert!(asked > 500 && wrong.is_empty(), "{asked} asked: {wrong:#?}\n{}", rig.timeline().join("\n"));
@@ -266,7 +266,7 @@
     std::fs::remove_file(&path).unwrap();
     let told = String::from_utf8(output.stderr).unwrap();
     assert!(!output.status.success() && told.contains(&format!("cannot listen on {address}")), "{told}");
-    let words = format!("the name n1 is taken: the process at {} has it", rig.relay_address(1));
+    let words = format!("the name n1 is already used by the process at {}", rig.relay_address(1));
     assert!(said.contains(&words), "{said}");
     assert_eq!(FleetView::fetch(rig.node(0)).unwrap().view_digest, before.view_digest);
     rig.wait_until_settled("unshaken", SOON);
@@ -308,9 +308,12 @@
     let renamed =
         file.replace("node = \"n0\"", "node = \"n9\"").replace("deadline = \"8s\"", "deadline = \"9s\"");
     for (k, (text, key)) in [
-        (renamed, "`fleet.node` changes"),
-        (file.replace("name = \"rig\"", "name = \"other\""), "`fleet.name` changes"),
-        (file.replace("127.0.0.1:0\"\nadvertise", "127.0.0.1:9\"\nadvertise"), "`fleet.listen` changes"),
+        (renamed, "`fleet.node` can only change with a restart"),
+        (file.replace("name = \"rig\"", "name = \"other\""), "`fleet.name` can only change with a restart"),
+        (
+            file.replace("127.0.0.1:0\"\nadvertise", "127.0.0.1:9\"\nadvertise"),
+            "`fleet.listen` can only change with a restart",
+        ),
         (file.replace(TIMES, &format!("{TIMES}\nkey_file = \"none\"")), "not reloaded"),
     ]
     .into_iter()
@@ -353,7 +356,7 @@
     };
     wait_until("the first is there", || other(|m| m.state == "alive"));
     let second = run();
-    second.wait_for_log("counts as number 1 of 2", 1);
+    second.wait_for_log("this node is number 1 of 2", 1);
     assert_eq!(second.call_operator("GET", "/-/fleet").unwrap().status(), 404, "the place is the first's");
     wait_until("it takes clients", || {
         second.call_operator("GET", "/-/ready").is_some_and(|m| m.status() == 200)
@@ -435,7 +438,7 @@
             site(&servers.addresses)
         );
         Node::start_with_log_observer(&text, move |line| {
-            if let Some((_, at)) = line.split_once("hears datagrams at ") {
+            if let Some((_, at)) = line.split_once("receives datagrams at ") {
                 heard.lock().unwrap().get_or_insert(at.parse().expect("an address"));
             }
         })
