--- a/crates/bench/benches/scale/main.rs
+++ b/crates/bench/benches/scale/main.rs
@@ -5,7 +5,7 @@
 //!     cargo bench -p corkhollow-bench --bench scale -- alone
 //!     cargo bench -p corkhollow-bench --bench scale -- checks --parts 0.25,1
 //!     cargo bench -p corkhollow-bench --bench scale -- members
-//!     cargo bench -p corkhollow-bench --bench scale -- write --part 0.1 > site.toml
+//!     cargo bench -p corkhollow-bench --bench scale -- write --part 0.1 > gateway.toml
 //!
 //! `--program NAME=PATH` measures a program that is already built; repeat it to compare several.
 
@@ -137,23 +137,23 @@
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
     let size = PlannedSize::parse(PlannedSize::FILE_TEXT)?;
-    let part = |part: &f64| (format!("{part}"), *part, size.counts(*part));
+    let size_of = |part: &f64| (format!("{part}"), *part, size.counts(*part));
     match Cli::parse().command {
-        Command::Parts(run) => run_measurements(&run, run.parts.iter().map(part).collect(), ""),
+        Command::Parts(run) => run_measurements(&run, run.parts.iter().map(size_of).collect(), ""),
         Command::Checks(run) => run_measurements(
             &run,
-            run.parts.iter().map(part).collect(),
+            run.parts.iter().map(size_of).collect(),
             "check = { path = \"/up\", every = \"2s\" }\n",
         ),
         Command::Alone(run) => {
-            let rest = run.parts.iter().copied().fold(f64::MAX, f64::min);
-            let sizes_of = |count: &Dimension| {
+            let base = run.parts.iter().copied().fold(f64::MAX, f64::min);
+            let sizes_of = |dimension: &Dimension| {
                 let sizes = run.parts.iter().map(|part| {
-                    (format!("{count:?} {part}"), *part, size.counts_with_one(rest, *count, *part))
+                    (format!("{dimension:?} {part}"), *part, size.counts_with_one(base, *dimension, *part))
                 });
                 sizes.collect::<Vec<_>>()
             };
-            Dimension::ALL.iter().try_for_each(|count| run_measurements(&run, sizes_of(count), ""))
+            Dimension::ALL.iter().try_for_each(|dimension| run_measurements(&run, sizes_of(dimension), ""))
         }
         Command::Members { nodes, processes, rest, part } => {
             build_program();
--- a/crates/laboratory/tests/admission.rs
+++ b/crates/laboratory/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Under overload the classes of least worth are refused first, and without overload nothing is refused.
+//! Under overload the classes of least worth are refused first; without overload almost nothing is refused.
 
 use corkhollow_balance::interface::Nanos;
 use corkhollow_laboratory::fleet::{safe_classes, Model, RequestCounts, Stream};
@@ -74,7 +74,7 @@
     assert!(after[1].in_time_fraction() > 0.97, "refused after the burst: {:?}", after[1]);
 }
 
-/// Requests are refused only while the load exceeds the capacity.
+/// Many requests are refused only while the load exceeds the capacity, and refusals end with the overload.
 #[test]
 fn requests_are_refused_only_under_overload() {
     let mut model = Model::new(safe_classes(&[1.0, 1.0], AIM / 2, AIM), 1, 20, 3).expect("valid settings");
