--- a/crates/corkhollow/tests/size.rs
+++ b/crates/corkhollow/tests/size.rs
@@ -1,42 +1,42 @@
-//! Large messages on the platform: far more of them than there is memory, and what else happens meanwhile.
+//! Large request bodies on the platform, together larger than the memory limit.
 
 use corkhollow_test_support::*;
 use std::io::Write;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering::SeqCst};
 use std::time::{Duration, Instant};
 
-fn echo(count: usize) -> Servers {
+fn servers_answering_the_body_length(count: usize) -> Servers {
     Servers::new(count, |_, m| Reply::Send(response("200 OK", "", m.body.len().to_string().as_bytes())))
 }
 
-/// 200 uploads at once that together are four times the memory limit, each on its way until all are: every one has its
-/// answer, short requests are served beside them, and the memory limit holds.
+/// 200 concurrent uploads, all in flight at once: each is answered, short requests are served meanwhile, and
+/// the memory limit holds.
 #[test]
-fn two_hundred_uploads_leave_the_node_to_others() {
+fn uploads_of_four_times_the_memory_limit_are_answered_and_do_not_block_short_requests() {
     const UPLOADS: usize = 200;
-    const LENGTH: usize = 1 << 20;
-    let servers = echo(8);
+    const UPLOAD_BYTES: usize = 1 << 20;
+    let servers = servers_answering_the_body_length(8);
     let discovery = Discovery::new(vec![servers.list_json(1)], true);
     let node = Node::start(discovery.address, &NodeOptions { memory_mb: 48, ..NodeOptions::default() });
     node.wait_until_ready();
-    let (under_way, go_on) = (AtomicUsize::new(0), AtomicBool::new(false));
+    let (started, resume) = (AtomicUsize::new(0), AtomicBool::new(false));
     let (served, refused) = (AtomicUsize::new(0), AtomicUsize::new(0));
     std::thread::scope(|scope| {
         for _ in 0..UPLOADS {
             scope.spawn(|| {
                 let mut client = node.connect();
-                let bytes = post_request("/once/1", &vec![b'x'; LENGTH]);
-                let (first, rest) = bytes.split_at(LENGTH / 8);
-                let sent = client.write_all(first);
-                under_way.fetch_add(1, SeqCst);
-                while !go_on.load(SeqCst) {
+                let bytes = post_request("/once/1", &vec![b'x'; UPLOAD_BYTES]);
+                let (beginning, rest) = bytes.split_at(UPLOAD_BYTES / 8);
+                let sent = client.write_all(beginning);
+                started.fetch_add(1, SeqCst);
+                while !resume.load(SeqCst) {
                     std::thread::sleep(Duration::from_millis(20));
                 }
                 let _ = sent.and_then(|()| client.write_all(rest));
-                let answer = read_message(&mut client).expect("an upload has no answer");
+                let answer = read_message(&mut client).expect("an upload got no answer");
                 match answer.status() {
                     200 => {
-                        assert_eq!(answer.body, LENGTH.to_string().into_bytes());
+                        assert_eq!(answer.body, UPLOAD_BYTES.to_string().into_bytes());
                         served.fetch_add(1, SeqCst);
                     }
                     status => {
@@ -46,33 +46,33 @@
                 }
             });
         }
-        wait_until("all are under way", || under_way.load(SeqCst) == UPLOADS);
+        wait_until("all uploads have started", || started.load(SeqCst) == UPLOADS);
         for k in 0..50 {
             assert_eq!(node.get("/safe/1", "").unwrap().status(), 200, "short request {k}");
         }
-        go_on.store(true, SeqCst);
+        resume.store(true, SeqCst);
     });
     let (served, refused) = (served.load(SeqCst), refused.load(SeqCst));
     assert_eq!(served + refused, UPLOADS);
     assert!(served > UPLOADS / 4, "{served} served, {refused} refused");
-    assert!(node.peak_resident_bytes() < 48 << 20, "{} bytes at most", node.peak_resident_bytes());
-    wait_until("all is given back", || node.metric("gw_body_bytes") == Some(0.0));
+    assert!(node.peak_resident_bytes() < 48 << 20, "{} bytes resident", node.peak_resident_bytes());
+    wait_until("the memory of all bodies is released", || node.metric("gw_body_bytes") == Some(0.0));
 }
 
-/// A drain lets an upload that is under way come to its end, and ends its connection behind the answer.
+/// The upload is completed and answered, and its connection closed.
 #[test]
-fn a_drain_waits_for_an_upload() {
-    let servers = echo(1);
+fn a_drain_waits_for_an_upload_in_flight() {
+    let servers = servers_answering_the_body_length(1);
     let (node, _discovery) = Node::start_with_servers(&servers);
     let mut client = node.connect();
     let bytes = post_request("/once/1", &vec![b'x'; 8 << 20]);
-    let (first, rest) = bytes.split_at(3 << 20);
-    client.write_all(first).unwrap();
-    wait_until("its beginning is there", || node.metric("gw_client_connections") == Some(1.0));
+    let (beginning, rest) = bytes.split_at(3 << 20);
+    client.write_all(beginning).unwrap();
+    wait_until("the client is connected", || node.metric("gw_client_connections") == Some(1.0));
     assert_eq!(node.call_operator("POST", "/-/drain").unwrap().status(), 200);
-    // Longer than idle connections are let be.
-    let told = Instant::now();
-    while told.elapsed() < Duration::from_millis(900) {
+    // Longer than idle connections are kept open in a drain.
+    let drained_at = Instant::now();
+    while drained_at.elapsed() < Duration::from_millis(900) {
         assert_eq!(node.get("/up", "").map(|m| m.status()), Some(503));
         std::thread::sleep(Duration::from_millis(50));
     }
@@ -82,12 +82,12 @@
     assert_eq!(answer.body, (8 << 20).to_string().into_bytes());
 }
 
-/// What the program itself turns down behind a long body reaches a client that sends all of it first.
+/// The node reads on, so that the connection is not reset before the client reads the answer.
 #[test]
-fn a_long_body_that_nobody_takes_is_answered() {
-    let servers = echo(1);
+fn an_error_answer_reaches_a_client_that_sends_its_long_body_first() {
+    let servers = servers_answering_the_body_length(1);
     let (node, _discovery) = Node::start_with_servers(&servers);
-    let answer = node.post("/nowhere/1", &vec![b'x'; 6 << 20]).expect("the answer is lost");
+    let answer = node.post("/nowhere/1", &vec![b'x'; 6 << 20]).expect("the client got no answer");
     assert_eq!((answer.status(), answer.header("connection")), (404, Some("close")));
     assert_eq!(servers.request_count(), 0);
 }
--- a/crates/corkhollow/tests/unread.rs
+++ b/crates/corkhollow/tests/unread.rs
@@ -5,21 +5,21 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
-/// The answer that a client reads slowly, in bytes: it takes far longer than an answer may stand still.
-const SLOWLY: usize = 8_000_000;
+/// Large enough that reading it slowly takes far longer than the stall timeout.
+const SLOW_ANSWER_BYTES: usize = 8_000_000;
 
-/// A client whose kernel takes little before it is read.
-fn connect_with_little_room(address: SocketAddr) -> TcpStream {
+/// Connects a client whose kernel buffers little of an unread answer.
+fn connect_with_small_receive_buffer(address: SocketAddr) -> TcpStream {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
     socket.set_recv_buffer_size(4_096).unwrap();
     socket.connect(&address.into()).unwrap();
     socket.into()
 }
 
-/// Whatever part of its answer a client leaves unread, and whether or not the process has begun to write the rest: it is let go when
-/// nothing has moved for the time that the settings give. One that reads slowly gets all of it.
+/// A client is disconnected after the stall timeout whatever part of its answer is unread, also where all of it
+/// is written already. A client that reads slowly gets its whole answer.
 #[test]
-fn clients_that_do_not_read_their_answers_are_let_go() {
+fn clients_that_do_not_read_their_answers_are_disconnected() {
     let servers = Servers::new(1, |_, message| {
         let size = message.header("x-size").and_then(|size| size.parse().ok()).unwrap_or(0);
         Reply::Send(response("200 OK", "", &vec![b'x'; size]))
@@ -30,37 +30,42 @@
          servers = [{{ address = \"{}\" }}]\n[[route]]\nname = \"all\"\npool = \"main\"\n",
         servers.addresses[0]
     ));
-    let ask = |size: usize| {
-        let mut client = connect_with_little_room(node.address);
+    let request_answer_of = |size: usize| {
+        let mut client = connect_with_small_receive_buffer(node.address);
         client.write_all(&get_request("/", &format!("X-Size: {size}\r\n"))).unwrap();
         client
     };
     let sizes = (1..120).map(|k| k * 30_000);
-    let unread: Vec<_> = sizes.map(ask).collect();
-    // The kernel reports room when about a third of its buffer is free: at this rate that is far less than the stall timeout.
+    let unread: Vec<_> = sizes.map(request_answer_of).collect();
+    // The kernel reports a socket writable when about a third of its buffer is free; at this rate that takes far less
+    // than the stall timeout.
     let mut slow = node.connect();
-    slow.write_all(&get_request("/", &format!("X-Size: {SLOWLY}\r\n"))).unwrap();
-    let reads = std::thread::spawn(move || {
-        let (mut bytes, mut read) = ([0; 32_768], 0);
+    slow.write_all(&get_request("/", &format!("X-Size: {SLOW_ANSWER_BYTES}\r\n"))).unwrap();
+    let slow_reader = std::thread::spawn(move || {
+        let (mut bytes, mut bytes_read) = ([0; 32_768], 0);
         while let Ok(count @ 1..) = slow.read(&mut bytes) {
-            read += count;
-            if read > SLOWLY {
+            bytes_read += count;
+            if bytes_read > SLOW_ANSWER_BYTES {
                 break;
             }
             std::thread::sleep(Duration::from_millis(20));
         }
-        read
+        bytes_read
     });
-    wait_until("they are connected", || {
+    wait_until("the clients are connected", || {
         node.metric("gw_client_connections").is_some_and(|open| open > 100.0)
     });
-    let held = || node.metric("gw_client_connections").unwrap_or(f64::MAX);
-    let begun = Instant::now();
-    while held() > 1.0 {
-        assert!(begun.elapsed() < Duration::from_secs(12), "{} that read nothing are held", held());
+    let open_connections = || node.metric("gw_client_connections").unwrap_or(f64::MAX);
+    let started = Instant::now();
+    while open_connections() > 1.0 {
+        assert!(
+            started.elapsed() < Duration::from_secs(12),
+            "{} connections are still open",
+            open_connections()
+        );
         std::thread::sleep(Duration::from_millis(50));
     }
-    let read = reads.join().unwrap();
-    assert!(read > SLOWLY, "the one that reads slowly has {read} bytes");
+    let bytes_read = slow_reader.join().unwrap();
+    assert!(bytes_read > SLOW_ANSWER_BYTES, "the slow client has read only {bytes_read} bytes");
     drop(unread);
 }
