--- a/crates/corkhollow/tests/soak.rs
+++ b/crates/corkhollow/tests/soak.rs
@@ -1,10 +1,10 @@
-//! The soak test at a size for CI: a few processes, a few seconds, a few seeds. More of all: `crates/soak`.
+//! A short soak test for CI. `crates/soak` has the program for longer ones.
 
 use corkhollow_soak::{run, Options};
 use std::time::Duration;
 
 #[test]
-fn no_rule_is_broken_under_faults_that_overlap() {
+fn no_rule_is_violated_under_overlapping_faults() {
     for seed in [1, 2] {
         let options = Options {
             seed,
