--- a/crates/corkhollow/tests/site/main.rs
+++ b/crates/corkhollow/tests/site/main.rs
@@ -1,5 +1,5 @@
-//! The program on an operator's file, before ordinary HTTP/1.1 servers: what passes, what is answered by itself, and
-//! what happens when either side misbehaves.
+//! The program with an operator's file, in front of HTTP/1.1 servers: forwarding, answers of its own, and invalid or
+//! hostile clients and servers.
 
 mod bodies;
 mod messages;
@@ -12,13 +12,14 @@
 use std::sync::{mpsc, Arc};
 use std::time::{Duration, Instant};
 
-fn server_list(dials: &[SocketAddr]) -> String {
-    dials.iter().map(|d| format!("{{ address = \"{d}\" }}, ")).collect()
+fn server_list(addresses: &[SocketAddr]) -> String {
+    addresses.iter().map(|address| format!("{{ address = \"{address}\" }}, ")).collect()
 }
 
-/// A site of one listener and one pool; `listener`, `pool` and `routes` are further lines.
-fn site(dials: &[SocketAddr], listener: &str, pool: &str, routes: &str) -> String {
-    let servers = server_list(dials);
+/// A file of one listener, one pool and a route to it; `listener`, `pool` and `routes` are inserted as further
+/// lines.
+fn config(addresses: &[SocketAddr], listener: &str, pool: &str, routes: &str) -> String {
+    let servers = server_list(addresses);
     format!(
         "[[listener]]\nname = \"web\"\naddress = \"127.0.0.1:0\"\n{listener}\n\
          [[pool]]\nname = \"boxes\"\nservers = [{servers}]\n{pool}\n{routes}\n\
@@ -26,12 +27,12 @@
     )
 }
 
-fn plain(dials: &[SocketAddr]) -> Node {
-    Node::start_with_operator_file(&site(dials, "", "", ""))
+fn start_with_default_config(addresses: &[SocketAddr]) -> Node {
+    Node::start_with_operator_file(&config(addresses, "", "", ""))
 }
 
-/// What comes back until the connection ends.
-fn whole(node: &Node, bytes: &[u8]) -> String {
+/// Sends these bytes and reads until the connection ends.
+fn send_and_read_to_end(node: &Node, bytes: &[u8]) -> String {
     let mut stream = node.connect();
     stream.write_all(bytes).unwrap();
     let mut out = Vec::new();
@@ -39,6 +40,7 @@
     String::from_utf8_lossy(&out).into_owned()
 }
 
-fn asked(request: &str) -> Vec<u8> {
-    format!("{request}\r\nHost: a.org\r\n\r\n").into_bytes()
+/// A request without a body, from its request line and any further header lines.
+fn request_bytes(head: &str) -> Vec<u8> {
+    format!("{head}\r\nHost: a.org\r\n\r\n").into_bytes()
 }
--- a/crates/corkhollow/tests/site/messages.rs
+++ b/crates/corkhollow/tests/site/messages.rs
@@ -1,14 +1,14 @@
-//! Heads, targets, routes and framing: what passes, and what is turned away.
+//! Header sections, request targets, routes and message framing: what is forwarded and what is rejected.
 
 use super::*;
 
 #[test]
-fn statuses_headers_and_bodies_pass() {
+fn statuses_end_to_end_headers_and_bodies_are_forwarded() {
     let servers = Servers::new(1, |_, m| {
         let status = m.head.split(' ').nth(1).unwrap().trim_start_matches('/').replace('_', " ");
         Reply::Send(response(&status, "X-Own: yes\r\nX-Two: 1\r\nX-Two: 2\r\nKeep-Alive: 5\r\n", &m.body))
     });
-    let node = plain(&servers.addresses);
+    let node = start_with_default_config(&servers.addresses);
     for (status, method) in
         [("200_OK", "GET"), ("201_Made", "PUT"), ("404_No", "GET"), ("418_Pot", "PATCH"), ("599_X", "DELETE")]
     {
@@ -31,9 +31,9 @@
     assert_eq!(servers.connection_count(), 1);
 }
 
-/// Answers without a body by definition keep the length that they announce.
+/// Answers that have no body by definition keep their Content-Length.
 #[test]
-fn answers_without_a_body_end_with_their_head() {
+fn answers_without_a_body_end_after_their_header() {
     let servers = Servers::new(1, |n, _| {
         Reply::Send(match n {
             0 => b"HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n".to_vec(),
@@ -42,37 +42,37 @@
             _ => response("200 OK", "", b"last"),
         })
     });
-    let node = plain(&servers.addresses);
-    let all = whole(
+    let node = start_with_default_config(&servers.addresses);
+    let answers = send_and_read_to_end(
         &node,
         b"HEAD / HTTP/1.1\r\nHost: a\r\n\r\nGET / HTTP/1.1\r\nHost: a\r\n\r\nGET / HTTP/1.1\r\nHost: a\r\n\r\n\
           GET / HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n",
     );
-    let heads: Vec<_> = all.split("\r\n\r\n").collect();
-    assert_eq!(heads.len(), 5, "four answers to four pipelined requests: {all}");
-    assert!(heads[0].starts_with("HTTP/1.1 200") && heads[0].contains("content-length: 5000"), "{all}");
-    assert!(heads[1].starts_with("HTTP/1.1 204") && !heads[1].contains("content-length"), "{all}");
-    assert!(heads[2].starts_with("HTTP/1.1 304") && heads[2].contains("etag: \"x\""), "{all}");
-    assert!(heads[3].starts_with("HTTP/1.1 200") && heads[4] == "last", "{all}");
-    assert_eq!(servers.connection_count(), 1, "each answer's end was found");
+    let parts: Vec<_> = answers.split("\r\n\r\n").collect();
+    assert_eq!(parts.len(), 5, "four answers to four pipelined requests: {answers}");
+    assert!(parts[0].starts_with("HTTP/1.1 200") && parts[0].contains("content-length: 5000"), "{answers}");
+    assert!(parts[1].starts_with("HTTP/1.1 204") && !parts[1].contains("content-length"), "{answers}");
+    assert!(parts[2].starts_with("HTTP/1.1 304") && parts[2].contains("etag: \"x\""), "{answers}");
+    assert!(parts[3].starts_with("HTTP/1.1 200") && parts[4] == "last", "{answers}");
+    assert_eq!(servers.connection_count(), 1, "the server connection was not reused");
 }
 
 #[test]
-fn targets_and_versions_are_read_as_the_rfc_has_them() {
+fn request_targets_and_versions_are_forwarded_or_rejected_as_the_rfc_requires() {
     let servers = Servers::new(1, |_, m| Reply::Send(response("200 OK", "", m.head.as_bytes())));
-    let node = plain(&servers.addresses);
+    let node = start_with_default_config(&servers.addresses);
     for (request, line, host) in [
         ("GET http://b.org:99/x?y HTTP/1.1\r\nHost: a.org\r\n", "GET /x?y HTTP/1.1", "b.org:99"),
         ("OPTIONS * HTTP/1.1\r\nHost: a.org\r\n", "OPTIONS * HTTP/1.1", "a.org"),
         ("GET /a/../b//c HTTP/1.1\r\nHost: a.org.\r\n", "GET /b/c HTTP/1.1", "a.org."),
         ("GET /x HTTP/1.0\r\nHost: a.org\r\n", "GET /x HTTP/1.1", "a.org"),
     ] {
-        let answer = whole(&node, format!("{request}Connection: close\r\n\r\n").as_bytes());
-        let (_, seen) = answer.split_once("\r\n\r\n").unwrap();
+        let answer = send_and_read_to_end(&node, format!("{request}Connection: close\r\n\r\n").as_bytes());
+        let (_, received) = answer.split_once("\r\n\r\n").unwrap();
         let host = format!("host: {host}\r\n");
-        assert!(seen.starts_with(line) && seen.to_lowercase().contains(&host), "{request}: {answer}");
+        assert!(received.starts_with(line) && received.to_lowercase().contains(&host), "{request}: {answer}");
     }
-    for (bad, status) in [
+    for (invalid, status) in [
         ("GET / HTTP/1.1\r\n\r\n", "400"),
         ("GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n", "400"),
         ("GET / HTTP/1.1\r\nHost: a b\r\n\r\n", "400"),
@@ -80,58 +80,56 @@
         ("CONNECT a.org:443 HTTP/1.1\r\nHost: a.org:443\r\n\r\n", "501"),
         ("GET / HTTP/1.1\r\nHost: a\r\nExpect: wonders\r\n\r\n", "417"),
     ] {
-        let answer = whole(&node, bad.as_bytes());
-        assert!(answer.starts_with(&format!("HTTP/1.1 {status}")), "{bad}: {answer}");
+        let answer = send_and_read_to_end(&node, invalid.as_bytes());
+        assert!(answer.starts_with(&format!("HTTP/1.1 {status}")), "{invalid}: {answer}");
     }
     assert_eq!(servers.request_count(), 4);
 }
 
-/// A server that takes a connection and reads nothing: the client's long body stands still, and has its answer when that has
-/// lasted too long.
+/// The server accepts the connection and reads nothing: the body stalls until the stall timeout.
 #[test]
-fn a_body_that_no_server_reads_is_answered() {
-    let deaf = spawn_raw_server(|stream| {
+fn a_request_body_that_no_server_reads_times_out_with_504() {
+    let stalled_server = spawn_raw_server(|stream| {
         std::thread::sleep(Duration::from_secs(30));
         drop(stream);
     });
     let pool =
         "[limits]\nstall_timeout = \"1s\"\n[[class]]\nname = \"all\"\neffect = \"unsafe\"\nmethods = [\"POST\"]\naim = \"200ms\"\ndeadline = \"500ms\"";
-    let node = Node::start_with_operator_file(&site(&[deaf], "", pool, ""));
+    let node = Node::start_with_operator_file(&config(&[stalled_server], "", pool, ""));
     let mut client = node.connect();
     write!(client, "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 64000000\r\n\r\n").unwrap();
     let mut sender = client.try_clone().unwrap();
     let sending = std::thread::spawn(move || sender.write_all(&vec![b'x'; 64_000_000]));
-    let begun = Instant::now();
+    let started = Instant::now();
     let answer = read_message(&mut client).expect("no answer");
     assert_eq!((answer.status(), answer.header("connection")), (504, Some("close")));
-    assert!(begun.elapsed() < Duration::from_secs(15), "{:?}", begun.elapsed());
+    assert!(started.elapsed() < Duration::from_secs(15), "{:?}", started.elapsed());
     drop(client);
     let _ = sending.join().unwrap();
 }
 
-/// A head over its limit is answered so, also where a connection reads more than that at once, and reaches no server.
+/// Also where more than the limit arrives in one read.
 #[test]
-fn a_head_over_its_limit_is_told_so() {
+fn a_request_header_over_its_limit_gets_431() {
     let servers = Servers::new(1, |_, _| ok_reply("fine"));
-    let node = plain(&servers.addresses);
-    let asks = |long| {
-        let value = "a".repeat(long);
+    let node = start_with_default_config(&servers.addresses);
+    let send_header_of = |bytes| {
+        let value = "a".repeat(bytes);
         node.send_raw(format!("GET / HTTP/1.1\r\nHost: a.org\r\nX-Long: {value}\r\n\r\n").as_bytes()).unwrap()
     };
-    assert_eq!(asks(15_000).status(), 200);
-    for long in [17_000, 30_000, 200_000] {
-        let answer = asks(long);
-        assert_eq!((answer.status(), answer.header("connection")), (431, Some("close")), "{long}");
+    assert_eq!(send_header_of(15_000).status(), 200);
+    for bytes in [17_000, 30_000, 200_000] {
+        let answer = send_header_of(bytes);
+        assert_eq!((answer.status(), answer.header("connection")), (431, Some("close")), "{bytes} bytes");
     }
     assert_eq!(servers.request_count(), 1);
 }
 
-/// No spelling of a host or a path leads round the route that is meant to take it.
 #[test]
-fn no_spelling_leads_round_a_route() {
+fn no_spelling_of_a_host_or_path_bypasses_a_route() {
     let servers = Servers::new(1, |_, _| ok_reply("open"));
     let routes = "[[route]]\nname = \"shut\"\nhosts = [\"a.org\"]\npath_prefix = \"/admin\"\nanswer = { status = 403 }";
-    let node = Node::start_with_operator_file(&site(&servers.addresses, "", "", routes));
+    let node = Node::start_with_operator_file(&config(&servers.addresses, "", "", routes));
     for (host, path, status) in [
         ("a.org", "/admin", 403),
         ("A.ORG", "/admin/x", 403),
@@ -156,7 +154,7 @@
 }
 
 #[test]
-fn routes_redirect_answer_rewrite_and_name_other_methods() {
+fn routes_redirect_answer_rewrite_and_list_allowed_methods() {
     let servers =
         Servers::new(1, |_, m| Reply::Send(response("200 OK", "X-Secret: 1\r\n", m.head.as_bytes())));
     let routes = r#"
@@ -184,59 +182,65 @@
 methods = ["PATCH"]
 answer = { status = 200 }
 "#;
-    let text = site(&servers.addresses, "", "", routes)
+    let text = config(&servers.addresses, "", "", routes)
         .replace("name = \"all\"\n", "name = \"all\"\npath = \"/all\"\n");
     let node = Node::start_with_operator_file(&text);
-    let moved = node.send_raw(&asked("GET /old?a=b HTTP/1.1")).unwrap();
+    let moved = node.send_raw(&request_bytes("GET /old?a=b HTTP/1.1")).unwrap();
     assert_eq!((moved.status(), moved.header("location")), (308, Some("https://a.org/new?a=b")));
-    let fixed = node.send_raw(&asked("GET /fixed HTTP/1.1")).unwrap();
+    let fixed = node.send_raw(&request_bytes("GET /fixed HTTP/1.1")).unwrap();
     assert_eq!(
         (fixed.status(), &fixed.body[..], fixed.header("content-type")),
         (418, &b"short"[..], Some("text/x"))
     );
-    let other = node.send_raw(&asked("DELETE /fixed HTTP/1.1")).unwrap();
-    assert_eq!((other.status(), other.header("allow")), (405, Some("GET, PUT, PATCH")));
-    assert_eq!(node.send_raw(&asked("GET /nowhere HTTP/1.1")).unwrap().status(), 404);
+    let not_allowed = node.send_raw(&request_bytes("DELETE /fixed HTTP/1.1")).unwrap();
+    assert_eq!((not_allowed.status(), not_allowed.header("allow")), (405, Some("GET, PUT, PATCH")));
+    assert_eq!(node.send_raw(&request_bytes("GET /nowhere HTTP/1.1")).unwrap().status(), 404);
     let request = "GET /api/x?q HTTP/1.1\r\nHost: a.org\r\nCookie: c\r\nX-Set: old\r\nX-Add: old\r\n\r\n";
-    let written = node.send_raw(request.as_bytes()).unwrap();
-    let seen = String::from_utf8(written.body.clone()).unwrap();
-    assert!(seen.starts_with("GET /v2/x?q HTTP/1.1"), "{seen}");
+    let rewritten = node.send_raw(request.as_bytes()).unwrap();
+    let received = String::from_utf8(rewritten.body.clone()).unwrap();
+    assert!(received.starts_with("GET /v2/x?q HTTP/1.1"), "{received}");
     assert!(
-        seen.contains("host: inner\r\n") && seen.contains("x-set: new\r\n") && !seen.contains("cookie"),
-        "{seen}"
+        received.contains("host: inner\r\n")
+            && received.contains("x-set: new\r\n")
+            && !received.contains("cookie"),
+        "{received}"
     );
-    assert_eq!(seen.matches("x-add: ").count(), 2, "{seen}");
-    assert_eq!((written.header("x-secret"), written.header("x-by")), (None, Some("corkhollow")));
+    assert_eq!(received.matches("x-add: ").count(), 2, "{received}");
+    assert_eq!((rewritten.header("x-secret"), rewritten.header("x-by")), (None, Some("corkhollow")));
 }
 
 #[test]
-fn servers_are_told_of_the_client_by_setting() {
+fn forwarding_headers_are_added_as_the_listener_is_configured() {
     let servers =
         Servers::new(1, |_, m| Reply::Send(response("200 OK", "Via: 1.0 inner\r\n", m.head.as_bytes())));
     let request = b"GET / HTTP/1.1\r\nHost: a.org\r\nX-Forwarded-For: 9.9.9.9\r\nForwarded: for=9.9.9.9\r\n\
                     X-Request-ID: mine\r\nVia: 1.1 first\r\n\r\n";
-    for (trust, for_) in [("false", "127.0.0.1"), ("true", "9.9.9.9, 127.0.0.1")] {
+    for (trust, forwarded_for) in [("false", "127.0.0.1"), ("true", "9.9.9.9, 127.0.0.1")] {
         let listener = format!("via = \"edge\"\nforwarded = \"both\"\ntrust_forwarded = {trust}");
-        let node = Node::start_with_operator_file(&site(&servers.addresses, &listener, "", ""));
+        let node = Node::start_with_operator_file(&config(&servers.addresses, &listener, "", ""));
         let answer = node.send_raw(request).unwrap();
-        let seen = String::from_utf8(answer.body.clone()).unwrap();
-        assert!(seen.contains(&format!("x-forwarded-for: {for_}\r\n")), "{seen}");
+        let received = String::from_utf8(answer.body.clone()).unwrap();
+        assert!(received.contains(&format!("x-forwarded-for: {forwarded_for}\r\n")), "{received}");
         assert!(
-            seen.contains("x-forwarded-host: a.org\r\n") && seen.contains("x-forwarded-proto: http\r\n"),
-            "{seen}"
+            received.contains("x-forwarded-host: a.org\r\n")
+                && received.contains("x-forwarded-proto: http\r\n"),
+            "{received}"
+        );
+        assert!(received.contains("for=127.0.0.1;host=\"a.org\";proto=http\r\n"), "{received}");
+        assert!(received.contains("x-request-id: mine\r\n"), "{received}");
+        assert!(
+            received.contains("via: 1.1 first\r\n") && received.contains("via: 1.1 edge\r\n"),
+            "{received}"
         );
-        assert!(seen.contains("for=127.0.0.1;host=\"a.org\";proto=http\r\n"), "{seen}");
-        assert!(seen.contains("x-request-id: mine\r\n"), "{seen}");
-        assert!(seen.contains("via: 1.1 first\r\n") && seen.contains("via: 1.1 edge\r\n"), "{seen}");
         assert!(answer.head.contains("via: 1.0 inner\r\n") && answer.head.contains("via: 1.1 edge\r\n"));
     }
 }
 
-/// A body that passes as it comes takes no memory to speak of, either way, and arrives whole.
+/// Streamed bodies arrive complete in either direction.
 #[test]
-fn long_bodies_pass_in_constant_memory() {
-    const LONG: u64 = 200_000_000;
-    let dial = spawn_raw_server(|mut stream| {
+fn long_bodies_are_streamed_in_constant_memory() {
+    const BODY_BYTES: u64 = 200_000_000;
+    let server = spawn_raw_server(|mut stream| {
         let mut head = Vec::new();
         let mut byte = [0];
         while !head.ends_with(b"\r\n\r\n") {
@@ -245,81 +249,84 @@
             }
             head.push(byte[0]);
         }
-        let up = head.starts_with(b"PUT");
-        if up {
-            let taken = std::io::copy(&mut (&stream).take(LONG), &mut std::io::sink()).unwrap();
-            let _ = stream.write_all(&response("200 OK", "", taken.to_string().as_bytes()));
+        let is_upload = head.starts_with(b"PUT");
+        if is_upload {
+            let received = std::io::copy(&mut (&stream).take(BODY_BYTES), &mut std::io::sink()).unwrap();
+            let _ = stream.write_all(&response("200 OK", "", received.to_string().as_bytes()));
         } else {
-            let _ = write!(stream, "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: {LONG}\r\n\r\n");
+            let _ = write!(
+                stream,
+                "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: {BODY_BYTES}\r\n\r\n"
+            );
             let chunk = vec![b'x'; 1 << 16];
-            let mut left = LONG;
+            let mut left = BODY_BYTES;
             while left > 0 {
-                let n = left.min(chunk.len() as u64) as usize;
-                if stream.write_all(&chunk[..n]).is_err() {
+                let count = left.min(chunk.len() as u64) as usize;
+                if stream.write_all(&chunk[..count]).is_err() {
                     return;
                 }
-                left -= n as u64;
+                left -= count as u64;
             }
         }
     });
-    let node = plain(&[dial]);
-    node.send_raw(&asked("GET / HTTP/1.1\r\nX: warm")).unwrap();
+    let node = start_with_default_config(&[server]);
+    node.send_raw(&request_bytes("GET / HTTP/1.1\r\nX: warm")).unwrap();
     let before = node.resident_bytes();
     let mut client = node.connect();
-    client.write_all(&asked("GET /down HTTP/1.1")).unwrap();
-    let mut most = before;
-    let (mut taken, mut chunk) = (0, vec![0; 1 << 20]);
-    while taken < LONG {
-        let n = client.read(&mut chunk).unwrap();
-        assert!(n > 0, "cut after {taken}");
-        taken += n as u64;
-        most = most.max(node.resident_bytes());
+    client.write_all(&request_bytes("GET /down HTTP/1.1")).unwrap();
+    let mut peak = before;
+    let (mut received, mut chunk) = (0, vec![0; 1 << 20]);
+    while received < BODY_BYTES {
+        let count = client.read(&mut chunk).unwrap();
+        assert!(count > 0, "truncated after {received} bytes");
+        received += count as u64;
+        peak = peak.max(node.resident_bytes());
     }
     let mut client = node.connect();
-    write!(client, "PUT /up HTTP/1.1\r\nHost: a\r\nContent-Length: {LONG}\r\n\r\n").unwrap();
+    write!(client, "PUT /up HTTP/1.1\r\nHost: a\r\nContent-Length: {BODY_BYTES}\r\n\r\n").unwrap();
     let chunk = vec![b'y'; 1_000_000];
-    for _ in 0..LONG / 1_000_000 {
+    for _ in 0..BODY_BYTES / 1_000_000 {
         client.write_all(&chunk).unwrap();
-        most = most.max(node.resident_bytes());
+        peak = peak.max(node.resident_bytes());
     }
     let answer = read_message(&mut client).unwrap();
-    assert_eq!((answer.status(), &answer.body[..]), (200, LONG.to_string().as_bytes()));
-    assert!(most - before < 8_000_000, "{} bytes more", most - before);
+    assert_eq!((answer.status(), &answer.body[..]), (200, BODY_BYTES.to_string().as_bytes()));
+    assert!(peak - before < 8_000_000, "memory grew by {} bytes", peak - before);
 }
 
-/// A client that reads slowly holds its server up, and not the program's memory.
+/// Backpressure: the answer must not be buffered in the program.
 #[test]
-fn a_slow_reader_holds_its_server_back() {
+fn a_client_that_reads_slowly_slows_its_server_down() {
     let sent = Arc::new(AtomicUsize::new(0));
-    let let_go = Arc::new(AtomicUsize::new(0));
-    let (counted, ended) = (sent.clone(), let_go.clone());
-    let dial = spawn_raw_server(move |mut stream| {
+    let closed = Arc::new(AtomicUsize::new(0));
+    let (server_sent, server_closed) = (sent.clone(), closed.clone());
+    let server = spawn_raw_server(move |mut stream| {
         let _ = read_message(&mut stream);
         let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 500000000\r\n\r\n");
         while stream.write_all(&[b'x'; 100_000]).is_ok() {
-            counted.fetch_add(100_000, SeqCst);
+            server_sent.fetch_add(100_000, SeqCst);
         }
-        ended.fetch_add(1, SeqCst);
+        server_closed.fetch_add(1, SeqCst);
     });
-    let node = plain(&[dial]);
+    let node = start_with_default_config(&[server]);
     let mut client = node.connect();
-    client.write_all(&asked("GET / HTTP/1.1")).unwrap();
-    let mut first = [0; 1000];
-    client.read_exact(&mut first).unwrap();
+    client.write_all(&request_bytes("GET / HTTP/1.1")).unwrap();
+    let mut first_bytes = [0; 1000];
+    client.read_exact(&mut first_bytes).unwrap();
     let before = AtomicUsize::new(0);
-    wait_until("the server is held back", || {
+    wait_until("the server can send no more", || {
         let now = sent.load(SeqCst);
-        let stands = now > 0 && now == before.swap(now, SeqCst);
+        let is_stalled = now > 0 && now == before.swap(now, SeqCst);
         std::thread::sleep(Duration::from_millis(200));
-        stands
+        is_stalled
     });
-    assert!(sent.load(SeqCst) < 100_000_000, "{}", sent.load(SeqCst));
+    assert!(sent.load(SeqCst) < 100_000_000, "the server sent {} bytes", sent.load(SeqCst));
     drop(client);
-    wait_until("the server is let go", || let_go.load(SeqCst) == 1);
+    wait_until("the server connection is closed", || closed.load(SeqCst) == 1);
 }
 
 #[test]
-fn chunked_bodies_and_trailers_pass() {
+fn chunked_bodies_and_trailers_are_forwarded() {
     let servers = Servers::new(1, |_, m| {
         let body = format!("{} {}", m.header("transfer-encoding").unwrap_or("-"), m.body.len());
         let chunked = format!(
@@ -328,24 +335,27 @@
         );
         Reply::Send(chunked.into_bytes())
     });
-    let node = plain(&servers.addresses);
-    let request = |body: usize| {
+    let node = start_with_default_config(&servers.addresses);
+    let chunked_request = |body: usize| {
         let chunk = format!("{:x}\r\n{}\r\n", body, "x".repeat(body));
         format!("POST / HTTP/1.1\r\nHost: a\r\nConnection: close\r\nTE: trailers\r\nTransfer-Encoding: chunked\r\n\r\n{chunk}0\r\n\r\n")
     };
-    // Short enough to be kept, and so sent with a length; and too long for that.
-    for (length, seen) in [(1000, "- 1000"), (100_000, "chunked 100000")] {
-        let answer = whole(&node, request(length).as_bytes());
-        assert!(answer.contains(seen) && answer.to_lowercase().contains("x-sum: 7"), "{length}: {answer}");
+    // A short body is buffered and sent with a length, a longer one is streamed in chunks.
+    for (length, expected) in [(1000, "- 1000"), (100_000, "chunked 100000")] {
+        let answer = send_and_read_to_end(&node, chunked_request(length).as_bytes());
+        assert!(
+            answer.contains(expected) && answer.to_lowercase().contains("x-sum: 7"),
+            "{length}: {answer}"
+        );
     }
 }
 
-/// A connection goes on behind a chunked body, as long as its head was seen as it came: behind another request in one
-/// piece a length beside the coding could not be noticed, and what it hides is not read.
+/// A request with both a length and a chunked body is only noticed if its header is read on its own. Where it
+/// is pipelined behind another request, neither it nor what follows may be read.
 #[test]
-fn a_connection_goes_on_behind_a_chunked_body() {
+fn a_connection_is_reused_after_a_chunked_body_but_not_after_an_ambiguous_request() {
     let servers = Servers::new(1, |_, m| ok_reply(&m.body.len().to_string()));
-    let node = plain(&servers.addresses);
+    let node = start_with_default_config(&servers.addresses);
     let chunked = "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n";
     let mut stream = node.connect();
     for k in 0..3 {
@@ -354,32 +364,32 @@
         assert_eq!((answer.status(), &answer.body[..]), (200, &b"3"[..]), "request {k}");
         assert_eq!(answer.header("connection"), None, "request {k}");
     }
-    let both = chunked.replace("chunked\r\n\r\n", "chunked\r\nContent-Length: 4\r\n\r\n");
+    let ambiguous = chunked.replace("chunked\r\n\r\n", "chunked\r\nContent-Length: 4\r\n\r\n");
     let hidden = "GET /hidden HTTP/1.1\r\nHost: a\r\n\r\n";
-    let before = "GET / HTTP/1.1\r\nHost: a\r\n\r\n";
-    // Cut so that what comes later looks like a head of its own.
-    let (start, end) = both.split_at(both.find("Host").unwrap());
+    let preceding = "GET / HTTP/1.1\r\nHost: a\r\n\r\n";
+    // Split so that the second part looks like a header section of its own.
+    let (start, end) = ambiguous.split_at(ambiguous.find("Host").unwrap());
     for (first, rest) in [
-        (format!("{before}{both}{hidden}"), String::new()),
-        (format!("{before}{start}"), format!("{end}{hidden}")),
+        (format!("{preceding}{ambiguous}{hidden}"), String::new()),
+        (format!("{preceding}{start}"), format!("{end}{hidden}")),
     ] {
         let mut stream = node.connect();
         stream.write_all(first.as_bytes()).unwrap();
         assert_eq!(read_message(&mut stream).unwrap().status(), 200);
         stream.write_all(rest.as_bytes()).unwrap();
-        let mut all = String::new();
-        let _ = stream.read_to_string(&mut all);
-        assert_eq!(all.matches("HTTP/1.1 ").count(), 1, "{all}");
+        let mut answers = String::new();
+        let _ = stream.read_to_string(&mut answers);
+        assert_eq!(answers.matches("HTTP/1.1 ").count(), 1, "{answers}");
     }
-    let heads = servers.requests.lock().unwrap();
-    assert!(heads.iter().all(|m| !m.head.contains("hidden")), "{heads:?}");
+    let requests = servers.requests.lock().unwrap();
+    assert!(requests.iter().all(|m| !m.head.contains("hidden")), "{requests:?}");
 }
 
-/// Each is turned away with nothing passed on, and nothing behind it is read.
+/// Guards against request smuggling.
 #[test]
-fn smuggled_requests_go_nowhere() {
+fn ambiguous_and_malformed_requests_are_rejected_and_nothing_behind_them_is_read() {
     let servers = Servers::new(1, |_, _| ok_reply("fine"));
-    let node = plain(&servers.addresses);
+    let node = start_with_default_config(&servers.addresses);
     let hidden = "GET /hidden HTTP/1.1\r\nHost: a\r\n\r\n";
     let post =
         |headers: &str, body: &str| format!("POST / HTTP/1.1\r\nHost: a\r\n{headers}\r\n\r\n{body}{hidden}");
@@ -411,7 +421,7 @@
     .iter()
     .enumerate()
     {
-        let answer = whole(&node, bytes.as_bytes());
+        let answer = send_and_read_to_end(&node, bytes.as_bytes());
         assert!(answer.starts_with("HTTP/1.1 4") || answer.is_empty(), "case {k}: {bytes:?}\n{answer}");
         assert_eq!(answer.matches("HTTP/1.1 ").count(), answer.len().min(1), "case {k}: {answer}");
     }
@@ -421,36 +431,37 @@
         "{:?}",
         servers.requests.lock().unwrap().iter().map(|m| &m.head).collect::<Vec<_>>()
     );
-    assert_eq!(node.send_raw(&asked("GET / HTTP/1.1")).unwrap().status(), 200);
+    assert_eq!(node.send_raw(&request_bytes("GET / HTTP/1.1")).unwrap().status(), 200);
 }
 
-/// What a server puts behind its answer, or hides in it, is never the next client's answer.
+/// Guards against response splitting: bytes behind or within an invalid answer must not be taken for the answer
+/// to the next request.
 #[test]
-fn a_spoilt_answer_never_reaches_the_next_client() {
-    let evil = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nevil";
-    for (k, spoilt) in [
-        format!("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok{evil}"),
-        format!("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n{evil}"),
-        format!("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 60\r\n\r\nok{evil}"),
-        format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nok\r\n0\r\n\r\n{evil}"),
-        format!("HTTP/1.1 204 No Content\r\n\r\n{evil}"),
-        format!("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok\r\n{evil}"),
-        format!("HTTP/1.1 200 OK\r\nX: a\0b\r\nContent-Length: 2\r\n\r\nok{evil}"),
+fn surplus_bytes_of_a_server_never_reach_another_client() {
+    let injected = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nevil";
+    for (k, invalid) in [
+        format!("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok{injected}"),
+        format!("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nok\r\n0\r\n\r\n{injected}"),
+        format!("HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 60\r\n\r\nok{injected}"),
+        format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nok\r\n0\r\n\r\n{injected}"),
+        format!("HTTP/1.1 204 No Content\r\n\r\n{injected}"),
+        format!("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok\r\n{injected}"),
+        format!("HTTP/1.1 200 OK\r\nX: a\0b\r\nContent-Length: 2\r\n\r\nok{injected}"),
     ]
     .into_iter()
     .enumerate()
     {
         let servers = Servers::new(1, move |_, m| match m.head.contains("/bad") {
-            true => Reply::Send(spoilt.clone().into_bytes()),
+            true => Reply::Send(invalid.clone().into_bytes()),
             false => ok_reply("good"),
         });
-        let node = plain(&servers.addresses);
+        let node = start_with_default_config(&servers.addresses);
         let mut client = node.connect();
         client.write_all(b"POST /bad HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n").unwrap();
-        // What becomes of the spoilt one itself is its client's to see; the next must get its own.
+        // Any outcome will do for the invalid answer itself.
         let _ = read_message(&mut client);
         wait_until("the next client is served", || {
-            node.send_raw(&asked("GET /good HTTP/1.1")).is_some_and(|m| {
+            node.send_raw(&request_bytes("GET /good HTTP/1.1")).is_some_and(|m| {
                 assert!(m.status() != 200 || m.body == b"good", "case {k}: {:?}", String::from_utf8_lossy(&m.body));
                 m.status() == 200
             })
--- a/crates/corkhollow/tests/site/pools.rs
+++ b/crates/corkhollow/tests/site/pools.rs
@@ -1,11 +1,11 @@
-//! Pools: attempts, refusals, backups, caps, drains, reloads and the program's end.
+//! Pools: attempts, refusals, backup servers, connection limits, drains, reloads and shutdown.
 
 use super::*;
 
-/// What a class permits, it gets; a body that is not kept is sent once.
+/// Requests of a safe class are retried, unless their body is too long to be buffered.
 #[test]
-fn attempts_follow_the_class_and_the_body() {
-    for (method, body, status, runs) in
+fn attempts_depend_on_the_class_and_on_whether_the_body_is_buffered() {
+    for (method, body_bytes, status, attempts) in
         [("GET", 0, 200, 2), ("PUT", 10, 200, 2), ("POST", 10, 503, 1), ("PUT", 100_000, 503, 1)]
     {
         let servers = Servers::new(2, |n, _| match n {
@@ -13,51 +13,59 @@
             _ => ok_reply("fine"),
         });
         let classes = "[[class]]\nname = \"again\"\neffect = \"safe\"\nmethods = [\"GET\", \"PUT\"]";
-        let node = Node::start_with_operator_file(&site(&servers.addresses, "", "", classes));
+        let node = Node::start_with_operator_file(&config(&servers.addresses, "", "", classes));
         let mut request =
-            format!("{method} / HTTP/1.1\r\nHost: a\r\nContent-Length: {body}\r\n\r\n").into_bytes();
-        request.resize(request.len() + body, b'x');
+            format!("{method} / HTTP/1.1\r\nHost: a\r\nContent-Length: {body_bytes}\r\n\r\n").into_bytes();
+        request.resize(request.len() + body_bytes, b'x');
         let answer = node.send_raw(&request).unwrap();
-        let whose = answer.header("x-whose");
-        assert_eq!((answer.status(), servers.request_count()), (status, runs), "{method} of {body}");
-        assert_eq!(whose.is_some(), status == 503, "the server's own answer passes: {answer:?}");
+        let server_mark = answer.header("x-whose");
+        assert_eq!(
+            (answer.status(), servers.request_count()),
+            (status, attempts),
+            "{method} of {body_bytes} bytes"
+        );
+        assert_eq!(server_mark.is_some(), status == 503, "the final 503 must be the server's: {answer:?}");
     }
 }
 
-/// Given up means answered, at once, with the reason and when to come back.
+/// A refusal also has a Retry-After header.
 #[test]
-fn what_is_given_up_is_answered_at_once() {
+fn a_failed_request_is_answered_at_once_with_its_reason() {
     let reason = |answer: &Message| {
         let text = String::from_utf8(answer.body.clone()).unwrap();
         assert_eq!(answer.header("content-type"), Some("application/problem+json"), "{text}");
         let value: String = text.split("\"reason\":\"").nth(1).unwrap().split('"').next().unwrap().into();
         value
     };
-    let at_once = |node: &Node, request: &str, status: u16, why: &str| {
+    let assert_failure = |node: &Node, request: &str, status: u16, expected_reason: &str| {
         let start = Instant::now();
-        let answer = node.send_raw(&asked(request)).unwrap();
-        assert_eq!((answer.status(), reason(&answer).as_str()), (status, why), "{request}");
+        let answer = node.send_raw(&request_bytes(request)).unwrap();
+        assert_eq!((answer.status(), reason(&answer).as_str()), (status, expected_reason), "{request}");
         assert!(start.elapsed() < Duration::from_secs(2), "{request}: {:?}", start.elapsed());
         answer
     };
-    let refused = at_once(&plain(&[]), "GET / HTTP/1.1", 503, "refused");
+    let refused = assert_failure(&start_with_default_config(&[]), "GET / HTTP/1.1", 503, "refused");
     assert!(refused.header("retry-after").unwrap().parse::<u64>().unwrap() >= 1);
-    at_once(&plain(&[refusing_address(), refusing_address()]), "POST / HTTP/1.1", 503, "refused");
+    assert_failure(
+        &start_with_default_config(&[refusing_address(), refusing_address()]),
+        "POST / HTTP/1.1",
+        503,
+        "refused",
+    );
     let reset = Servers::new(2, |_, _| Reply::Reset);
-    at_once(&plain(&reset.addresses), "POST / HTTP/1.1", 502, "failed");
+    assert_failure(&start_with_default_config(&reset.addresses), "POST / HTTP/1.1", 502, "failed");
     assert_eq!(reset.request_count(), 1);
     let silent = Servers::new(2, |_, _| Reply::NoAnswer);
     let class = "[[class]]\nname = \"write\"\neffect = \"unsafe\"\naim = \"300ms\"\ndeadline = \"400ms\"";
-    let node = Node::start_with_operator_file(&site(&silent.addresses, "", "", class));
-    at_once(&node, "POST / HTTP/1.1", 504, "late");
+    let node = Node::start_with_operator_file(&config(&silent.addresses, "", "", class));
+    assert_failure(&node, "POST / HTTP/1.1", 504, "late");
     assert_eq!(silent.request_count(), 1);
 }
 
-/// Who reads the log knows servers by their names.
 #[test]
-fn the_log_names_servers() {
-    let bad = Servers::new(1, |_, _| Reply::Send(response("503 Busy", "", b"")));
-    // The pause after the first failure goes by the longest deadline of all classes.
+fn the_log_names_an_ejected_server() {
+    let failing = Servers::new(1, |_, _| Reply::Send(response("503 Busy", "", b"")));
+    // The first ejection lasts for a time derived from the longest deadline of all classes.
     let class = |name: &str| {
         format!("[[class]]\nname = \"{name}\"\neffect = \"safe\"\naim = \"50ms\"\ndeadline = \"100ms\"\n")
     };
@@ -67,24 +75,25 @@
          [[route]]\nname = \"all\"\npool = \"boxes\"\n",
         class("read"),
         class("write"),
-        bad.addresses[0]
+        failing.addresses[0]
     ));
-    let said = || {
+    let is_logged = || {
         node.log.lock().unwrap().iter().any(|l| l.contains("pool boxes: server broken: ejected after Error"))
     };
-    wait_until("it says so", || {
+    wait_until("the ejection is logged", || {
         node.get("/", "");
         std::thread::sleep(Duration::from_millis(5));
-        said()
+        is_logged()
     });
 }
 
 #[test]
-fn backups_serve_while_nobody_else_can() {
-    let (main, spare) = (Servers::new(1, |_, _| ok_reply("main")), Servers::new(1, |_, _| ok_reply("spare")));
+fn backup_servers_serve_only_while_all_others_are_down() {
+    let (main, backup) =
+        (Servers::new(1, |_, _| ok_reply("main")), Servers::new(1, |_, _| ok_reply("spare")));
     let up = Arc::new(AtomicUsize::new(1));
-    let shown = up.clone();
-    let checked = Servers::new(1, move |_, _| match shown.load(SeqCst) {
+    let is_up = up.clone();
+    let primary = Servers::new(1, move |_, _| match is_up.load(SeqCst) {
         0 => Reply::Send(response("500 Down", "", b"")),
         _ => ok_reply("main"),
     });
@@ -92,11 +101,11 @@
     let pool = format!(
         "servers = [{{ address = \"{}\" }}, {{ address = \"{}\", backup = true }}]\n\
          check = {{ path = \"/up\", every = \"20ms\", rise = 1, fall = 1 }}",
-        checked.addresses[0], spare.addresses[0]
+        primary.addresses[0], backup.addresses[0]
     );
-    let text = site(&[], "", "", "").replace("servers = []\n", &format!("{pool}\n"));
+    let text = config(&[], "", "", "").replace("servers = []\n", &format!("{pool}\n"));
     let node = Node::start_with_operator_file(&text);
-    let body = || node.send_raw(&asked("GET / HTTP/1.1")).map(|m| m.body).unwrap_or_default();
+    let body = || node.send_raw(&request_bytes("GET / HTTP/1.1")).map(|m| m.body).unwrap_or_default();
     for _ in 0..20 {
         assert_eq!(body(), b"main");
     }
@@ -111,82 +120,94 @@
 }
 
 #[test]
-fn a_watched_file_is_followed() {
+fn a_watched_server_list_is_applied_when_it_changes() {
     let (one, two) = (Servers::new(1, |_, _| ok_reply("one")), Servers::new(1, |_, _| ok_reply("two")));
     let path = std::env::temp_dir().join(format!("corkhollow-watched-{}.toml", std::process::id()));
-    let put = |text: &str| std::fs::write(&path, text).unwrap();
-    let list = |dial: SocketAddr| format!("[[servers]]\naddress = \"{dial}\"\n");
-    put(&list(one.addresses[0]));
+    let write = |text: &str| std::fs::write(&path, text).unwrap();
+    let list = |address: SocketAddr| format!("[[servers]]\naddress = \"{address}\"\n");
+    write(&list(one.addresses[0]));
     let watch = format!("watch = {:?}\n", path.display().to_string());
-    let node = Node::start_with_operator_file(&site(&[], "", "", "").replace("servers = []\n", &watch));
-    let body = || node.send_raw(&asked("GET / HTTP/1.1")).map(|m| m.body).unwrap_or_default();
-    wait_until("the first list is read", || body() == b"one");
-    put("[[servers]]\naddress = \"nowhere\"\n");
+    let node = Node::start_with_operator_file(&config(&[], "", "", "").replace("servers = []\n", &watch));
+    let body = || node.send_raw(&request_bytes("GET / HTTP/1.1")).map(|m| m.body).unwrap_or_default();
+    wait_until("the first list is applied", || body() == b"one");
+    write("[[servers]]\naddress = \"nowhere\"\n");
     node.wait_for_log("rejected, keeping the previous list: 2:11: error: servers[0].address", 1);
     assert_eq!(body(), b"one");
-    put(&list(two.addresses[0]));
-    wait_until("the new list is read", || body() == b"two");
-    put("servers = []\n");
-    wait_until("an empty list refuses", || node.send_raw(&asked("GET / HTTP/1.1")).unwrap().status() == 503);
+    write(&list(two.addresses[0]));
+    wait_until("the new list is applied", || body() == b"two");
+    write("servers = []\n");
+    wait_until("requests are refused under an empty list", || {
+        node.send_raw(&request_bytes("GET / HTTP/1.1")).unwrap().status() == 503
+    });
     std::fs::remove_file(&path).unwrap();
 }
 
-/// More than a pool may hold waits, more than may wait is refused at once, and whoever waits is served.
+/// Requests over `max_connections` wait, requests over `max_waiting` are refused at once, and the ones that
+/// wait are served.
 #[test]
-fn connections_are_capped_and_waiting_too() {
-    let (go, gate) = mpsc::channel::<()>();
-    let gate = std::sync::Mutex::new(gate);
+fn connections_and_waiting_requests_of_a_pool_are_limited() {
+    let (release, released) = mpsc::channel::<()>();
+    let released = std::sync::Mutex::new(released);
     let servers = Servers::new(1, move |_, _| {
-        let _ = gate.lock().unwrap().recv();
+        let _ = released.lock().unwrap().recv();
         ok_reply("fine")
     });
-    let node = Node::start_with_operator_file(&site(
+    let node = Node::start_with_operator_file(&config(
         &servers.addresses,
         "",
         "max_connections = 1\nmax_waiting = 1\nmax_attempts = 1",
         "",
     ));
-    let ask = || {
+    let post = || {
         let mut client = node.connect();
-        client.write_all(&asked("POST / HTTP/1.1")).unwrap();
+        client.write_all(&request_bytes("POST / HTTP/1.1")).unwrap();
         client
     };
-    let mut first = ask();
-    wait_until("the first is under way", || servers.request_count() == 1);
-    let mut others = [ask(), ask(), ask()];
+    let mut first = post();
+    wait_until("the first request is in flight", || servers.request_count() == 1);
+    let mut others = [post(), post(), post()];
     let mut refused = 0;
     for client in &mut others {
         client.set_read_timeout(Some(Duration::from_millis(500))).unwrap();
         refused += usize::from(read_message(client).is_some_and(|m| m.status() == 503));
     }
-    assert!(refused >= 2, "{refused}");
-    assert_eq!((servers.connection_count(), servers.request_count()), (1, 1), "no other got through");
-    drop(go);
+    assert!(refused >= 2, "{refused} refused");
+    assert_eq!(
+        (servers.connection_count(), servers.request_count()),
+        (1, 1),
+        "a request over the limit reached the server"
+    );
+    drop(release);
     assert_eq!(read_message(&mut first).unwrap().status(), 200);
-    wait_until("the next is served", || node.send_raw(&asked("POST / HTTP/1.1")).unwrap().status() == 200);
+    wait_until("the next request is served", || {
+        node.send_raw(&request_bytes("POST / HTTP/1.1")).unwrap().status() == 200
+    });
 }
 
-/// One server in two pools, and one address under two names: each is a server of its own.
+/// One address in two pools, and under two names in one pool: each entry is a server of its own.
 #[test]
-fn a_server_may_stand_in_two_places() {
+fn one_address_may_be_listed_as_several_servers() {
     let servers = Servers::new(1, |_, _| ok_reply("fine"));
-    let dial = servers.addresses[0];
-    let twice = format!("[[pool]]\nname = \"more\"\nservers = [{{ address = \"{dial}\", name = \"a\" }}, {{ address = \"{dial}\", name = \"b\" }}]\n[[route]]\nname = \"more\"\npath_prefix = \"/more\"\npool = \"more\"");
-    let node = Node::start_with_operator_file(&site(&servers.addresses, "", "", &twice));
+    let address = servers.addresses[0];
+    let second_pool = format!("[[pool]]\nname = \"more\"\nservers = [{{ address = \"{address}\", name = \"a\" }}, {{ address = \"{address}\", name = \"b\" }}]\n[[route]]\nname = \"more\"\npath_prefix = \"/more\"\npool = \"more\"");
+    let node = Node::start_with_operator_file(&config(&servers.addresses, "", "", &second_pool));
     for path in ["/", "/more", "/more/x", "/x"] {
-        assert_eq!(node.send_raw(&asked(&format!("GET {path} HTTP/1.1"))).unwrap().status(), 200, "{path}");
+        assert_eq!(
+            node.send_raw(&request_bytes(&format!("GET {path} HTTP/1.1"))).unwrap().status(),
+            200,
+            "{path}"
+        );
     }
 }
 
-/// A new file takes over between two requests: a pool goes, a listener moves, a class changes its effect; what is
-/// under way ends on what it began with. A bad file changes nothing.
+/// Requests in flight end under the configuration that they began with. An invalid file changes nothing.
 #[test]
-fn a_whole_new_file_takes_over() {
-    let (go, gate) = mpsc::channel::<()>();
-    let gate = std::sync::Mutex::new(gate);
+fn a_reload_replaces_listeners_pools_and_classes_for_new_requests() {
+    let (release, released) = mpsc::channel::<()>();
+    let released = std::sync::Mutex::new(released);
     let old = Servers::new(2, move |_, m| {
         if m.head.contains("/slow") {
-            let _ = gate.lock().unwrap().recv();
+            let _ = released.lock().unwrap().recv();
         }
         match m.head.contains("/fail") {
             true => Reply::Send(response("503 Busy", "", b"")),
@@ -194,35 +215,35 @@
         }
     });
     let new = Servers::new(2, |_, _| ok_reply("new"));
-    let second = "[[listener]]\nname = \"side\"\naddress = \"127.0.0.1:0\"\n";
+    let second_listener = "[[listener]]\nname = \"side\"\naddress = \"127.0.0.1:0\"\n";
     let class =
         |effect: &str| format!("[[class]]\nname = \"all\"\neffect = \"{effect}\"\nmethods = [\"POST\"]\n");
     let mut node = Node::start_with_operator_file(&format!(
-        "{second}{}",
-        site(&old.addresses, "", "", &class("unsafe"))
+        "{second_listener}{}",
+        config(&old.addresses, "", "", &class("unsafe"))
     ));
     let (web, side) = (node.listeners["web"], node.listeners["side"]);
     node.address = web;
-    assert_eq!(node.send_raw(&asked("POST /fail HTTP/1.1")).unwrap().status(), 503);
-    assert_eq!(old.request_count(), 1, "unsafe: once");
-    let mut kept = TcpStream::connect(side).unwrap();
-    kept.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
-    kept.write_all(&asked("GET /x HTTP/1.1")).unwrap();
-    assert_eq!(read_message(&mut kept).unwrap().body, b"old");
+    assert_eq!(node.send_raw(&request_bytes("POST /fail HTTP/1.1")).unwrap().status(), 503);
+    assert_eq!(old.request_count(), 1, "a request of the unsafe class must not be retried");
+    let mut idle = TcpStream::connect(side).unwrap();
+    idle.set_read_timeout(Some(Duration::from_secs(20))).unwrap();
+    idle.write_all(&request_bytes("GET /x HTTP/1.1")).unwrap();
+    assert_eq!(read_message(&mut idle).unwrap().body, b"old");
     let mut slow = node.connect();
-    slow.write_all(&asked("POST /slow HTTP/1.1")).unwrap();
-    wait_until("the slow one is under way", || {
+    slow.write_all(&request_bytes("POST /slow HTTP/1.1")).unwrap();
+    wait_until("the slow request is in flight", || {
         old.requests.lock().unwrap().iter().any(|m| m.head.contains("/slow"))
     });
 
-    for (k, bad) in ["[[listener]]\n", "nonsense", ""].into_iter().enumerate() {
-        node.reload(bad);
+    for (k, invalid) in ["[[listener]]\n", "nonsense", ""].into_iter().enumerate() {
+        node.reload(invalid);
         node.wait_for_log("not reloaded", k + 1);
-        assert_eq!(node.send_raw(&asked("GET / HTTP/1.1")).unwrap().body, b"old");
+        assert_eq!(node.send_raw(&request_bytes("GET / HTTP/1.1")).unwrap().body, b"old");
     }
 
-    // Its class is safe now, its pool has another name, `side` is gone and `web` has moved.
-    let moved = site(&new.addresses, "", "", &class("safe"))
+    // The class becomes safe, the pool gets another name, `side` is removed and `web` gets another address.
+    let moved = config(&new.addresses, "", "", &class("safe"))
         .replace("boxes", "others")
         .replace("name = \"web\"\naddress = \"127.0.0.1:0\"", "name = \"web\"\naddress = \"[::1]:0\"");
     node.reload(&moved);
@@ -230,16 +251,20 @@
     let line = node.log.lock().unwrap().iter().rfind(|l| l.contains("listener web listening on")).cloned();
     node.address = line.unwrap().rsplit(' ').next().unwrap().parse().unwrap();
     assert!(node.address.is_ipv6());
-    assert_eq!(node.send_raw(&asked("GET / HTTP/1.1")).unwrap().body, b"new");
+    assert_eq!(node.send_raw(&request_bytes("GET / HTTP/1.1")).unwrap().body, b"new");
     assert_eq!(
-        kept.read(&mut [0]).unwrap(),
+        idle.read(&mut [0]).unwrap(),
         0,
-        "idle connections of a listener that is gone are closed in order"
+        "idle connections of a removed listener are closed without a reset"
     );
-    wait_until("the old port is closed", || TcpStream::connect(side).is_err());
-    go.send(()).unwrap();
+    wait_until("the port of the removed listener is closed", || TcpStream::connect(side).is_err());
+    release.send(()).unwrap();
     let answer = read_message(&mut slow).unwrap();
-    assert_eq!((answer.status(), &answer.body[..]), (200, &b"old"[..]), "on what it began with");
+    assert_eq!(
+        (answer.status(), &answer.body[..]),
+        (200, &b"old"[..]),
+        "a request in flight stays with its old server"
+    );
 
     let failing =
         Servers::new(
@@ -248,15 +273,14 @@
         );
     node.reload(&moved.replace(&server_list(&new.addresses), &server_list(&failing.addresses)));
     node.wait_for_log("reloaded: listeners: 1", 2);
-    assert_eq!(node.send_raw(&asked("POST / HTTP/1.1")).unwrap().body, b"new");
-    assert_eq!(failing.request_count(), 2, "safe: once more");
+    assert_eq!(node.send_raw(&request_bytes("POST / HTTP/1.1")).unwrap().body, b"new");
+    assert_eq!(failing.request_count(), 2, "a request of the safe class must be retried");
 }
 
-/// Under load, reloads lose nothing.
 #[test]
-fn reloads_under_load_lose_nothing() {
+fn reloads_under_load_lose_no_request() {
     let servers = Servers::new(4, |_, _| ok_reply("fine"));
-    let node = Node::start_with_operator_file(&site(&servers.addresses, "", "", ""));
+    let node = Node::start_with_operator_file(&config(&servers.addresses, "", "", ""));
     let address = node.address;
     let done = Arc::new(AtomicUsize::new(0));
     let clients: Vec<_> = (0..4)
@@ -267,7 +291,7 @@
                 while done.load(SeqCst) == 0 {
                     let mut client = TcpStream::connect(address).unwrap();
                     for _ in 0..20 {
-                        client.write_all(&asked("POST /x HTTP/1.1")).unwrap();
+                        client.write_all(&request_bytes("POST /x HTTP/1.1")).unwrap();
                         let answer = read_message(&mut client).expect("an answer");
                         assert_eq!(answer.status(), 200, "{answer:?}");
                         served += 1;
@@ -279,38 +303,37 @@
         .collect();
     for k in 0..10 {
         let pool = if k % 2 == 0 { "max_attempts = 2" } else { "" };
-        node.reload(&site(&servers.addresses[k % 3..], "", pool, ""));
+        node.reload(&config(&servers.addresses[k % 3..], "", pool, ""));
         node.wait_for_log("corkhollow: reloaded: ", k + 1);
     }
     done.store(1, SeqCst);
     let served: usize = clients.into_iter().map(|c| c.join().unwrap()).sum();
-    assert!(served >= 80, "{served}");
+    assert!(served >= 80, "{served} served");
 }
 
 #[test]
-fn a_terminated_program_finishes_what_it_has() {
-    let (go, gate) = mpsc::channel::<()>();
-    let gate = std::sync::Mutex::new(gate);
+fn a_terminated_process_finishes_requests_in_flight() {
+    let (release, released) = mpsc::channel::<()>();
+    let released = std::sync::Mutex::new(released);
     let servers = Servers::new(1, move |_, _| {
-        let _ = gate.lock().unwrap().recv();
+        let _ = released.lock().unwrap().recv();
         ok_reply("fine")
     });
-    let mut node = plain(&servers.addresses);
+    let mut node = start_with_default_config(&servers.addresses);
     let mut client = node.connect();
-    client.write_all(&asked("POST / HTTP/1.1")).unwrap();
-    wait_until("it is under way", || servers.request_count() == 1);
+    client.write_all(&request_bytes("POST / HTTP/1.1")).unwrap();
+    wait_until("the request is in flight", || servers.request_count() == 1);
     node.signal("-TERM");
-    go.send(()).unwrap();
+    release.send(()).unwrap();
     assert_eq!(read_message(&mut client).unwrap().status(), 200);
     assert!(node.wait_for_exit().success());
 }
 
-/// No bytes from a peer end the program, and it serves on.
 #[test]
-fn no_bytes_from_a_peer_end_it() {
-    let noise = |seed: u64, n: usize| -> Vec<u8> {
-        let mut x = seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) | 1;
-        let words: [&[u8]; 12] = [
+fn random_bytes_from_clients_and_servers_do_not_end_the_process() {
+    let noise = |seed: u64, count: usize| -> Vec<u8> {
+        let mut state = seed.wrapping_mul(0x9E37_79B9_7F4A_7C15) | 1;
+        let fragments: [&[u8]; 12] = [
             b"GET / HTTP/1.1\r\n",
             b"Host: a\r\n",
             b"\r\n",
@@ -324,18 +347,18 @@
             b"HTTP/1.1 200 OK\r\n",
             b": ",
         ];
-        (0..n)
+        (0..count)
             .flat_map(|_| {
-                x ^= x << 13;
-                x ^= x >> 7;
-                x ^= x << 17;
-                words[(x % 12) as usize].to_vec()
+                state ^= state << 13;
+                state ^= state >> 7;
+                state ^= state << 17;
+                fragments[(state % 12) as usize].to_vec()
             })
             .collect()
     };
-    let turn = Arc::new(AtomicUsize::new(0));
-    let counter = turn.clone();
-    let dial = spawn_raw_server(move |mut stream| {
+    let connections = Arc::new(AtomicUsize::new(0));
+    let counter = connections.clone();
+    let hostile_server = spawn_raw_server(move |mut stream| {
         let _ = read_message(&mut stream);
         let k = counter.fetch_add(1, SeqCst) as u64;
         let start: &[u8] = if k.is_multiple_of(2) { b"HTTP/1.1 200 OK\r\n" } else { b"" };
@@ -343,7 +366,7 @@
     });
     let good = Servers::new(1, |_, _| ok_reply("fine"));
     let routes = format!("[[pool]]\nname = \"good\"\nservers = [{}]\n[[route]]\nname = \"good\"\npath = \"/good\"\npool = \"good\"", server_list(&good.addresses));
-    let node = Node::start_with_operator_file(&site(&[dial], "", "", &routes));
+    let node = Node::start_with_operator_file(&config(&[hostile_server], "", "", &routes));
     for k in 0..150 {
         let mut client = node.connect();
         let _ = client.write_all(&noise(1000 + k, 8));
@@ -353,56 +376,56 @@
     }
     for k in 0..50 {
         let mut client = node.connect();
-        let _ = client.write_all(&asked(&format!("POST /{k} HTTP/1.1\r\nConnection: close")));
+        let _ = client.write_all(&request_bytes(&format!("POST /{k} HTTP/1.1\r\nConnection: close")));
         let mut out = Vec::new();
         let _ = client.read_to_end(&mut out);
         assert!(out.starts_with(b"HTTP/1.1 "), "{k}");
     }
-    assert_eq!(node.send_raw(&asked("GET /good HTTP/1.1")).unwrap().body, b"fine");
+    assert_eq!(node.send_raw(&request_bytes("GET /good HTTP/1.1")).unwrap().body, b"fine");
 }
 
-/// Before anything is learnt of how long answers take, a burst is no overload.
+/// Until answer times are known, a burst must not be taken for overload.
 #[test]
-fn a_first_burst_is_served() {
+fn an_initial_burst_is_served_unless_the_pool_limits_concurrency() {
     let servers = Servers::new(1, |_, _| {
         std::thread::sleep(Duration::from_millis(20));
         ok_reply("fine")
     });
-    let node = plain(&servers.addresses);
+    let node = start_with_default_config(&servers.addresses);
     let mut clients: Vec<_> = (0..48).map(|_| node.connect()).collect();
-    clients.iter_mut().for_each(|c| c.write_all(&asked("GET / HTTP/1.1")).unwrap());
-    let status = |c: &mut TcpStream| read_message(c).map_or(0, |m| m.status());
+    clients.iter_mut().for_each(|client| client.write_all(&request_bytes("GET / HTTP/1.1")).unwrap());
+    let status = |client: &mut TcpStream| read_message(client).map_or(0, |m| m.status());
     let served = clients.iter_mut().map(status).filter(|s| *s == 200).count();
     assert_eq!(served, 48);
-    // A pool of machines that do one thing at a time says so, and then late answers are refused at once.
-    let node = Node::start_with_operator_file(&site(&servers.addresses, "", "concurrency = 1", ""));
+    // With servers of `concurrency = 1`, requests that cannot be answered in time are refused at once.
+    let node = Node::start_with_operator_file(&config(&servers.addresses, "", "concurrency = 1", ""));
     let mut clients: Vec<_> = (0..48).map(|_| node.connect()).collect();
-    clients.iter_mut().for_each(|c| c.write_all(&asked("GET / HTTP/1.1")).unwrap());
+    clients.iter_mut().for_each(|client| client.write_all(&request_bytes("GET / HTTP/1.1")).unwrap());
     let refused = clients.iter_mut().map(status).filter(|s| *s == 503).count();
     assert!(refused > 0);
 }
 
-/// All servers of a pool drain: what they have in hand is finished, what comes is refused at once.
+/// Requests in flight are still finished.
 #[test]
 fn a_pool_whose_servers_all_drain_refuses_at_once() {
-    let (go, gate) = mpsc::channel::<()>();
-    let gate = std::sync::Mutex::new(gate);
+    let (release, released) = mpsc::channel::<()>();
+    let released = std::sync::Mutex::new(released);
     let servers = Servers::new(2, move |_, _| {
-        let _ = gate.lock().unwrap().recv();
+        let _ = released.lock().unwrap().recv();
         ok_reply("fine")
     });
-    let text = site(&servers.addresses, "", "", "");
+    let text = config(&servers.addresses, "", "", "");
     let node = Node::start_with_operator_file(&text);
     let mut client = node.connect();
-    client.write_all(&asked("POST / HTTP/1.1")).unwrap();
-    wait_until("it is under way", || servers.request_count() == 1);
+    client.write_all(&request_bytes("POST / HTTP/1.1")).unwrap();
+    wait_until("the request is in flight", || servers.request_count() == 1);
     node.reload(&text.replace("\" }, ", "\", drain = true }, "));
     node.wait_for_log("corkhollow: reloaded: ", 1);
     let start = Instant::now();
-    let refused = node.send_raw(&asked("POST / HTTP/1.1")).unwrap();
+    let refused = node.send_raw(&request_bytes("POST / HTTP/1.1")).unwrap();
     assert_eq!((refused.status(), refused.header("retry-after").is_some()), (503, true));
     assert!(start.elapsed() < Duration::from_secs(2), "{:?}", start.elapsed());
-    go.send(()).unwrap();
+    release.send(()).unwrap();
     assert_eq!(read_message(&mut client).unwrap().status(), 200);
-    assert_eq!(servers.request_count(), 1, "nothing new reached a draining server");
+    assert_eq!(servers.request_count(), 1, "a draining server got a new request");
 }
