--- a/crates/corkhollow/tests/platform.rs
+++ b/crates/corkhollow/tests/platform.rs
@@ -67,8 +67,9 @@
     }
     // One of the two servers refuses connections.
     let servers = Servers::new(1, |_, _| ok_reply("fine"));
-    let hosts = [host("s-0", servers.addresses[0], "active"), host("s-1", refusing_address(), "active")];
-    let discovery = Discovery::new(vec![list(1, true, &hosts)], true);
+    let hosts =
+        [host_json("s-0", servers.addresses[0], "active"), host_json("s-1", refusing_address(), "active")];
+    let discovery = Discovery::new(vec![list_json(1, true, &hosts)], true);
     let node = Node::start(discovery.address, &NodeOptions::default());
     node.wait_until_ready();
     for k in 0..20 {
@@ -88,8 +89,9 @@
         }
     });
     let servers = Servers::new(1, |_, _| ok_reply("fine"));
-    let hosts = [host("s-0", servers.addresses[0], "active"), host("s-1", resetting_address, "active")];
-    let discovery = Discovery::new(vec![list(1, true, &hosts)], true);
+    let hosts =
+        [host_json("s-0", servers.addresses[0], "active"), host_json("s-1", resetting_address, "active")];
+    let discovery = Discovery::new(vec![list_json(1, true, &hosts)], true);
     let node = Node::start(discovery.address, &NodeOptions::default());
     node.wait_until_ready();
     // More than the sockets' buffers hold, so that the reset comes before the last byte is written.
@@ -279,10 +281,10 @@
     let (node, discovery) = Node::start_with_servers(&servers);
     let other = Servers::new(1, |_, _| ok_reply("other"));
     let mut hosts: Vec<_> =
-        (0..2).map(|k| host(&format!("s-{k}"), servers.addresses[k], ["leaving", "left"][k])).collect();
-    hosts.push(host("s-2", other.addresses[0], "active"));
+        (0..2).map(|k| host_json(&format!("s-{k}"), servers.addresses[k], ["leaving", "left"][k])).collect();
+    hosts.push(host_json("s-2", other.addresses[0], "active"));
     assert_eq!(node.post("/once/1", b"").unwrap().status(), 200);
-    discovery.say(list(2, false, &hosts));
+    discovery.push_line(list_json(2, false, &hosts));
     wait_until("the new list is applied", || node.post("/once/1", b"").unwrap().body == b"other");
     let before = servers.request_count();
     for _ in 0..20 {
@@ -298,8 +300,8 @@
         let discovery = Discovery::new(vec![servers.list_json(1)], true);
         let node = Node::start(discovery.address, &NodeOptions::default());
         node.wait_until_ready();
-        discovery.say(invalid.to_owned());
-        wait_until("the watch is reopened", || discovery.watched() == 2);
+        discovery.push_line(invalid.to_owned());
+        wait_until("the watch is reopened", || discovery.watch_count() == 2);
         assert_eq!(node.post("/once/1", b"").unwrap().status(), 200);
     }
 }
@@ -309,16 +311,19 @@
 fn an_older_list_is_rejected() {
     let draining = Servers::new(1, |_, _| ok_reply("old"));
     let current = Servers::new(1, |_, _| ok_reply("new"));
-    let newest_list = list(
+    let newest_list = list_json(
         9,
         true,
-        &[host("s-0", draining.addresses[0], "leaving"), host("s-1", current.addresses[0], "active")],
+        &[
+            host_json("s-0", draining.addresses[0], "leaving"),
+            host_json("s-1", current.addresses[0], "active"),
+        ],
     );
     let discovery = Discovery::new(vec![newest_list.clone(), draining.list_json(3), newest_list], true);
     let node = Node::start(discovery.address, &NodeOptions::default());
     node.wait_until_ready();
-    discovery.say("broken".into());
-    wait_until("the stale list was rejected", || discovery.watched() == 3);
+    discovery.push_line("broken".into());
+    wait_until("the stale list was rejected", || discovery.watch_count() == 3);
     for _ in 0..10 {
         assert_eq!(node.post("/once/1", b"").unwrap().body, b"new");
     }
@@ -332,7 +337,7 @@
     let discovery = Discovery::new(vec![servers.list_json(1)], false);
     let node = Node::start(discovery.address, &NodeOptions::default());
     node.wait_until_ready();
-    wait_until("the watch is reopened", || discovery.watched() == 2);
+    wait_until("the watch is reopened", || discovery.watch_count() == 2);
 }
 
 #[test]
@@ -353,8 +358,8 @@
     let old = Servers::new(1, |_, _| ok_reply("old"));
     let (node, first) = Node::start_with_servers(&old);
     let new = Servers::new(1, |_, _| ok_reply("new"));
-    let hosts = [host("s-0", old.addresses[0], "leaving"), host("s-1", new.addresses[0], "active")];
-    let second = Discovery::new(vec![list(2, false, &hosts)], true);
+    let hosts = [host_json("s-0", old.addresses[0], "leaving"), host_json("s-1", new.addresses[0], "active")];
+    let second = Discovery::new(vec![list_json(2, false, &hosts)], true);
     for (k, bad) in ["{", "{}"].into_iter().enumerate() {
         node.reload(bad);
         node.wait_for_log("not reloaded", k + 1);
@@ -364,18 +369,18 @@
         node.reload(&platform_config(second.address, &NodeOptions::default()));
         node.wait_for_log("reloaded: discovery at", k + 1);
     }
-    wait_until("the list of the second discovery server is applied", || {
+    wait_until("the list_json of the second discovery server is applied", || {
         node.post("/once/1", b"").unwrap().body == b"new"
     });
     assert_eq!(
-        (first.watched(), second.watched()),
+        (first.watch_count(), second.watch_count()),
         (1, 1),
         "a reload with the same address opens no new watch"
     );
-    second.say(list(
+    second.push_line(list_json(
         3,
         false,
-        &[host("s-0", old.addresses[0], "active"), host("s-1", new.addresses[0], "left")],
+        &[host_json("s-0", old.addresses[0], "active"), host_json("s-1", new.addresses[0], "left")],
     ));
     wait_until("the update of the new watch is applied", || {
         node.post("/once/1", b"").unwrap().body == b"old"
@@ -658,7 +663,7 @@
         reset_connection(stream);
     });
     for server in [refusing_address(), resetting] {
-        let discovery = Discovery::new(vec![list(1, true, &[host("s-0", server, "active")])], true);
+        let discovery = Discovery::new(vec![list_json(1, true, &[host_json("s-0", server, "active")])], true);
         let node = Node::start(discovery.address, &NodeOptions { memory_mb: 48, ..NodeOptions::default() });
         node.wait_until_ready();
         let mut client = node.connect();
--- a/crates/corkhollow/tests/shutdown.rs
+++ b/crates/corkhollow/tests/shutdown.rs
@@ -136,9 +136,9 @@
 /// SIGTERM before discovery has answered: requests get 503, and the process exits.
 #[test]
 fn a_node_terminated_before_its_first_server_list_answers_its_requests() {
-    let agent = Agent::listen();
+    let agent = ManualDiscovery::listen();
     let mut node = Node::start(agent.address, &NodeOptions::default());
-    let unanswered_call = agent.call();
+    let unanswered_call = agent.next_call();
     let mut clients: Vec<_> = (0..5).map(|_| node.connect()).collect();
     for client in &mut clients {
         client.write_all(&post_request("/once/1", b"body")).unwrap();
