--- a/crates/corkhollow/tests/operator.rs
+++ b/crates/corkhollow/tests/operator.rs
@@ -132,7 +132,7 @@
 
 /// Connections that send nothing or half a request neither delay other calls nor stay open.
 #[test]
-fn silent_operator_connections_block_no_other_and_time_out() {
+fn silent_operator_connections_do_not_delay_other_calls_and_time_out() {
     let servers = Servers::new(1, |_, _| ok_reply("fine"));
     let (node, _discovery) = Node::start_with_servers(&servers);
     let mut silent: Vec<_> =
@@ -338,7 +338,7 @@
     let request = String::from_utf8(post_request("/once/1", b"body")).unwrap();
     let mut client = node.connect();
     client.write_all(request.replace("X-Timeout-Ms: 2500", "X-Timeout-Ms: 1000").as_bytes()).unwrap();
-    wait_until("the request is under way", || servers.request_count() == 1);
+    wait_until("the request is in flight", || servers.request_count() == 1);
     node.signal("-STOP");
     // Longer than the request's timeout and the half second of slack for late answers.
     std::thread::sleep(Duration::from_millis(2_200));
--- a/crates/corkhollow/tests/platform.rs
+++ b/crates/corkhollow/tests/platform.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::Ordering::SeqCst;
 use std::time::{Duration, Instant};
 
-/// Starts a node with two servers, which give `first` to their first request and `ok_reply` to all others.
+/// Starts a node with two servers that answer the first request with `first` and all others with `ok_reply`.
 fn start_with_first_reply(first: fn() -> Reply) -> (Node, Discovery, Servers) {
     let servers = Servers::new(2, move |n, _| if n == 0 { first() } else { ok_reply("fine") });
     let (node, discovery) = Node::start_with_servers(&servers);
@@ -79,7 +79,7 @@
 
 /// A reset before the last byte of the request was written: the server cannot have run it, so another one may.
 #[test]
-fn an_unsafe_request_that_was_not_sent_whole_is_retried() {
+fn an_unsafe_request_that_was_not_sent_completely_is_retried() {
     let resetting = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let resetting_address = resetting.local_addr().unwrap();
     std::thread::spawn(move || {
@@ -104,7 +104,7 @@
 
 /// After a reset behind its last byte, the request may have run: on a new connection as on a reused one.
 #[test]
-fn an_unsafe_request_that_was_sent_whole_is_not_retried_after_a_reset() {
+fn an_unsafe_request_that_was_sent_completely_is_not_retried_after_a_reset() {
     let servers = Servers::new(2, |_, m| if m.body == b"good" { ok_reply("fine") } else { Reply::Reset });
     let (node, _discovery) = Node::start_with_servers(&servers);
     for reused in [false, true] {
@@ -263,15 +263,15 @@
     let node =
         Node::start(discovery.address, &NodeOptions { idle_timeout_ms: 200, ..NodeOptions::default() });
     node.wait_until_ready();
-    let post_timed = || {
+    let post = || {
         let start = Instant::now();
         assert_eq!(node.post("/once/1", b"body").unwrap().status(), 200);
         start.elapsed()
     };
-    post_timed();
+    post();
     let before = servers.connection_count();
     std::thread::sleep(Duration::from_millis(150));
-    post_timed();
+    post();
     assert_eq!((before, servers.connection_count()), (1, 2));
 }
 
@@ -279,10 +279,10 @@
 fn a_draining_server_gets_no_new_requests() {
     let servers = Servers::new(2, |_, _| ok_reply("fine"));
     let (node, discovery) = Node::start_with_servers(&servers);
-    let other = Servers::new(1, |_, _| ok_reply("other"));
+    let active = Servers::new(1, |_, _| ok_reply("other"));
     let mut hosts: Vec<_> =
         (0..2).map(|k| host_json(&format!("s-{k}"), servers.addresses[k], ["leaving", "left"][k])).collect();
-    hosts.push(host_json("s-2", other.addresses[0], "active"));
+    hosts.push(host_json("s-2", active.addresses[0], "active"));
     assert_eq!(node.post("/once/1", b"").unwrap().status(), 200);
     discovery.push_line(list_json(2, false, &hosts));
     wait_until("the new list is applied", || node.post("/once/1", b"").unwrap().body == b"other");
@@ -360,8 +360,8 @@
     let new = Servers::new(1, |_, _| ok_reply("new"));
     let hosts = [host_json("s-0", old.addresses[0], "leaving"), host_json("s-1", new.addresses[0], "active")];
     let second = Discovery::new(vec![list_json(2, false, &hosts)], true);
-    for (k, bad) in ["{", "{}"].into_iter().enumerate() {
-        node.reload(bad);
+    for (k, invalid) in ["{", "{}"].into_iter().enumerate() {
+        node.reload(invalid);
         node.wait_for_log("not reloaded", k + 1);
         assert_eq!(node.post("/once/1", b"").unwrap().body, b"old");
     }
@@ -369,7 +369,7 @@
         node.reload(&platform_config(second.address, &NodeOptions::default()));
         node.wait_for_log("reloaded: discovery at", k + 1);
     }
-    wait_until("the list_json of the second discovery server is applied", || {
+    wait_until("the list of the second discovery server is applied", || {
         node.post("/once/1", b"").unwrap().body == b"new"
     });
     assert_eq!(
@@ -400,7 +400,7 @@
     assert_eq!(read_message(&mut idle).unwrap().status(), 200);
     let mut in_flight = node.connect();
     in_flight.write_all(&post_request("/once/1", b"body")).unwrap();
-    wait_until("the request is under way", || servers.request_count() == 1);
+    wait_until("the request is in flight", || servers.request_count() == 1);
     node.signal("-TERM");
     wait_until("/up answers 503", || node.get("/up", "").is_some_and(|m| m.status() == 503));
     idle.write_all(&post_request("/once/2", b"body")).unwrap();
@@ -447,7 +447,7 @@
 fn a_request_smuggled_behind_a_chunked_body_is_not_read() {
     let servers = Servers::new(1, |_, _| ok_reply("fine"));
     let (node, _discovery) = Node::start_with_servers(&servers);
-    let smuggled = String::from_utf8(get_request("/safe/smuggled", "")).unwrap();
+    let smuggled = String::from_utf8(get_request("/safe/hidden", "")).unwrap();
     let filler = format!("X-Filler: {}\r\n", "x".repeat(1000)).repeat(4);
     let chunked_request = |content_length: &str| {
         let head = "POST /once/1 HTTP/1.1\r\nX-Request-ID: c\r\nTransfer-Encoding: chunked\r\n";
@@ -476,7 +476,7 @@
     let request = post_request("/once/1", b"body");
     let mut first = node.connect();
     first.write_all(&request).unwrap();
-    wait_until("the request is under way", || servers.request_count() == 1);
+    wait_until("the request is in flight", || servers.request_count() == 1);
     assert_eq!(node.send_raw(&request).unwrap().status(), 409);
     assert_eq!(node.post("/once/1", b"body").unwrap().status(), 200);
     assert_eq!(servers.request_count(), 2);
@@ -488,7 +488,7 @@
     let (node, _discovery) = Node::start_with_servers(&servers);
     let mut first = node.connect();
     first.write_all(&request).unwrap();
-    wait_until("the request is under way", || servers.request_count() == 1);
+    wait_until("the request is in flight", || servers.request_count() == 1);
     drop(first);
     wait_until("the request id can be used again", || node.send_raw(&request).unwrap().status() == 200);
 }
@@ -499,7 +499,7 @@
     let (node, _discovery) = Node::start_with_servers(&servers);
     let mut client = node.connect();
     client.write_all(&get_request("/safe/1", "")).unwrap();
-    wait_until("the request is under way", || servers.request_count() == 1);
+    wait_until("the request is in flight", || servers.request_count() == 1);
     drop(client);
     assert_eq!(node.get("/safe/2", "").map(|m| m.status()), Some(200));
 }
@@ -522,7 +522,7 @@
     assert_eq!(
         clients[0].read(&mut [0]).unwrap(),
         0,
-        "the longest idle connection was closed without a reset"
+        "the longest idle connection must be closed without a reset"
     );
 }
 
--- a/crates/corkhollow/tests/shutdown.rs
+++ b/crates/corkhollow/tests/shutdown.rs
@@ -45,7 +45,7 @@
         let (mut node, _discovery, servers) = start_with_hanging_servers(deadline_seconds, 1024);
         let mut client = node.connect();
         client.write_all(&post_without_timeout("/once/1")).unwrap();
-        wait_until("the request is under way", || servers.request_count() == 1);
+        wait_until("the request is in flight", || servers.request_count() == 1);
         let terminated_at = Instant::now();
         node.signal("-TERM");
         // Further signals have no effect.
@@ -87,7 +87,7 @@
     for (k, client) in clients.iter_mut().enumerate() {
         let request = post_without_timeout("/once/1");
         client.write_all(&request[20..]).unwrap();
-        wait_until("the request is under way", || servers.request_count() == k + 1);
+        wait_until("the request is in flight", || servers.request_count() == k + 1);
     }
     for mut client in clients {
         let answer = read_message(&mut client).expect("an answer");
@@ -112,7 +112,7 @@
         client.write_all(&post_without_timeout("/once/1")).unwrap();
         clients.push(client);
         std::thread::sleep(Duration::from_millis(5));
-        assert!(clients.len() < 200, "{} requests reached a server", servers.request_count());
+        assert!(clients.len() < 200, "only {} requests reached a server", servers.request_count());
     }
     // Requests with incomplete bodies hold slots too.
     let incomplete = post_without_timeout("/once/1");
@@ -228,7 +228,7 @@
     let (mut node, discovery) = Node::start_with_servers(&servers);
     let mut client = node.connect();
     client.write_all(&get_request("/safe/1", "")).unwrap();
-    wait_until("the request is under way", || servers.request_count() == 1);
+    wait_until("the request is in flight", || servers.request_count() == 1);
     let without_class = platform_config(discovery.address, &NodeOptions::default())
         .replace("\"name\":\"safe\"", "\"name\":\"sure\"")
         .replace("\"maxAttempts\":3", "\"maxAttempts\":1");
--- a/crates/corkhollow/tests/site/pools.rs
+++ b/crates/corkhollow/tests/site/pools.rs
@@ -92,8 +92,8 @@
     let (main, backup) =
         (Servers::new(1, |_, _| ok_reply("main")), Servers::new(1, |_, _| ok_reply("spare")));
     let up = Arc::new(AtomicUsize::new(1));
-    let is_up = up.clone();
-    let primary = Servers::new(1, move |_, _| match is_up.load(SeqCst) {
+    let server_up = up.clone();
+    let primary = Servers::new(1, move |_, _| match server_up.load(SeqCst) {
         0 => Reply::Send(response("500 Down", "", b"")),
         _ => ok_reply("main"),
     });
--- a/crates/corkhollow/tests/start.rs
+++ b/crates/corkhollow/tests/start.rs
@@ -63,7 +63,7 @@
          servers = [{{ address = \"{}\" }}]\n[[route]]\nname = \"all\"\npool = \"main\"\n",
         servers.addresses[0]
     );
-    for (name, text) in [("platform", platform), ("site", operator_file)] {
+    for (name, text) in [("platform", platform), ("operator", operator_file)] {
         let pipe = ConfigPipe::new(&format!("start-{name}"));
         let mut command = Command::new(program_path());
         match name {
--- a/crates/corkhollow/tests/unread.rs
+++ b/crates/corkhollow/tests/unread.rs
@@ -16,8 +16,8 @@
     socket.into()
 }
 
-/// A client is disconnected after the stall timeout whatever part of its answer is unread, also where all of it
-/// is written already. A client that reads slowly gets its whole answer.
+/// A client that does not read is disconnected after the stall timeout, however much of its answer is written
+/// already. One that reads slowly gets its whole answer.
 #[test]
 fn clients_that_do_not_read_their_answers_are_disconnected() {
     let servers = Servers::new(1, |_, message| {
@@ -37,8 +37,8 @@
     };
     let sizes = (1..120).map(|k| k * 30_000);
     let unread: Vec<_> = sizes.map(request_answer_of).collect();
-    // The kernel reports a socket writable when about a third of its buffer is free; at this rate that takes far less
-    // than the stall timeout.
+    // The kernel reports a socket writable when about a third of its buffer is free. At this rate that takes far
+    // less than the stall timeout.
     let mut slow = node.connect();
     slow.write_all(&get_request("/", &format!("X-Size: {SLOW_ANSWER_BYTES}\r\n"))).unwrap();
     let slow_reader = std::thread::spawn(move || {
