--- a/crates/far/tests/site.rs
+++ b/crates/remote-site/tests/site.rs
@@ -1,10 +1,10 @@
 //! What goes to a far site and what stays, over whole stories.
 
 use corkhollow_balance::interface::{Effect, Ending, Nanos};
-use corkhollow_far::breaker::Gate;
-use corkhollow_far::hops::{HopError, Hops};
-use corkhollow_far::site::{Ask, Rules, Site, Stays};
-use corkhollow_far::spill::Most;
+use corkhollow_remote_site::breaker::Gate;
+use corkhollow_remote_site::hops::{HopError, Hops};
+use corkhollow_remote_site::site::{Ask, Rules, Site, Stays};
+use corkhollow_remote_site::spill::Most;
 use proptest::prelude::*;
 
 const MS: Nanos = 1_000_000;
