--- a/crates/corkhollow/src/commands/demo.rs
+++ b/crates/corkhollow/src/commands/demo.rs
@@ -260,12 +260,12 @@
 ) -> String {
     let stats = &load.stats;
     let count = |counter: &std::sync::atomic::AtomicU64| counter.load(SeqCst);
-    let (asked, served) = (count(&stats.requests), count(&stats.successes));
+    let (requests, served) = (count(&stats.requests), count(&stats.successes));
     let mean = count(&stats.success_micros) as f64 / 1000.0 / served.max(1) as f64;
     let mut out = String::new();
     let _ = writeln!(
         out,
-        "{second:>4} s   requests {asked}   served {served}   refused {}   failed {}   mean {mean:.1} ms",
+        "{second:>4} s   requests {requests}   served {served}   refused {}   failed {}   mean {mean:.1} ms",
         count(&stats.rejections),
         count(&stats.failures),
     );
--- a/crates/corkhollow/src/commands/reload.rs
+++ b/crates/corkhollow/src/commands/reload.rs
@@ -179,8 +179,8 @@
         let activate_time = started_at.elapsed();
         let times = [read_time, compare_time, activate_time];
         log_reload(&new, &change, times);
-        let reload = (times.map(|time| time.as_secs_f64()), change.changed_pools());
-        target.context.metrics.set_active_config(&change.to.to_string(), Some(reload));
+        let reload_stats = (times.map(|time| time.as_secs_f64()), change.changed_pools());
+        target.context.metrics.set_active_config(&change.to.to_string(), Some(reload_stats));
         Ok(())
     }
 }
