--- a/crates/test-support/src/demo.rs
+++ b/crates/test-support/src/demo.rs
@@ -84,16 +84,16 @@
 
     fn serve(&self, mut stream: TcpStream) {
         let _ = stream.set_nodelay(true);
-        if let (Ok(copy), Ok(mut all)) = (stream.try_clone(), self.connections.lock()) {
-            all.retain(|c| c.peer_addr().is_ok());
-            all.push(copy);
+        if let (Ok(copy), Ok(mut connections)) = (stream.try_clone(), self.connections.lock()) {
+            connections.retain(|connection| connection.peer_addr().is_ok());
+            connections.push(copy);
         }
         while let Some(request) = read_message(&mut stream).filter(|m| m.is_complete) {
             self.in_flight.fetch_add(1, Ordering::SeqCst);
             let time = self
                 .rng
                 .lock()
-                .map(|mut d| d.next_duration(self.mean_service_time))
+                .map(|mut rng| rng.next_duration(self.mean_service_time))
                 .unwrap_or(self.mean_service_time);
             thread::sleep(time);
             self.in_flight.fetch_sub(1, Ordering::SeqCst);
@@ -126,8 +126,8 @@
     pub fn stop(&self) {
         self.is_up.store(false, Ordering::SeqCst);
         let _ = TcpStream::connect(self.address);
-        if let Ok(mut all) = self.connections.lock() {
-            all.drain(..).for_each(|c| drop(c.shutdown(Shutdown::Both)));
+        if let Ok(mut connections) = self.connections.lock() {
+            connections.drain(..).for_each(|connection| drop(connection.shutdown(Shutdown::Both)));
         }
     }
 
--- a/crates/test-support/src/discovery.rs
+++ b/crates/test-support/src/discovery.rs
@@ -140,7 +140,7 @@
     /// Waits for the next call.
     ///
     /// # Panics
-    /// Where none arrives within 20 s.
+    /// If none arrives within 20 s.
     pub fn next_call(&self) -> ReceivedCall {
         self.calls.recv_timeout(WAIT_TIMEOUT).expect("the node calls discovery")
     }
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -4,7 +4,6 @@
 mod clients;
 mod demo;
 mod discovery;
-
 mod link;
 mod message;
 mod program;
--- a/crates/test-support/src/link.rs
+++ b/crates/test-support/src/link.rs
@@ -104,17 +104,17 @@
             max_nanos => Duration::from_nanos(self.rng.next_u64() % max_nanos),
         };
         self.due_at = self.due_at.max(now + self.faults.delay + jitter);
-        let piece = self
+        let piece_bytes = self
             .faults
             .bytes_per_second
-            .map_or(bytes.len(), |pace| pace.div_ceil(MAX_PIECES_PER_SECOND) as usize)
+            .map_or(bytes.len(), |rate| rate.div_ceil(MAX_PIECES_PER_SECOND) as usize)
             .max(1);
         let mut forwarded_bytes = Vec::new();
-        for part in bytes.chunks(piece) {
-            if let Some(pace) = self.faults.bytes_per_second {
-                self.due_at += Duration::from_secs_f64(part.len() as f64 / pace.max(1) as f64);
+        for piece in bytes.chunks(piece_bytes) {
+            if let Some(rate) = self.faults.bytes_per_second {
+                self.due_at += Duration::from_secs_f64(piece.len() as f64 / rate.max(1) as f64);
             }
-            let mut kept_bytes = part.to_vec();
+            let mut kept_bytes = piece.to_vec();
             if self.faults.loss_ratio > 0.0 {
                 kept_bytes.retain(|_| !self.is_byte_lost());
             }
@@ -139,7 +139,7 @@
     /// Starts a relay. The script gets the index of each connection, from 0. `seed` determines jitter and
     /// loss.
     pub fn new(
-        to: SocketAddr,
+        server_address: SocketAddr,
         seed: u64,
         script: impl Fn(usize) -> ConnectionFaults + Send + 'static,
     ) -> Self {
@@ -161,12 +161,12 @@
                         _ = link_dropped(&mut link_state) => return,
                     };
                     if let Ok((client, _)) = accepted {
-                        let number = connection_count.fetch_add(1, Ordering::SeqCst);
-                        let seed = seed ^ (number as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+                        let connection_index = connection_count.fetch_add(1, Ordering::SeqCst);
+                        let seed = seed ^ (connection_index as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15);
                         tokio::spawn(relay_connection(
                             client,
-                            to,
-                            script(number),
+                            server_address,
+                            script(connection_index),
                             seed,
                             state_receiver.clone(),
                         ));
@@ -178,8 +178,8 @@
     }
 
     /// A relay without faults while it is up.
-    pub fn transparent(to: SocketAddr) -> Self {
-        Link::new(to, 0, |_| ConnectionFaults::default())
+    pub fn transparent(server_address: SocketAddr) -> Self {
+        Link::new(server_address, 0, |_| ConnectionFaults::default())
     }
 
     /// Changes the state of all connections.
@@ -204,12 +204,12 @@
 
 async fn relay_connection(
     mut client: TcpStream,
-    to: SocketAddr,
+    server_address: SocketAddr,
     faults: ConnectionFaults,
     seed: u64,
     mut state: watch::Receiver<LinkState>,
 ) {
-    let Ok(mut server) = TcpStream::connect(to).await else { return reset(&client) };
+    let Ok(mut server) = TcpStream::connect(server_address).await else { return reset(&client) };
     let _ = (client.set_nodelay(true), server.set_nodelay(true));
     let end = {
         let ((client_read, client_write), (server_read, server_write)) = (client.split(), server.split());
@@ -295,7 +295,7 @@
         let mut direction = DirectionState::new(faults, 7);
         bytes
             .chunks(read_size)
-            .flat_map(|part| direction.schedule(Duration::ZERO, part).0)
+            .flat_map(|piece| direction.schedule(Duration::ZERO, piece).0)
             .flat_map(|p| p.1)
             .collect()
     }
--- a/crates/test-support/src/message.rs
+++ b/crates/test-support/src/message.rs
@@ -73,8 +73,8 @@
 
 /// The bytes of a response with a `Content-Length`.
 pub fn response(status: &str, headers: &str, body: &[u8]) -> Vec<u8> {
-    let mut out =
+    let mut bytes =
         format!("HTTP/1.1 {status}\r\n{headers}Content-Length: {}\r\n\r\n", body.len()).into_bytes();
-    out.extend(body);
-    out
+    bytes.extend(body);
+    bytes
 }
--- a/crates/test-support/src/servers.rs
+++ b/crates/test-support/src/servers.rs
@@ -55,21 +55,22 @@
             let listener = TcpListener::bind("127.0.0.1:0").unwrap();
             servers.addresses.push(listener.local_addr().unwrap());
             let (script, requests) = (script.clone(), servers.requests.clone());
-            let (connections, closed) = (servers.connections.clone(), servers.closed_by_node.clone());
+            let (connections, closed_by_node) = (servers.connections.clone(), servers.closed_by_node.clone());
             thread::spawn(move || {
                 for mut stream in listener.incoming().flatten() {
                     connections.fetch_add(1, Ordering::SeqCst);
-                    let (script, requests, closed) = (script.clone(), requests.clone(), closed.clone());
+                    let (script, requests, closed_by_node) =
+                        (script.clone(), requests.clone(), closed_by_node.clone());
                     thread::spawn(move || {
                         let mut last_reply_at: Option<Instant> = None;
                         while let Some(mut message) = read_message(&mut stream).filter(|m| m.is_complete) {
                             message.idle_before = last_reply_at.map_or(Duration::ZERO, |at| at.elapsed());
-                            let number = {
-                                let mut all = requests.lock().unwrap();
-                                all.push(message.clone());
-                                all.len() - 1
+                            let request_index = {
+                                let mut received = requests.lock().unwrap();
+                                received.push(message.clone());
+                                received.len() - 1
                             };
-                            match script(number, &message) {
+                            match script(request_index, &message) {
                                 Reply::Send(bytes) => {
                                     let _ = stream.write_all(&bytes);
                                     last_reply_at = Some(Instant::now());
@@ -78,7 +79,7 @@
                                     let _ = stream.write_all(&bytes);
                                     let _ = stream.shutdown(Shutdown::Write);
                                     let _ = stream.read(&mut [0]);
-                                    closed.fetch_add(1, Ordering::SeqCst);
+                                    closed_by_node.fetch_add(1, Ordering::SeqCst);
                                     return;
                                 }
                                 Reply::Reset => return reset_connection(stream),
@@ -105,13 +106,13 @@
 
     /// A complete discovery list of the servers, all active.
     pub fn list_json(&self, seq: u64) -> String {
-        let all: Vec<_> = self
+        let hosts: Vec<_> = self
             .addresses
             .iter()
             .enumerate()
-            .map(|(k, d)| host_json(&format!("s-{k}"), *d, "active"))
+            .map(|(index, address)| host_json(&format!("s-{index}"), *address, "active"))
             .collect();
-        list_json(seq, true, &all)
+        list_json(seq, true, &hosts)
     }
 }
 
