--- a/crates/test-support/src/rig.rs
+++ b/crates/test-support/src/rig.rs
@@ -106,8 +106,9 @@
 }
 
 impl Rig {
-    /// Creates relays for `count` nodes without starting any. `extra_config` gives the rest of each node's
-    /// file, `fleet_settings` are further lines of its table `[fleet]`. All nodes get the same `seeds`.
+    /// Creates relays for `node_count` nodes without starting any. `extra_config` gives the rest of each
+    /// node's file, `fleet_settings` are further lines of its table `[fleet]`. All nodes get the same
+    /// `seeds`.
     pub fn new(
         node_count: usize,
         seed: u64,
