--- a/crates/laboratory/tests/admission.rs
+++ b/crates/laboratory/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Under overload the classes of least worth are refused first, and without overload nothing is refused.
+//! Under overload the classes of least worth are refused first; without overload almost nothing is refused.
 
 use corkhollow_balance::interface::Nanos;
 use corkhollow_laboratory::fleet::{safe_classes, Model, RequestCounts, Stream};
@@ -74,7 +74,7 @@
     assert!(after[1].in_time_fraction() > 0.97, "refused after the burst: {:?}", after[1]);
 }
 
-/// Requests are refused only while the load exceeds the capacity.
+/// Many requests are refused only while the load exceeds the capacity, and refusals end with the overload.
 #[test]
 fn requests_are_refused_only_under_overload() {
     let mut model = Model::new(safe_classes(&[1.0, 1.0], AIM / 2, AIM), 1, 20, 3).expect("valid settings");
@@ -100,8 +100,8 @@
     assert!(refused[3] > 0.2, "{refused:?}");
 }
 
-/// A class whose requests suddenly take 50 times as long, still within their aim, is served; a few are refused until the
-/// estimate of its typical work has adapted.
+/// A class whose requests suddenly take 50 times as long, still within their aim, is served; a few are
+/// refused until the estimate of its typical work has adapted.
 #[test]
 fn a_class_whose_work_grows_is_served() {
     let mut model = Model::new(safe_classes(&[1.0, 1.0], AIM, 3 * AIM), 1, 20, 3).expect("valid settings");
--- a/crates/soak/src/cluster.rs
+++ b/crates/soak/src/cluster.rs
@@ -13,12 +13,12 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The limit on file descriptors of each process.
+/// Descriptors that a process may hold.
 pub const MAX_DESCRIPTORS: u64 = 128;
-/// Longer than any start takes.
+/// Far more than a start takes.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
-/// Log texts that only a fault of the program causes.
-const FAULT_MARKERS: [&str; 3] = ["panicked", "this is a fault", "fault of this program"];
+/// Words in the log that only a fault of the program writes.
+const FAULT_MARKERS: [&str; 3] = ["panicked", "this is a fault", "internal error"];
 
 /// Whether clients may connect to the process in a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
