--- /dev/null
+++ b/crates/corkhollow/tests/platform_reload.rs
@@ -0,0 +1,152 @@
+//! Reload of the platform's file at SIGHUP with requests under way: it is applied whole or rejected whole.
+
+use corkhollow_test_support::*;
+use std::io::Write;
+
+const EXTRA_CLASS: &str = r#"{"name":"extra","aimNs":1000000000,"giveUpNs":2000000000,"worth":2.0,"effect":"pure","group":"all","windowNs":1000000000}"#;
+
+/// The node's configuration with `change` applied to its list of classes.
+fn config_with_classes(discovery: &Discovery, change: impl Fn(&str) -> String) -> String {
+    let text = platform_config(discovery.address, &NodeOptions::default());
+    let (before, rest) = text.split_once("\"classes\":[").unwrap();
+    let (classes, after) = rest.split_once("],").unwrap();
+    format!("{before}\"classes\":[{}],{after}", change(classes))
+}
+
+fn wait_until_applied(node: &Node, count: f64) {
+    wait_until("the file is applied", || node.metric("gw_sighup_applied") == Some(count));
+}
+
+#[test]
+fn classes_are_added_and_removed_and_connections_stay() {
+    let servers = Servers::new(2, |_, _| ok_reply("fine"));
+    let (node, discovery) = Node::start_with_servers(&servers);
+    let mut kept_client = node.connect();
+    kept_client.write_all(&get_request("/safe/1", "")).unwrap();
+    assert_eq!(read_message(&mut kept_client).unwrap().status(), 200);
+    assert_eq!(node.get("/extra/1", "").unwrap().status(), 404);
+    // In front of the others, so that their positions in the settings change.
+    node.reload(&config_with_classes(&discovery, |classes| format!("{EXTRA_CLASS},{classes}")));
+    wait_until_applied(&node, 1.0);
+    for path in ["/extra/1", "/safe/1"] {
+        assert_eq!(node.get(path, "").unwrap().status(), 200, "{path}");
+    }
+    assert_eq!(node.post("/once/1", b"body").unwrap().status(), 200);
+    assert_eq!(node.metric("gw_succeeded{service=\"extra\"}"), Some(1.0));
+    assert_eq!(node.metric("gw_succeeded{service=\"once\"}"), Some(1.0));
+    node.reload(&config_with_classes(&discovery, |_| EXTRA_CLASS.to_owned()));
+    wait_until_applied(&node, 2.0);
+    assert_eq!(node.get("/safe/1", "").unwrap().status(), 404);
+    assert_eq!(node.get("/extra/1", "").unwrap().status(), 200);
+    // The client's connection and the watch on discovery outlast both reloads.
+    kept_client.write_all(&get_request("/extra/1", "")).unwrap();
+    assert_eq!(read_message(&mut kept_client).unwrap().status(), 200);
+    assert_eq!(discovery.watch_count(), 1, "the list of servers was requested again");
+}
+
+/// A request that was accepted as unsafe is not retried although its class has become safe since; later requests are.
+#[test]
+fn a_changed_effect_applies_to_later_requests_only() {
+    let (reset_first, reset_signal) = std::sync::mpsc::channel::<()>();
+    let reset_signal = std::sync::Mutex::new(Some(reset_signal));
+    let servers = Servers::new(2, move |n, _| match n {
+        0 => {
+            let reset_signal = reset_signal.lock().unwrap().take();
+            Reply::Custom(Box::new(move |stream| {
+                let _ = reset_signal.unwrap().recv();
+                reset_connection(stream.try_clone().unwrap());
+            }))
+        }
+        1 => Reply::Reset,
+        _ => ok_reply("fine"),
+    });
+    let (node, discovery) = Node::start_with_servers(&servers);
+    let mut unsafe_client = node.connect();
+    unsafe_client.write_all(&post_request("/once/1", b"body")).unwrap();
+    wait_until("the server has the request", || servers.request_count() == 1);
+    node.reload(&config_with_classes(&discovery, |classes| classes.replace("side_effect", "pure")));
+    wait_until_applied(&node, 1.0);
+    reset_first.send(()).unwrap();
+    assert_eq!(read_message(&mut unsafe_client).unwrap().status(), 502);
+    assert_eq!(servers.request_count(), 1);
+    assert_eq!(node.post("/once/2", b"body").unwrap().status(), 200);
+    assert_eq!(
+        servers.request_count(),
+        3,
+        "a request of the class that is safe by now is retried after a reset"
+    );
+}
+
+#[test]
+fn an_invalid_file_is_rejected_whole() {
+    let servers = Servers::new(2, |_, _| ok_reply("fine"));
+    let (node, discovery) = Node::start_with_servers(&servers);
+    let valid = config_with_classes(&discovery, |classes| format!("{EXTRA_CLASS},{classes}"));
+    let invalid = [
+        String::new(),
+        valid[..valid.len() / 2].to_owned(),
+        valid.replace("\"maxAttempts\":3,", ""),
+        valid.replace("\"maxAttempts\":3", "\"maxAttempts\":0"),
+        valid.replace("\"maxAttempts\":3", "\"maxAttempts\":\"3\""),
+        valid.replace("\"giveUpNs\":2000000000", "\"giveUpNs\":-5"),
+        valid.replace("\"giveUpNs\":2000000000", "\"giveUpNs\":\"soon\""),
+        valid.replace("\"giveUpNs\":2000000000,", ""),
+        valid.replace("\"discovery\":", "\"elsewhere\":"),
+        valid.replace("\"settings\":", "\"others\":"),
+        valid.replace("\"name\":\"extra\"", "\"name\":\"safe\""),
+    ];
+    for (k, text) in invalid.iter().enumerate() {
+        node.reload(text);
+        let rejected = (k + 1) as f64;
+        wait_until("the file is rejected", || node.metric("gw_sighup_rejected") == Some(rejected));
+        assert_eq!(node.get("/extra/1", "").unwrap().status(), 404, "file {k}");
+        assert_eq!(node.get("/safe/1", "").unwrap().status(), 200, "file {k}");
+    }
+    assert_eq!(node.metric("gw_sighup_applied"), Some(0.0));
+    node.reload(&valid);
+    wait_until_applied(&node, 1.0);
+    assert_eq!(node.get("/extra/1", "").unwrap().status(), 200);
+}
+
+/// A pool whose connection timeouts change keeps its open connections and its watch on discovery.
+#[test]
+fn a_pool_keeps_its_connections_when_its_timeouts_change() {
+    let servers = Servers::new(1, |_, _| ok_reply("fine"));
+    let (node, discovery) = Node::start_with_servers(&servers);
+    assert_eq!(node.get("/safe/1", "").unwrap().status(), 200);
+    let connected = servers.connection_count();
+    let config = platform_config(
+        discovery.address,
+        &NodeOptions { idle_timeout_ms: 60_000, ..NodeOptions::default() },
+    );
+    node.reload(&config.replace("\"connectTimeoutNs\":120000000", "\"connectTimeoutNs\":250000000"));
+    wait_until_applied(&node, 1.0);
+    assert_eq!(node.get("/safe/1", "").unwrap().status(), 200);
+    assert_eq!((servers.connection_count(), discovery.watch_count()), (connected, 1), "the pool was rebuilt");
+}
+
+/// Admission refuses no request while all servers are idle: neither of a class that a reload has just added, nor of one whose
+/// requests take 150 ms beside a fast class.
+#[test]
+fn no_request_is_refused_while_servers_are_idle() {
+    let servers = Servers::new(20, |_, m| match m.head.starts_with("GET /extra/slow") {
+        true => Reply::Custom(Box::new(|stream| {
+            std::thread::sleep(std::time::Duration::from_millis(150));
+            let _ = stream.write_all(&response("200 OK", "Connection: close\r\n", b"late"));
+        })),
+        false => ok_reply("fine"),
+    });
+    let (node, discovery) = Node::start_with_servers(&servers);
+    let count_served =
+        |path: &str, count: usize| (0..count).filter(|_| node.get(path, "").unwrap().status() == 200).count();
+    assert_eq!(count_served("/safe/1", 200), 200);
+    for (k, worth) in ["5.0", "2.0", "0.5"].into_iter().enumerate() {
+        let extra = EXTRA_CLASS.replace("\"worth\":2.0", &format!("\"worth\":{worth}"));
+        node.reload(&config_with_classes(&discovery, |classes| format!("{classes},{extra}")));
+        wait_until_applied(&node, (k + 1) as f64);
+        assert_eq!(count_served("/extra/1", 20), 20, "worth {worth}, as fast as the old class");
+        assert_eq!(count_served("/safe/1", 100), 100, "worth {worth}");
+        assert_eq!(count_served("/extra/slow", 20), 20, "worth {worth}, slow");
+    }
+    assert_eq!(node.metric("gw_declined{service=\"extra\"}"), Some(0.0));
+}
