--- a/crates/corkhollow/tests/guarantees.rs
+++ b/crates/corkhollow/tests/guarantees.rs
@@ -1,5 +1,5 @@
-//! Guarantees checked over loopback sockets: lists arrive in time after discovery was down, no attempt is made for clients that left,
-//! cold servers are not overloaded, and restarted nodes are soon ready.
+//! Guarantees checked over loopback sockets: lists arrive in time after discovery was down, no attempt is
+//! made for clients that left, cold servers are not overloaded, and restarted nodes are soon ready.
 
 use corkhollow_test_support::*;
 use std::io::Write;
@@ -115,7 +115,8 @@
         }
     }
 
-    /// Waits until the node follows the changed list, which must be in time; no request reaches the old server from then on.
+    /// Waits until the node follows the changed list, which must be in time; no request reaches the old
+    /// server from then on.
     fn wait_until_followed(&self, node: &Node, reachable_since: Instant, what: &str) {
         let served = |name: &[u8]| node.post("/once/1", b"").is_some_and(|m| m.body == name);
         wait_until(what, || served(b"new"));
@@ -165,7 +166,8 @@
     });
 }
 
-/// Idle clients use all descriptors that the node has for clients while discovery is down: the list is still received at its return.
+/// Idle clients use all descriptors that the node has for clients while discovery is down: the list is still
+/// received at its return.
 #[test]
 fn a_list_is_received_while_idle_clients_use_all_descriptors() {
     let run_case = |name: &str, platform_file: PlatformConfig, silent: bool| {
@@ -202,8 +204,8 @@
     });
 }
 
-/// For a client that has closed or half-closed its connection no attempt starts: neither the first, which waits for a new
-/// process's first list, nor a hedge that was due.
+/// For a client that has closed or half-closed its connection no attempt starts: neither the first, which
+/// waits for a new process's first list, nor a hedge that was due.
 #[test]
 fn no_attempt_starts_for_a_client_that_has_left() {
     let leave = |client: TcpStream, closes: bool| match closes {
@@ -244,7 +246,8 @@
         let (client, sent_at) = (send_request(), Instant::now());
         wait_until("the first attempt has arrived", || servers.request_count() == 1);
         leave(client, closes);
-        // A hedge starts half an aim, 500 ms, after the first attempt; that of another client shows when it would have come.
+        // A hedge starts half an aim, 500 ms, after the first attempt; that of another client shows when it
+        // would have come.
         let other_client = send_request();
         wait_until("the other client's first attempt has arrived", || servers.request_count() >= 2);
         wait_until("the other client's hedge has arrived", || servers.request_count() >= 3);
@@ -273,9 +276,10 @@
 /// The settings' `fallNs`: the window in which the requests to a cold server are counted.
 const OVERLOAD_WINDOW_SECONDS: f64 = 2.0;
 
-/// Sends requests to 20 processes until 6 s after cold servers are listed, which is `listed_after` the start. Returns when requests came
-/// to each cold server, in seconds since it was listed, and the fraction of all requests that was served. `born_ms` gives the start time
-/// of the cold servers in the list, from the present wall-clock time, both in milliseconds.
+/// Sends requests to 20 processes until 6 s after cold servers are listed, which is `listed_after` the start.
+/// Returns when requests came to each cold server, in seconds since it was listed, and the fraction of all
+/// requests that was served. `born_ms` gives the start time of the cold servers in the list, from the present
+/// wall-clock time, both in milliseconds.
 fn run_twenty_processes(listed_after: Duration, born_ms: fn(u128) -> u128) -> (Vec<Vec<f64>>, f64) {
     // One request at a time: were the warm servers idle, no request would need a cold one.
     let new_server_script = || {
@@ -361,8 +365,9 @@
     })
 }
 
-/// The largest number of requests that came to a cold server within the overload window, as a fraction of what overloads it:
-/// N + 2 sqrt(N) + 2, where N is the overload multiple of the server's share in that window.
+/// The largest number of requests that came to a cold server within the overload window, as a fraction of
+/// what overloads it: N + 2 sqrt(N) + 2, where N is the overload multiple of the server's share in that
+/// window.
 fn worst_overload_ratio(arrivals: &[Vec<f64>]) -> f64 {
     let even_rate = f64::from(PROCESSES) * REQUESTS_PER_SECOND / (WARM_SERVERS + COLD_SERVERS) as f64;
     let mut worst = 0.0f64;
@@ -380,8 +385,8 @@
     worst
 }
 
-/// What all processes together send to a server that has just started does not overload it. What they send to one that the list dates
-/// as started long ago would.
+/// What all processes together send to a server that has just started does not overload it. What they send to
+/// one that the list dates as started long ago would.
 #[test]
 fn twenty_processes_do_not_overload_a_cold_server() {
     let (arrivals, served) = run_twenty_processes(Duration::from_secs(3), |now| now);
@@ -401,7 +406,8 @@
     );
 }
 
-/// New servers whose wall clock is an hour behind count as just started, since the list did not hold them before.
+/// New servers whose wall clock is an hour behind count as just started, since the list did not hold them
+/// before.
 #[test]
 fn twenty_processes_do_not_overload_a_cold_server_whose_clock_is_behind() {
     let (arrivals, served) = run_twenty_processes(Duration::from_secs(11), |now| now - 3_600_000);
@@ -415,7 +421,8 @@
     assert!(served > 0.95, "{served} of all requests are served");
 }
 
-/// Five of ten processes at a time are restarted while the others hold as many connections as they can: nine in ten are ready within 10 s.
+/// Five of ten processes at a time are restarted while the others hold as many connections as they can: nine
+/// in ten are ready within 10 s.
 #[test]
 fn restarted_processes_are_ready_within_ten_seconds() {
     let servers = Servers::new(4, |_, _| Reply::NoAnswer);
@@ -424,7 +431,8 @@
         let mut nodes: Vec<_> =
             (0..10).map(|_| Node::start_with_platform_file(&platform_file(discovery.address))).collect();
         nodes.iter().for_each(Node::wait_until_ready);
-        // Requests without an answer, and idle clients: more connections than the 64 descriptors of each process.
+        // Requests without an answer, and idle clients: more connections than the 64 descriptors of each
+        // process.
         let open_clients = |node: &Node| -> Vec<TcpStream> {
             let client = |k: usize| {
                 let mut client = node.connect();
--- a/crates/corkhollow/tests/platform_reload.rs
+++ b/crates/corkhollow/tests/platform_reload.rs
@@ -44,7 +44,8 @@
     assert_eq!(discovery.watch_count(), 1, "the list of servers was requested again");
 }
 
-/// A request that was accepted as unsafe is not retried although its class has become safe since; later requests are.
+/// A request that was accepted as unsafe is not retried although its class has become safe since; later
+/// requests are.
 #[test]
 fn a_changed_effect_applies_to_later_requests_only() {
     let (reset_first, reset_signal) = std::sync::mpsc::channel::<()>();
@@ -125,8 +126,8 @@
     assert_eq!((servers.connection_count(), discovery.watch_count()), (connected, 1), "the pool was rebuilt");
 }
 
-/// Admission refuses no request while all servers are idle: neither of a class that a reload has just added, nor of one whose
-/// requests take 150 ms beside a fast class.
+/// Admission refuses no request while all servers are idle: neither of a class that a reload has just added,
+/// nor of one whose requests take 150 ms beside a fast class.
 #[test]
 fn no_request_is_refused_while_servers_are_idle() {
     let servers = Servers::new(20, |_, m| match m.head.starts_with("GET /extra/slow") {
--- a/crates/corkhollow/tests/reload.rs
+++ b/crates/corkhollow/tests/reload.rs
@@ -1,4 +1,5 @@
-//! Reload at SIGHUP: requests under way during a reload, and files that are replaced quickly, partly written, invalid or missing.
+//! Reload at SIGHUP: requests under way during a reload, and files that are replaced quickly, partly written,
+//! invalid or missing.
 
 use corkhollow_test_support::*;
 use std::fmt::Write as _;
@@ -48,7 +49,8 @@
     }
 }
 
-/// Servers that, until the gate opens, hold requests to `/wait`, fail those to `/fail` and pause within answers to `/stream`.
+/// Servers that, until the gate opens, hold requests to `/wait`, fail those to `/fail` and pause within
+/// answers to `/stream`.
 fn gated_servers(gate: &Gate, name: &'static str) -> Servers {
     let gate = gate.clone();
     Servers::new(8, move |_, m| {
@@ -106,8 +108,8 @@
     }
 }
 
-/// A reload changes or removes the route, pool, class or tenant of requests that wait, are retried or stream: each goes on by the
-/// old file and gets one answer; later requests go by the new file.
+/// A reload changes or removes the route, pool, class or tenant of requests that wait, are retried or stream:
+/// each goes on by the old file and gets one answer; later requests go by the new file.
 #[test]
 fn a_reload_changes_no_rule_of_requests_under_way() {
     let run_case = |(change, expected_body): (&str, &str)| {
@@ -186,7 +188,8 @@
     });
 }
 
-/// A configuration with this many routes, half as many tenants and 30 pools; its last route answers with `answer`.
+/// A configuration with this many routes, half as many tenants and 30 pools; its last route answers with
+/// `answer`.
 fn large_config(addresses: &[SocketAddr], routes: usize, answer: &str) -> String {
     let mut text = String::from("[tenants]\n");
     for k in 0..routes / 2 {
@@ -230,8 +233,9 @@
     rest.split(suffix).next().unwrap().trim().parse().unwrap_or_else(|_| panic!("{prefix} in {line}"))
 }
 
-/// A large file is read, checked and compiled off the serving thread: no request waits for half of the reload's time. Only pools
-/// that differ are touched, and the log and the metrics agree on what changed and how long each step took.
+/// A large file is read, checked and compiled off the serving thread: no request waits for half of the
+/// reload's time. Only pools that differ are touched, and the log and the metrics agree on what changed and
+/// how long each step took.
 #[test]
 fn requests_are_served_during_a_large_reload() {
     let servers = Servers::new(2, |_, _| ok_reply("fine"));
@@ -304,7 +308,8 @@
     }
 }
 
-/// Of 20 files in quick succession the last is in force in the end, no request is lost, and some files in between are skipped.
+/// Of 20 files in quick succession the last is in force in the end, no request is lost, and some files in
+/// between are skipped.
 #[test]
 fn the_last_of_many_quick_reloads_is_in_force() {
     let servers = Servers::new(2, |_, _| ok_reply("fine"));
@@ -360,7 +365,8 @@
     });
 }
 
-/// An invalid, non-UTF-8 or missing file is rejected with one log line and the file in force stays; a later valid file is applied.
+/// An invalid, non-UTF-8 or missing file is rejected with one log line and the file in force stays; a later
+/// valid file is applied.
 #[test]
 fn an_invalid_file_after_a_valid_one_changes_nothing() {
     let servers = Servers::new(1, |_, _| ok_reply("fine"));
@@ -398,7 +404,8 @@
     assert_eq!(node.metric("gw_sighup_rejected"), Some(7.0));
 }
 
-/// A file is rewritten in place while it is read: one of the two versions is in force, never a part or a mixture.
+/// A file is rewritten in place while it is read: one of the two versions is in force, never a part or a
+/// mixture.
 #[test]
 fn a_file_rewritten_while_it_is_read_is_applied_whole_or_not_at_all() {
     let servers = Servers::new(1, |_, _| ok_reply("fine"));
