--- a/crates/corkhollow/tests/commands.rs
+++ b/crates/corkhollow/tests/commands.rs
@@ -4,7 +4,7 @@
 use std::process::{Command, Output};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// A folder of its own, gone with the test.
+/// A temporary folder that is removed at the end of the test.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -17,7 +17,8 @@
         Folder(path)
     }
 
-    fn put(&self, name: &str, text: &str) -> String {
+    /// Writes a file and returns its path.
+    fn write_file(&self, name: &str, text: &str) -> String {
         let path = self.0.join(name);
         std::fs::write(&path, text).unwrap();
         path.display().to_string()
@@ -30,19 +31,19 @@
     }
 }
 
-fn corkhollow(args: &[&str]) -> Output {
+fn run_corkhollow(args: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_corkhollow")).args(args).output().expect("the program runs")
 }
 
-fn out(output: &Output) -> String {
+fn stdout(output: &Output) -> String {
     String::from_utf8(output.stdout.clone()).unwrap()
 }
 
-fn err(output: &Output) -> String {
+fn stderr(output: &Output) -> String {
     String::from_utf8(output.stderr.clone()).unwrap()
 }
 
-const SITE: &str = r#"
+const CONFIG: &str = r#"
 [[listener]]
 name = "web"
 address = "127.0.0.1:8080"
@@ -67,44 +68,47 @@
 "#;
 
 #[test]
-fn check_follows_the_file_and_those_that_it_names() {
+fn check_reads_the_watched_files_that_the_file_names() {
     let folder = Folder::new();
-    let site = folder.put("site.toml", SITE);
-    let missing = corkhollow(&["check", &site]);
-    assert!(!missing.status.success() && err(&missing).contains("boxes.toml"), "{}", err(&missing));
-    folder.put("boxes.toml", "[[servers]]\naddress = \"127.0.0.1:x\"\n");
-    let bad = corkhollow(&["check", &site]);
-    assert!(err(&bad).contains("boxes.toml:2:11: error: servers[0].address"), "{}", err(&bad));
-    folder.put("boxes.toml", "[[servers]]\naddress = \"127.0.0.1:9001\"\n");
-    let good = corkhollow(&["check", &site]);
-    assert!(good.status.success(), "{}", err(&good));
-    assert!(out(&good).contains("sound; listeners: 2, routes: 2, pools: 1"), "{}", out(&good));
+    let config_path = folder.write_file("site.toml", CONFIG);
+    let missing = run_corkhollow(&["check", &config_path]);
+    assert!(!missing.status.success() && stderr(&missing).contains("boxes.toml"), "{}", stderr(&missing));
+    folder.write_file("boxes.toml", "[[servers]]\naddress = \"127.0.0.1:x\"\n");
+    let invalid = run_corkhollow(&["check", &config_path]);
+    assert!(stderr(&invalid).contains("boxes.toml:2:11: error: servers[0].address"), "{}", stderr(&invalid));
+    folder.write_file("boxes.toml", "[[servers]]\naddress = \"127.0.0.1:9001\"\n");
+    let valid = run_corkhollow(&["check", &config_path]);
+    assert!(valid.status.success(), "{}", stderr(&valid));
+    assert!(stdout(&valid).contains("sound; listeners: 2, routes: 2, pools: 1"), "{}", stdout(&valid));
 }
 
 #[test]
-fn check_prints_every_fault_and_fails() {
+fn check_prints_every_error_and_fails() {
     let folder = Folder::new();
-    let site = folder.put("site.toml", &SITE.replace("watch = \"boxes.toml\"", "wach = 3\nmax_attempts = 0"));
-    let output = corkhollow(&["check", &site]);
+    let config_path = folder
+        .write_file("site.toml", &CONFIG.replace("watch = \"boxes.toml\"", "wach = 3\nmax_attempts = 0"));
+    let output = run_corkhollow(&["check", &config_path]);
     assert_eq!(output.status.code(), Some(1));
-    let said = err(&output);
+    let errors = stderr(&output);
     assert!(
-        said.contains(&format!("{site}:12:1: error: pool[0].wach: unknown key; did you mean `watch`?")),
-        "{said}"
+        errors.contains(&format!(
+            "{config_path}:12:1: error: pool[0].wach: unknown key; did you mean `watch`?"
+        )),
+        "{errors}"
     );
     assert!(
-        said.contains(&format!("{site}:13:16: error: pool[0].max_attempts: 0 is out of range")),
-        "{said}"
+        errors.contains(&format!("{config_path}:13:16: error: pool[0].max_attempts: 0 is out of range")),
+        "{errors}"
     );
-    let nowhere = corkhollow(&["check", "/nowhere/site.toml"]);
-    assert!(!nowhere.status.success() && err(&nowhere).contains("cannot read /nowhere/site.toml"));
+    let missing = run_corkhollow(&["check", "/nowhere/site.toml"]);
+    assert!(!missing.status.success() && stderr(&missing).contains("cannot read /nowhere/site.toml"));
 }
 
-/// No way of writing a path leads round a route, and the listener counts.
+/// Equivalent spellings of a path match the same route, and routes are limited to their listeners.
 #[test]
-fn explain_tells_the_route_and_why() {
+fn explain_prints_the_route_and_the_reason() {
     let folder = Folder::new();
-    let site = folder.put("site.toml", SITE);
+    let config_path = folder.write_file("site.toml", CONFIG);
     for (request, expected) in [
         ("GET http://a.org:8080/admin/x", "route     secret"),
         ("GET http://a.org:8080/x/../admin", "route     secret"),
@@ -115,22 +119,30 @@
         ("POST http://a.org:8081/admin", "passed    route secret: it is for other listeners"),
         ("http://a.org:8080/x", "class     read (by the method): safe"),
     ] {
-        let output = corkhollow(&["explain", &site, request]);
-        assert!(output.status.success() && out(&output).contains(expected), "{request}: {}", out(&output));
+        let output = run_corkhollow(&["explain", &config_path, request]);
+        assert!(
+            output.status.success() && stdout(&output).contains(expected),
+            "{request}: {}",
+            stdout(&output)
+        );
     }
-    let named = corkhollow(&["explain", &site, "GET /admin", "--listener", "inner", "-H", "Host: b.org"]);
+    let with_options =
+        run_corkhollow(&["explain", &config_path, "GET /admin", "--listener", "inner", "-H", "Host: b.org"]);
     assert!(
-        out(&named).contains("host      b.org") && out(&named).contains("route     all"),
+        stdout(&with_options).contains("host      b.org") && stdout(&with_options).contains("route     all"),
         "{}",
-        out(&named)
+        stdout(&with_options)
     );
-    for bad in [&["explain", &site, "GET /", "--listener", "x"][..], &["explain", &site, "G T http://a b"]] {
-        assert!(!corkhollow(bad).status.success(), "{bad:?}");
+    for arguments in [
+        &["explain", &config_path, "GET /", "--listener", "x"][..],
+        &["explain", &config_path, "G T http://a b"],
+    ] {
+        assert!(!run_corkhollow(arguments).status.success(), "{arguments:?}");
     }
 }
 
 #[test]
-fn the_program_tells_of_itself() {
-    assert!(out(&corkhollow(&["--help"])).contains("SIGHUP"));
-    assert!(out(&corkhollow(&["reference"])).contains("### `[[route]]`"));
+fn help_and_reference_are_printed() {
+    assert!(stdout(&run_corkhollow(&["--help"])).contains("SIGHUP"));
+    assert!(stdout(&run_corkhollow(&["reference"])).contains("### `[[route]]`"));
 }
