--- a/crates/remote-site/src/lib.rs
+++ b/crates/remote-site/src/lib.rs
@@ -5,15 +5,15 @@
 //! (whether it answers at all), [`budget`] (repeats), [`trip`] (the time that the way takes), [`hops`] (loops).
 //! [`site`] puts them together. All are given the time; none reads a clock, a socket or a file.
 
-pub mod breaker;
-pub mod budget;
+pub mod circuit_breaker;
+pub mod concurrency_limit;
 pub mod hops;
-pub mod limit;
+pub mod retry_budget;
+pub mod round_trip;
 pub mod site;
-pub mod spill;
-pub mod trip;
+pub mod spillover;
 
 /// Seconds of a time in nanoseconds.
-fn seconds(time: corkhollow_balance::interface::Nanos) -> f64 {
-    time as f64 / 1e9
+fn as_seconds(duration: corkhollow_balance::interface::Nanos) -> f64 {
+    duration as f64 / 1e9
 }
--- a/crates/remote-site/tests/site.rs
+++ b/crates/remote-site/tests/site.rs
@@ -1,175 +1,209 @@
 //! What goes to a far site and what stays, over whole stories.
 
 use corkhollow_balance::interface::{Effect, Ending, Nanos};
-use corkhollow_remote_site::breaker::Gate;
+use corkhollow_remote_site::circuit_breaker::CircuitState;
 use corkhollow_remote_site::hops::{HopError, Hops};
-use corkhollow_remote_site::site::{Ask, Rules, Site, Stays};
-use corkhollow_remote_site::spill::Most;
+use corkhollow_remote_site::site::{Candidate, ForwardingRules, NotForwarded, RemoteSite};
+use corkhollow_remote_site::spillover::SpilloverLimits;
 use proptest::prelude::*;
 
-const MS: Nanos = 1_000_000;
-const S: Nanos = 1_000 * MS;
+const MILLISECOND: Nanos = 1_000_000;
+const SECOND: Nanos = 1_000 * MILLISECOND;
 
-fn rules() -> Rules {
-    Rules {
-        own: "depot".into(),
-        name: "head-office".into(),
-        classes: vec![true, true, false],
-        tenants: None,
-        most: Most { share: 1.0, rate: None, ramp: 2 * S },
-        concurrency: 100,
-        hops: 2,
-        same_group: false,
-        pause: S,
+fn rules() -> ForwardingRules {
+    ForwardingRules {
+        local_site: "depot".into(),
+        remote_site: "head-office".into(),
+        allowed_classes: vec![true, true, false],
+        allowed_tenants: None,
+        spillover_limits: SpilloverLimits { max_share: 1.0, max_rate_per_second: None, ramp: 2 * SECOND },
+        max_concurrency: 100,
+        max_hops: 2,
+        same_idempotency_group: false,
+        breaker_open_time: SECOND,
     }
 }
 
-fn ask(hops: &Hops) -> Ask<'_> {
-    let (class, tenant, effect, left) = (0, u32::MAX, Effect::Safe, 2 * S);
-    Ask { class, tenant, effect, left, hops, may_have_run: false, again: false }
+fn candidate(hops: &Hops) -> Candidate<'_> {
+    let (class, tenant, effect, remaining) = (0, u32::MAX, Effect::Safe, 2 * SECOND);
+    Candidate { class, tenant, effect, remaining, hops, may_have_run: false, is_retry: false }
 }
 
 /// A site to which requests go already, at a thousand a second, and the time.
-fn going(rules: Rules) -> (Site, Nanos) {
-    let mut site = Site::new(rules, 1);
-    let mut now = S;
-    let none = Hops::default();
+fn spilling_site(rules: ForwardingRules) -> (RemoteSite, Nanos) {
+    let mut site = RemoteSite::new(rules, 1);
+    let mut now = SECOND;
+    let no_hops = Hops::default();
     for _ in 0..4_000 {
-        now += MS;
-        site.arrived(now, true, true);
-        if site.offer(now, &ask(&none)).is_ok() {
-            site.ended(now, Ending::Ok, 20 * MS);
+        now += MILLISECOND;
+        site.record_arrival(now, true, true);
+        if site.try_forward(now, &candidate(&no_hops)).is_ok() {
+            site.record_ending(now, Ending::Ok, 20 * MILLISECOND);
         }
     }
-    assert!(site.standing(now).going);
+    assert!(site.status(now).spilling);
     (site, now)
 }
 
 #[test]
-fn each_reason_to_stay_is_given() {
-    let none = Hops::default();
-    let (mut site, now) = going(Rules { tenants: Some(vec![7, u32::MAX]), ..rules() });
-    let mut stays = |ask: &Ask<'_>| site.offer(now, ask).unwrap_err();
-    assert_eq!(stays(&Ask { class: 2, ..ask(&none) }), Stays::Class);
-    assert_eq!(stays(&Ask { class: 9, ..ask(&none) }), Stays::Class);
-    assert_eq!(stays(&Ask { tenant: 8, ..ask(&none) }), Stays::Tenant);
-    let back = Hops::parse("head-office").unwrap();
-    assert_eq!(stays(&ask(&back)), Stays::Hops(HopError::Loop("head-office".into())));
-    let far = Hops::parse("a, b").unwrap();
-    assert_eq!(stays(&ask(&far)), Stays::Hops(HopError::TooMany(2)));
+fn each_reason_not_to_forward_is_reported() {
+    let no_hops = Hops::default();
+    let (mut site, now) =
+        spilling_site(ForwardingRules { allowed_tenants: Some(vec![7, u32::MAX]), ..rules() });
+    let mut refusal = |candidate: &Candidate<'_>| site.try_forward(now, candidate).unwrap_err();
+    assert_eq!(refusal(&Candidate { class: 2, ..candidate(&no_hops) }), NotForwarded::ClassNotAllowed);
+    assert_eq!(refusal(&Candidate { class: 9, ..candidate(&no_hops) }), NotForwarded::ClassNotAllowed);
+    assert_eq!(refusal(&Candidate { tenant: 8, ..candidate(&no_hops) }), NotForwarded::TenantNotAllowed);
+    let through_remote = Hops::parse("head-office").unwrap();
+    assert_eq!(
+        refusal(&candidate(&through_remote)),
+        NotForwarded::Hops(HopError::Loop("head-office".into()))
+    );
+    let at_max_hops = Hops::parse("a, b").unwrap();
+    assert_eq!(refusal(&candidate(&at_max_hops)), NotForwarded::Hops(HopError::TooMany(2)));
     for effect in [Effect::Unsafe, Effect::Keyed] {
-        assert_eq!(stays(&Ask { effect, may_have_run: true, ..ask(&none) }), Stays::MayHaveRun);
+        assert_eq!(
+            refusal(&Candidate { effect, may_have_run: true, ..candidate(&no_hops) }),
+            NotForwarded::MayHaveRun
+        );
     }
-    let late = Ask { left: 0, ..ask(&none) };
-    assert_eq!(stays(&late), Stays::Late);
-    assert_eq!(Site::new(rules(), 1).offer(now, &ask(&none)), Err(Stays::Served));
+    let late = Candidate { remaining: 0, ..candidate(&no_hops) };
+    assert_eq!(refusal(&late), NotForwarded::TooLate);
+    assert_eq!(
+        RemoteSite::new(rules(), 1).try_forward(now, &candidate(&no_hops)),
+        Err(NotForwarded::NoOverload)
+    );
 }
 
 #[test]
-fn a_request_travels_with_what_is_left() {
-    let (mut site, now) = going(rules());
-    (0..100).for_each(|_| site.pinged(80 * MS));
+fn a_forwarded_request_carries_its_remaining_time_and_hops() {
+    let (mut site, now) = spilling_site(rules());
+    (0..100).for_each(|_| site.record_ping(80 * MILLISECOND));
     let hops = Hops::parse("outpost").unwrap();
-    let goes = site.offer(now + S, &ask(&hops)).unwrap();
-    assert_eq!(goes.hops.to_string(), "outpost, depot");
-    assert!((1_900 * MS..=1_920 * MS).contains(&goes.left), "{}", goes.left);
-    let none = Hops::default();
-    assert_eq!(site.offer(now + S, &Ask { left: 80 * MS, ..ask(&none) }), Err(Stays::Late));
+    let forward = site.try_forward(now + SECOND, &candidate(&hops)).unwrap();
+    assert_eq!(forward.hops.to_string(), "outpost, depot");
+    assert!(
+        (1_900 * MILLISECOND..=1_920 * MILLISECOND).contains(&forward.remaining),
+        "{}",
+        forward.remaining
+    );
+    let no_hops = Hops::default();
+    assert_eq!(
+        site.try_forward(now + SECOND, &Candidate { remaining: 80 * MILLISECOND, ..candidate(&no_hops) }),
+        Err(NotForwarded::TooLate)
+    );
 }
 
 /// A lost link is tried with safe requests only, one at a time; then it begins anew, slowly.
 #[test]
-fn a_lost_link_comes_back_in_order() {
-    let none = Hops::default();
-    let (mut site, mut now) = going(rules());
-    let before = site.standing(now).rate;
-    site.lost(now);
-    assert_eq!(site.offer(now, &ask(&none)), Err(Stays::Broken));
-    now += 2 * S;
+fn a_lost_link_is_probed_and_then_ramps_up_again() {
+    let no_hops = Hops::default();
+    let (mut site, mut now) = spilling_site(rules());
+    let before = site.status(now).rate_per_second;
+    site.on_link_lost(now);
+    assert_eq!(site.try_forward(now, &candidate(&no_hops)), Err(NotForwarded::CircuitOpen));
+    now += 2 * SECOND;
     for _ in 0..3 {
-        site.arrived(now, true, true);
-        assert_eq!(site.offer(now, &Ask { effect: Effect::Unsafe, ..ask(&none) }), Err(Stays::Broken));
-        assert!(site.offer(now, &ask(&none)).is_ok());
-        assert_eq!(site.offer(now, &ask(&none)), Err(Stays::Broken), "one at a time");
-        now += 100 * MS;
-        site.ended(now, Ending::Ok, 100 * MS);
-        (0..200).for_each(|_| site.arrived(now, true, true));
+        site.record_arrival(now, true, true);
+        assert_eq!(
+            site.try_forward(now, &Candidate { effect: Effect::Unsafe, ..candidate(&no_hops) }),
+            Err(NotForwarded::CircuitOpen)
+        );
+        assert!(site.try_forward(now, &candidate(&no_hops)).is_ok());
+        assert_eq!(
+            site.try_forward(now, &candidate(&no_hops)),
+            Err(NotForwarded::CircuitOpen),
+            "one at a time"
+        );
+        now += 100 * MILLISECOND;
+        site.record_ending(now, Ending::Ok, 100 * MILLISECOND);
+        (0..200).for_each(|_| site.record_arrival(now, true, true));
     }
-    assert_eq!(site.standing(now).gate, Gate::Closed);
+    assert_eq!(site.status(now).circuit, CircuitState::Closed);
     // 5,000 clients have waited.
-    let went = (0..5_000).filter(|_| site.offer(now, &ask(&none)).is_ok()).count();
-    assert!(went <= 4, "{went} at one moment");
-    assert!(site.standing(now).rate < before / 2.0);
+    let forwarded = (0..5_000).filter(|_| site.try_forward(now, &candidate(&no_hops)).is_ok()).count();
+    assert!(forwarded <= 4, "{forwarded} at one moment");
+    assert!(site.status(now).rate_per_second < before / 2.0);
 }
 
 /// A far site that turns slow without an error is given less, and never what its clients' time does not allow.
 #[test]
-fn a_slow_far_site_gets_less() {
-    let none = Hops::default();
-    let (mut site, mut now) = going(rules());
-    let mut most = 0;
-    for slow in [400 * MS, 4 * S, 40 * S] {
-        let mut out: Vec<Nanos> = Vec::new();
-        most = 0;
+fn a_slow_remote_site_gets_fewer_requests() {
+    let no_hops = Hops::default();
+    let (mut site, mut now) = spilling_site(rules());
+    let mut max_in_flight = 0;
+    for latency in [400 * MILLISECOND, 4 * SECOND, 40 * SECOND] {
+        let mut in_flight: Vec<Nanos> = Vec::new();
+        max_in_flight = 0;
         for step in 0..3_000 {
-            now += MS;
-            site.arrived(now, true, true);
-            out.retain(|due| {
-                let over = *due <= now;
-                if over {
+            now += MILLISECOND;
+            site.record_arrival(now, true, true);
+            in_flight.retain(|due| {
+                let has_ended = *due <= now;
+                if has_ended {
                     // Their clients wait 600 ms.
-                    let in_time = slow < 600 * MS;
-                    site.ended(now, if in_time { Ending::Ok } else { Ending::TimedOut }, slow.min(600 * MS));
+                    let in_time = latency < 600 * MILLISECOND;
+                    site.record_ending(
+                        now,
+                        if in_time { Ending::Ok } else { Ending::TimedOut },
+                        latency.min(600 * MILLISECOND),
+                    );
                 }
-                !over
+                !has_ended
             });
-            if site.offer(now, &Ask { left: 600 * MS, ..ask(&none) }).is_ok() {
-                out.push(now + slow.min(600 * MS));
+            if site
+                .try_forward(now, &Candidate { remaining: 600 * MILLISECOND, ..candidate(&no_hops) })
+                .is_ok()
+            {
+                in_flight.push(now + latency.min(600 * MILLISECOND));
             }
             if step > 2_000 {
-                most = most.max(out.len());
+                max_in_flight = max_in_flight.max(in_flight.len());
             }
         }
-        out.iter().for_each(|_| site.ended(now, Ending::Cancelled, 0));
+        in_flight.iter().for_each(|_| site.record_ending(now, Ending::Cancelled, 0));
     }
-    assert!(most <= 3, "{most} out at a far site that takes 40 s");
+    assert!(max_in_flight <= 3, "{max_in_flight} out at a far site that takes 40 s");
 }
 
 proptest! {
     /// Whatever happens: no unsafe request that may have run goes, nor more at once than allowed, and the count of
     /// what is out is right.
     #[test]
-    fn the_rules_hold(events in prop::collection::vec((0u8..8, 0u64..400, any::<bool>(), any::<bool>()), 1..400)) {
-        let none = Hops::default();
-        let mut site = Site::new(Rules { concurrency: 10, ..rules() }, 5);
-        let (mut now, mut out) = (S, 0u32);
-        for (kind, wait, flag, other) in events {
-            now += wait * MS;
-            let effect = if other { Effect::Safe } else { Effect::Unsafe };
-            match kind {
+    fn forwarding_rules_hold_for_any_events(
+        events in prop::collection::vec((0u8..8, 0u64..400, any::<bool>(), any::<bool>()), 1..400),
+    ) {
+        let no_hops = Hops::default();
+        let mut site = RemoteSite::new(ForwardingRules { max_concurrency: 10, ..rules() }, 5);
+        let (mut now, mut in_flight) = (SECOND, 0u32);
+        for (event, wait_ms, flag, is_safe) in events {
+            now += wait_ms * MILLISECOND;
+            let effect = if is_safe { Effect::Safe } else { Effect::Unsafe };
+            match event {
                 0..=3 => {
-                    site.arrived(now, true, flag);
-                    let asked = Ask { effect, may_have_run: flag, again: flag, ..ask(&none) };
-                    let gate = site.standing(now).gate;
-                    if site.offer(now, &asked).is_ok() {
-                        out += 1;
-                        prop_assert!(effect == Effect::Safe || (!flag && gate == Gate::Closed));
-                        prop_assert!(gate != Gate::Open);
+                    site.record_arrival(now, true, flag);
+                    let candidate =
+                        Candidate { effect, may_have_run: flag, is_retry: flag, ..candidate(&no_hops) };
+                    let circuit = site.status(now).circuit;
+                    if site.try_forward(now, &candidate).is_ok() {
+                        in_flight += 1;
+                        prop_assert!(effect == Effect::Safe || (!flag && circuit == CircuitState::Closed));
+                        prop_assert!(circuit != CircuitState::Open);
                     }
                 }
-                4 | 5 if out > 0 => {
-                    out -= 1;
-                    site.ended(now, if flag { Ending::Ok } else { Ending::TimedOut }, wait * MS);
+                4 | 5 if in_flight > 0 => {
+                    in_flight -= 1;
+                    site.record_ending(now, if flag { Ending::Ok } else { Ending::TimedOut }, wait_ms * MILLISECOND);
                 }
-                6 if out > 0 => {
-                    out -= 1;
-                    site.ended(now, if flag { Ending::Full } else { Ending::Cancelled }, 0);
+                6 if in_flight > 0 => {
+                    in_flight -= 1;
+                    site.record_ending(now, if flag { Ending::Full } else { Ending::Cancelled }, 0);
                 }
-                7 if flag => site.lost(now),
-                _ => site.pinged(wait * MS / 10),
+                7 if flag => site.on_link_lost(now),
+                _ => site.record_ping(wait_ms * MILLISECOND / 10),
             }
-            prop_assert_eq!(site.standing(now).out, out);
-            prop_assert!(out <= 10);
+            prop_assert_eq!(site.status(now).in_flight, in_flight);
+            prop_assert!(in_flight <= 10);
         }
     }
 }
