--- a/crates/remote-site/src/circuit_breaker.rs
+++ b/crates/remote-site/src/circuit_breaker.rs
@@ -1,37 +1,38 @@
-//! Whether a far site is asked at all.
+//! A circuit breaker with the states closed, open and half-open.
 //!
-//! A breaker in the usual three states. What is tried while it is half open is safe requests only: nothing that must
-//! not run twice is spent on finding out.
+//! The caller should send only safe requests as probes while the circuit is half-open: a failed probe may
+//! have run.
 
 use corkhollow_balance::interface::Nanos;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Failures are weighed over about so many endings.
+/// Number of recent responses that the moving average of the failure rate covers.
 const FAILURE_RATE_WINDOW_RESPONSES: f64 = 20.0;
-/// The breaker opens where more than this part of them are failures, and not before so many have been seen.
+/// The circuit opens when the failure rate exceeds this.
 const FAILURE_RATE_TO_OPEN: f64 = 0.5;
+/// Fewer responses than this never open the circuit.
 const MIN_RESPONSES_TO_OPEN: f64 = 8.0;
-/// Trials that have to go well, one after the other.
+/// Consecutive successful probes that close a half-open circuit.
 const PROBES_TO_CLOSE: u32 = 3;
-/// The pause doubles with each failed trial, up to this many times the first.
+/// The open time doubles with each failed probe, up to this multiple of the base open time.
 const MAX_OPEN_TIME_MULTIPLE: u32 = 32;
 
-/// What the breaker lets through.
+/// Which requests the circuit breaker admits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CircuitState {
-    /// All.
+    /// All requests.
     Closed,
-    /// One safe request at a time.
+    /// One safe request as a probe.
     HalfOpen,
-    /// Nothing.
+    /// No requests: the circuit is open, or it is half-open and a probe is in flight.
     Open,
 }
 
-/// See the module's documentation.
+/// A circuit breaker; see the [module documentation](self).
 #[derive(Clone, Debug)]
 pub struct CircuitBreaker {
-    /// The first pause.
+    /// Open time, before jitter, when the circuit opens from closed.
     base_open_time: Nanos,
     state: State,
     failure_rate: f64,
@@ -42,12 +43,12 @@
 #[derive(Clone, Copy, Debug)]
 enum State {
     Closed,
-    /// Nothing goes before `until`; `times` the first pause.
+    /// No requests are admitted before `until`.
     Open {
         until: Nanos,
         open_time_multiple: u32,
     },
-    /// So many trials have gone well, and one may be out.
+    /// `successes` counts consecutive successful probes.
     HalfOpen {
         successes: u32,
         probe_in_flight: bool,
@@ -56,13 +57,14 @@
 }
 
 impl CircuitBreaker {
-    /// Closed; `pause` is how long it stays open the first time, drawn from half to one and a half of that.
+    /// Creates a closed circuit breaker. The first open time is random, between 0.5 and 1.5 times
+    /// `base_open_time`.
     pub fn new(base_open_time: Nanos, seed: u64) -> Self {
         let rng = Pcg64Mcg::seed_from_u64(seed);
         CircuitBreaker { base_open_time, state: State::Closed, failure_rate: 0.0, response_count: 0.0, rng }
     }
 
-    /// What it lets through now.
+    /// Returns which requests are admitted at `now`.
     pub fn state_at(&self, now: Nanos) -> CircuitState {
         match self.state {
             State::Closed => CircuitState::Closed,
@@ -72,7 +74,7 @@
         }
     }
 
-    /// A request is sent through it.
+    /// Records that an admitted request was sent; after the open time, the request is a probe.
     pub fn on_request_sent(&mut self, now: Nanos) {
         match &mut self.state {
             State::Open { until, open_time_multiple } if now >= *until => {
@@ -87,7 +89,7 @@
         }
     }
 
-    /// A request has been answered, well or badly; true where the far site is back with it.
+    /// Records the outcome of a request. Returns true if it closes a half-open circuit.
     pub fn record_response(&mut self, now: Nanos, failed: bool) -> bool {
         match self.state {
             State::Closed => {
@@ -101,7 +103,7 @@
                 }
                 false
             }
-            // From before it opened.
+            // The request was sent before the circuit opened.
             State::Open { .. } => false,
             State::HalfOpen { open_time_multiple, .. } if failed => {
                 self.open(now, (open_time_multiple * 2).min(MAX_OPEN_TIME_MULTIPLE));
@@ -119,14 +121,14 @@
         }
     }
 
-    /// A trial has ended without a word on the far site.
+    /// Admits another probe after one ended without telling whether the remote site is available.
     pub fn release_probe(&mut self) {
         if let State::HalfOpen { probe_in_flight, .. } = &mut self.state {
             *probe_in_flight = false;
         }
     }
 
-    /// The link is known to be lost.
+    /// Opens the circuit because the link to the remote site is down.
     pub fn on_link_lost(&mut self, now: Nanos) {
         let open_time_multiple = match self.state {
             State::Closed => 1,
@@ -139,7 +141,7 @@
     }
 
     fn open(&mut self, now: Nanos, open_time_multiple: u32) {
-        // Nodes that lost it at the same moment must not all come back at the same moment.
+        // Jitter: nodes that lost the link at the same moment must not all probe at the same moment.
         let jitter = 0.5 + f64::from(self.rng.next_u32()) / f64::from(u32::MAX);
         let open_time = self.base_open_time as f64 * f64::from(open_time_multiple) * jitter;
         self.state = State::Open { until: now.saturating_add(open_time as Nanos), open_time_multiple };
@@ -167,12 +169,12 @@
         (0..7).for_each(|_| {
             breaker.record_response(0, true);
         });
-        assert_eq!(breaker.state_at(0), CircuitState::Closed, "too few to tell");
+        assert_eq!(breaker.state_at(0), CircuitState::Closed, "too few responses");
         let mut breaker = CircuitBreaker::new(SECOND, 1);
         (0..300).for_each(|k| {
             breaker.record_response(0, k % 3 == 0);
         });
-        assert_eq!(breaker.state_at(0), CircuitState::Closed, "a third");
+        assert_eq!(breaker.state_at(0), CircuitState::Closed, "a third of the responses failed");
     }
 
     #[test]
@@ -183,17 +185,17 @@
         for probe in 0..3 {
             assert_eq!(breaker.state_at(now), CircuitState::HalfOpen);
             breaker.on_request_sent(now);
-            assert_eq!(breaker.state_at(now), CircuitState::Open, "one is out");
+            assert_eq!(breaker.state_at(now), CircuitState::Open, "one probe is in flight");
             assert_eq!(breaker.record_response(now, false), probe == 2);
         }
         assert_eq!(breaker.state_at(now), CircuitState::Closed);
         assert!(
             !breaker.record_response(now, true) && breaker.state_at(now) == CircuitState::Closed,
-            "it begins anew"
+            "closing resets the failure rate"
         );
     }
 
-    /// A link that is up for 300 ms and down for 300 ms is asked more and more rarely.
+    /// The link is up for 300 ms and down for 300 ms; every probe is sent while it is down.
     #[test]
     fn a_flapping_link_is_probed_less_and_less_often() {
         let mut breaker = CircuitBreaker::new(SECOND, 7);
@@ -213,7 +215,7 @@
         }
         assert!(
             probe_count < 20 && late_probe_count < 5,
-            "{probe_count}, {late_probe_count} of them in the second minute"
+            "{probe_count} probes, {late_probe_count} of them in the second minute"
         );
     }
 
@@ -224,10 +226,6 @@
         assert_eq!(breaker.state_at(0), CircuitState::Open);
         breaker.on_request_sent(3 * SECOND);
         breaker.release_probe();
-        assert_eq!(
-            breaker.state_at(3 * SECOND),
-            CircuitState::HalfOpen,
-            "a trial that told nothing is made again"
-        );
+        assert_eq!(breaker.state_at(3 * SECOND), CircuitState::HalfOpen, "an inconclusive probe is repeated");
     }
 }
--- a/crates/remote-site/src/concurrency_limit.rs
+++ b/crates/remote-site/src/concurrency_limit.rs
@@ -1,37 +1,38 @@
-//! How many requests a far site is given at once, by what their time says.
+//! An adaptive limit on the requests in flight to a remote site, based on their latency.
 //!
-//! The gradient of Netflix's concurrency-limits: the limit shrinks as answers take longer than they usually do and
-//! grows by a margin for queues while they do not. What is usual is not their long average, which an overload drags
-//! along, nor the shortest time ever seen, as in Vegas, which a longer way would never reach again.
+//! Like the gradient algorithm of Netflix's concurrency-limits: the limit shrinks while latency exceeds a
+//! baseline, and otherwise grows by a margin for queueing. The baseline follows faster responses quickly and
+//! slower ones slowly. A long-term average would rise during an overload; the minimum ever seen, as in Vegas,
+//! would never adapt to a longer network path.
 
 use crate::as_seconds;
 use corkhollow_balance::interface::Nanos;
 
-/// The limit with which a site begins that is not known yet.
 const INITIAL_LIMIT: f64 = 4.0;
-/// What a far site is left with at least, so that its recovery can be seen.
+/// At least one request stays allowed, so that a recovery is noticed.
 const MIN_LIMIT: f64 = 1.0;
-/// Answers may take this many times their usual time before the limit shrinks.
+/// The limit shrinks when the latency exceeds this multiple of the baseline.
 const LATENCY_TOLERANCE: f64 = 1.5;
-/// How far one answer moves the limit.
+/// Fraction of its distance from the target that the limit moves with one response.
 const LIMIT_SMOOTHING: f64 = 0.2;
-/// The usual time follows quicker answers by this part ...
+/// Fraction of the difference by which a faster response lowers the baseline.
 const FASTER_SAMPLE_WEIGHT: f64 = 0.5;
-/// ... and slower ones by e in this time: a longer way has to become usual by and by, an overload must not.
+/// Slower responses raise the baseline by at most a factor of e in this time: slow enough that an overload
+/// does not become the baseline, while a longer network path does.
 const BASELINE_GROWTH_NANOS: Nanos = 600_000_000_000;
 
-/// A limit on what is out at once.
+/// An adaptive concurrency limit; see the [module documentation](self).
 #[derive(Clone, Copy, Debug)]
 pub struct ConcurrencyLimit {
     limit: f64,
     max_limit: f64,
-    /// What answers usually take, in seconds; none before the first.
+    /// Expected latency without overload; none before the first response.
     baseline_seconds: Option<f64>,
     updated_at: Nanos,
 }
 
 impl ConcurrencyLimit {
-    /// No answer seen yet; never more than `most`.
+    /// Creates a limit that never exceeds `max_limit`.
     pub fn new(max_limit: u32) -> Self {
         let max_limit = f64::from(max_limit).max(MIN_LIMIT);
         ConcurrencyLimit {
@@ -42,12 +43,12 @@
         }
     }
 
-    /// How many may be out at once.
+    /// Returns how many requests may be in flight.
     pub fn current(&self) -> u32 {
         self.limit as u32
     }
 
-    /// An answer has come that took so long, while so many were out with it.
+    /// Records a response; `in_flight` counts the requests that were in flight, including this one.
     pub fn record_response(&mut self, now: Nanos, latency: Nanos, in_flight: u32) {
         let latency_seconds = as_seconds(latency).max(1e-6);
         let baseline_seconds = self.baseline_seconds.get_or_insert(latency_seconds);
@@ -58,7 +59,7 @@
             *baseline_seconds = (*baseline_seconds * elapsed_ratio.min(1.0).exp()).min(latency_seconds);
         }
         self.updated_at = self.updated_at.max(now);
-        // What is not used says nothing of what more would do.
+        // A limit that is not used is not evidence that a higher one is safe.
         if f64::from(in_flight) < self.limit / 2.0 {
             return;
         }
@@ -67,12 +68,12 @@
         self.limit = (self.limit + (target - self.limit) * LIMIT_SMOOTHING).clamp(MIN_LIMIT, self.max_limit);
     }
 
-    /// One had no answer in time, or was turned away as too much.
+    /// Records a request that timed out or was refused for lack of capacity.
     pub fn record_drop(&mut self) {
         self.limit = (self.limit * 0.9).max(MIN_LIMIT);
     }
 
-    /// It is not known any more: the far site was away.
+    /// Returns to the initial state, after the remote site was unavailable.
     pub fn reset(&mut self) {
         *self = ConcurrencyLimit::new(self.max_limit as u32);
     }
@@ -84,7 +85,8 @@
 
     const MILLISECOND: Nanos = 1_000_000;
 
-    /// A far site with so many workers of 50 ms, and as much out as the limit allows: the limit that is found.
+    /// Simulates a remote site with `workers` that take 50 ms each, always at the limit; returns the
+    /// resulting limit.
     fn converge(limit: &mut ConcurrencyLimit, workers: u32, rounds: u64) -> u32 {
         for round in 0..rounds {
             let in_flight = limit.current();
@@ -107,7 +109,7 @@
         assert_eq!(converge(&mut ConcurrencyLimit::new(10), 100, 1000), 10);
     }
 
-    /// 400 ms, then 4 s, then 40 s, without an error.
+    /// The latency rises to 400 ms, 4 s and 40 s, without an error.
     #[test]
     fn the_limit_shrinks_when_the_remote_site_turns_slow() {
         let mut limit = ConcurrencyLimit::new(1000);
@@ -124,12 +126,11 @@
             );
             last = limit.current();
         }
-        // Where halving and the margin for queues balance.
+        // The minimum gradient of 0.5 and the margin for queueing balance at 4.
         assert!(last <= 4, "{last}");
-        assert!(converge(&mut limit, 50, 3000) >= 50, "it comes back: {}", limit.current());
+        assert!(converge(&mut limit, 50, 3000) >= 50, "the limit recovers: {}", limit.current());
     }
 
-    /// A way that has become longer for good is usual after some time.
     #[test]
     fn a_permanently_longer_round_trip_becomes_the_baseline() {
         let mut limit = ConcurrencyLimit::new(50);
--- a/crates/remote-site/src/hops.rs
+++ b/crates/remote-site/src/hops.rs
@@ -1,35 +1,35 @@
-//! The sites that a request has passed: a loop is refused, and so is a way that is too long.
+//! The list of sites that a request has passed through, used to refuse loops and too many hops.
 
-/// Names that a list may hold at most, whatever the settings say.
+/// Upper bound on the length of a list, whatever the configured hop limit.
 const MAX_SITES: usize = 16;
-/// The longest name, in bytes.
 const MAX_SITE_NAME_BYTES: usize = 64;
 
-/// The sites that a request has passed, the first one first. It travels as one header line: names with `, ` between.
+/// The sites that a request has passed through, oldest first. Sent as a header value: names separated by `,
+/// `.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Hops(Vec<String>);
 
-/// Why a request may not go further. It has not run.
+/// Why a request is refused because of its hop list. It has not run.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HopError {
-    /// It has been here.
-    #[error("it has passed {0} already")]
+    /// The request has already passed through this site.
+    #[error("the request has already passed through site {0}")]
     Loop(String),
-    /// It has passed as many sites as it may.
-    #[error("it has passed {0} sites already, and no more are allowed")]
+    /// The request has passed through the given number of sites, and the hop limit allows no more.
+    #[error("the request has passed through {0} sites, and the hop limit allows no more")]
     TooMany(usize),
 }
 
-/// A line that is no list of sites.
+/// A header value is not a valid hop list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("a list of sites is at most 16 names of letters, digits, `-`, `_` and `.`, each at most 64 long, with commas")]
+#[error("invalid hop list: expected at most 16 comma-separated site names of 1 to 64 letters, digits, `-`, `_` or `.`")]
 pub struct InvalidHops;
 
 impl Hops {
-    /// Reads the header line of a request; an empty one is an empty list.
+    /// Parses the header value of a request; a blank value is an empty list.
     ///
     /// # Errors
-    /// Where the line is none that a gateway writes.
+    /// If a name is empty, too long or has other characters, or if there are too many names.
     pub fn parse(line: &str) -> Result<Self, InvalidHops> {
         if line.trim().is_empty() {
             return Ok(Hops::default());
@@ -40,27 +40,27 @@
                 !name.is_empty() && name.len() <= MAX_SITE_NAME_BYTES && name.bytes().all(is_allowed);
             is_valid.then(|| name.to_owned()).ok_or(InvalidHops)
         };
-        // Counted before anything is kept: a peer's line must not cost memory.
+        // Counted before any name is copied, so that a long header does not allocate.
         if line.split(',').nth(MAX_SITES).is_some() {
             return Err(InvalidHops);
         }
         line.split(',').map(|name| parse_name(name.trim())).collect::<Result<_, _>>().map(Hops)
     }
 
-    /// How many sites it has passed.
+    /// Returns the number of sites that the request has passed through.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether it has passed none.
+    /// Returns whether the request has passed through no site yet.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// The list with which a request leaves `own` for `next`.
+    /// Returns the list that a request carries from `local_site` to `next_site`.
     ///
     /// # Errors
-    /// Where it has been at either, or the list would be longer than `most`.
+    /// If the request has passed through either site, or the new list would be longer than `max_hops`.
     pub fn forwarded(&self, local_site: &str, next_site: &str, max_hops: usize) -> Result<Hops, HopError> {
         if let Some(seen) = self.0.iter().find(|name| *name == local_site || *name == next_site) {
             return Err(HopError::Loop(seen.clone()));
@@ -73,10 +73,10 @@
         Ok(Hops(sites))
     }
 
-    /// Whether a request with this list may be taken at `own`.
+    /// Checks whether `local_site` may accept a request that arrived with this list.
     ///
     /// # Errors
-    /// Where it has been here, or has passed more than `most`.
+    /// If the request has passed through `local_site`, or through more than `max_hops` sites.
     pub fn check_arrival(&self, local_site: &str, max_hops: usize) -> Result<(), HopError> {
         match self.0.iter().find(|name| *name == local_site) {
             Some(seen) => Err(HopError::Loop(seen.clone())),
--- a/crates/remote-site/src/lib.rs
+++ b/crates/remote-site/src/lib.rs
@@ -1,9 +1,11 @@
-//! A far site as the last resort of a near one: which requests go there, how much, and when.
+//! Decides which requests that the local site cannot serve are forwarded to a remote site, how many, and
+//! when.
 //!
-//! Nothing is known of the far site but what the requests that went there tell of it. The parts are small and know
-//! nothing of each other: [`spill`] (when it begins and how it grows), [`limit`] (how much at once), [`breaker`]
-//! (whether it answers at all), [`budget`] (repeats), [`trip`] (the time that the way takes), [`hops`] (loops).
-//! [`site`] puts them together. All are given the time; none reads a clock, a socket or a file.
+//! The remote site is observed only through the requests forwarded to it and the PINGs on the link. The
+//! modules are independent of each other: [`spillover`] (when forwarding starts and how fast it ramps up),
+//! [`concurrency_limit`] (requests in flight), [`circuit_breaker`] (whether the remote site is available),
+//! [`retry_budget`] (retries), [`round_trip`] (deadlines) and [`hops`] (loop prevention). [`site`] combines
+//! them. The caller passes in the current time; nothing here reads a clock, a socket or a file.
 
 pub mod circuit_breaker;
 pub mod concurrency_limit;
@@ -13,7 +15,6 @@
 pub mod site;
 pub mod spillover;
 
-/// Seconds of a time in nanoseconds.
 fn as_seconds(duration: corkhollow_balance::interface::Nanos) -> f64 {
     duration as f64 / 1e9
 }
--- a/crates/remote-site/src/retry_budget.rs
+++ b/crates/remote-site/src/retry_budget.rs
@@ -1,15 +1,14 @@
-//! How many requests may cross the link a second time: a part of those that crossed it once, by class and tenant.
+//! Retry budgets: limit retries over the link to a fraction of first attempts, per class and tenant.
 
 use std::collections::HashMap;
 
-/// What one request earns towards a repeat.
+/// Each first attempt adds this many tokens; a retry costs one.
 const TOKENS_PER_REQUEST: f64 = 0.1;
-/// The most that is saved up.
 const MAX_TOKENS: f64 = 10.0;
-/// Purses kept apart; tenants beyond them share one for each class.
+/// Once there are this many budgets, new tenants share one budget per class.
 const MAX_BUDGETS: usize = 1024;
 
-/// Purses by class and tenant.
+/// Token balances by class and tenant.
 #[derive(Clone, Debug, Default)]
 pub struct RetryBudgets(HashMap<(u8, u32), f64>);
 
@@ -19,18 +18,18 @@
         self.0.entry((class, if has_own_budget { tenant } else { u32::MAX })).or_insert(1.0)
     }
 
-    /// A request crosses the link for the first time.
+    /// Adds tokens for a first attempt.
     pub fn deposit(&mut self, class: u8, tenant: u32) {
         let tokens = self.tokens_mut(class, tenant);
         *tokens = (*tokens + TOKENS_PER_REQUEST).min(MAX_TOKENS);
     }
 
-    /// Whether a repeat may cross it.
+    /// Returns whether the budget covers a retry.
     pub fn can_retry(&mut self, class: u8, tenant: u32) -> bool {
         *self.tokens_mut(class, tenant) >= 1.0
     }
 
-    /// A repeat crosses it.
+    /// Takes the token of a retry.
     pub fn withdraw(&mut self, class: u8, tenant: u32) {
         let tokens = self.tokens_mut(class, tenant);
         *tokens = (*tokens - 1.0).max(0.0);
@@ -56,7 +55,10 @@
             retries
         };
         assert!((100..=101).contains(&count_retries(1, 1000)));
-        assert!((10..=11).contains(&count_retries(2, 100)), "another's greed costs it nothing");
+        assert!(
+            (10..=11).contains(&count_retries(2, 100)),
+            "one tenant's retries do not use up another's budget"
+        );
     }
 
     #[test]
--- a/crates/remote-site/src/round_trip.rs
+++ b/crates/remote-site/src/round_trip.rs
@@ -1,15 +1,16 @@
-//! The time that the way to a far site and back takes, as its PINGs measure it.
+//! Estimates the round-trip time to a remote site from PINGs.
 
 use corkhollow_balance::interface::Nanos;
 
-/// Smoothed round trip and its variation (RFC 6298, 2).
+/// Round-trip time estimator (RFC 6298, section 2).
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RoundTripTime {
+    /// Smoothed round-trip time and its variation, in nanoseconds.
     estimate: Option<(f64, f64)>,
 }
 
 impl RoundTripTime {
-    /// Takes one round trip into account.
+    /// Adds a measured round-trip time to the estimate.
     pub fn record_sample(&mut self, sample: Nanos) {
         let sample = sample as f64;
         self.estimate = Some(match self.estimate {
@@ -20,14 +21,14 @@
         });
     }
 
-    /// A round trip that few exceed; 0 where none was measured.
+    /// Returns a bound that few round trips exceed; 0 without a measurement.
     pub fn upper_bound(&self) -> Nanos {
         self.estimate.map_or(0, |(smoothed, variation)| (smoothed + 4.0 * variation) as Nanos)
     }
 
-    /// What a far site has for a request that has this left here; none where the way takes it all.
+    /// Returns how much of a request's remaining time is left after the round trip, if any.
     ///
-    /// Deadlines travel as durations: the clocks of two sites need not agree.
+    /// The deadline is a duration because the clocks of two sites may differ.
     pub fn remaining_at_remote(&self, remaining: Nanos) -> Option<Nanos> {
         remaining.checked_sub(self.upper_bound()).filter(|remaining| *remaining > 0)
     }
@@ -52,7 +53,7 @@
         round_trip.record_sample(1_000);
         assert!(
             round_trip.upper_bound() > 1_000,
-            "one late trip makes room for the next: {}",
+            "a slow round trip raises the bound: {}",
             round_trip.upper_bound()
         );
     }
--- a/crates/remote-site/src/site.rs
+++ b/crates/remote-site/src/site.rs
@@ -1,4 +1,5 @@
-//! One far site: whether a request that the near site has turned away goes there, and what becomes of it.
+//! Decides whether a request that the local site refused is forwarded to a remote site, and records its
+//! outcome.
 
 use crate::circuit_breaker::{CircuitBreaker, CircuitState};
 use crate::concurrency_limit::ConcurrencyLimit;
@@ -8,110 +9,112 @@
 use crate::spillover::{Spillover, SpilloverLimits};
 use corkhollow_balance::interface::{Effect, Ending, Nanos};
 
-/// What the operator allows.
+/// What the operator allows to be forwarded.
 #[derive(Clone, Debug)]
 pub struct ForwardingRules {
-    /// The near site's name, as hop lists say it.
+    /// Name of the local site in hop lists.
     pub local_site: String,
-    /// The far site's name.
+    /// Name of the remote site in hop lists.
     pub remote_site: String,
-    /// Classes that may go, by their index.
+    /// Whether requests of a class may be forwarded, by class index.
     pub allowed_classes: Vec<bool>,
-    /// Tenants that may go, by their index; none for all, those without a name too.
+    /// Tenants whose requests may be forwarded, by tenant index. None allows all requests, including those
+    /// without a tenant.
     pub allowed_tenants: Option<Vec<u32>>,
-    /// How much may go.
+    /// Limits on the rate of forwarded requests.
     pub spillover_limits: SpilloverLimits,
-    /// Most requests that are there at once.
+    /// Upper bound of the adaptive limit on requests in flight.
     pub max_concurrency: u32,
-    /// Most sites that a request may have passed.
+    /// Maximum length of the hop list of a forwarded request.
     pub max_hops: usize,
-    /// The far site's servers drop repeats of what ran here, and the other way round.
+    /// The servers of both sites form one idempotency group: each drops repeats of requests that ran at the
+    /// other.
     pub same_idempotency_group: bool,
-    /// How long it is left alone after it has failed.
+    /// Base open time of the circuit breaker.
     pub breaker_open_time: Nanos,
 }
 
-/// A request that the near site does not serve.
+/// A request that the local site does not serve.
 #[derive(Clone, Debug)]
 pub struct Candidate<'a> {
-    /// Its class.
+    /// Index of the class.
     pub class: u8,
-    /// Its tenant; `u32::MAX` for none.
+    /// Index of the tenant; `u32::MAX` for none.
     pub tenant: u32,
-    /// What its class permits.
+    /// Whether the request may run twice.
     pub effect: Effect,
-    /// How long its client still waits.
+    /// Time until the client gives up.
     pub remaining: Nanos,
-    /// Sites that it has passed.
+    /// Sites that the request has passed through.
     pub hops: &'a Hops,
-    /// An earlier attempt, here or there, may have run it.
+    /// An earlier attempt may have run, at either site.
     pub may_have_run: bool,
-    /// It has crossed this link before, or still does.
+    /// The request was forwarded over this link before; the earlier attempt may still be in flight.
     pub is_retry: bool,
 }
 
-/// Why a request does not go.
+/// Why a request is not forwarded.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum NotForwarded {
-    /// The near site serves nearly all that comes.
-    #[error("the near site turns too little away")]
+    /// The local site is not overloaded, so spillover is inactive.
+    #[error("spillover is inactive: the local site is not overloaded")]
     NoOverload,
-    /// Its class may not.
-    #[error("its class may not go")]
+    /// Requests of this class may not be forwarded.
+    #[error("requests of this class may not be forwarded")]
     ClassNotAllowed,
-    /// Its tenant may not.
-    #[error("its tenant may not go")]
+    /// Requests of this tenant may not be forwarded.
+    #[error("requests of this tenant may not be forwarded")]
     TenantNotAllowed,
-    /// A loop, or too long a way.
+    /// The request would loop or exceed the hop limit.
     #[error(transparent)]
     Hops(#[from] HopError),
-    /// It may have run, and must not run twice.
-    #[error("it may have run already")]
+    /// The request may have run already and must not run twice.
+    #[error("the request may have run already and must not run twice")]
     MayHaveRun,
-    /// The way there and back takes longer than its client waits.
-    #[error("the way takes longer than its client waits")]
+    /// The client gives up before a response could arrive.
+    #[error("the round trip takes longer than the client waits")]
     TooLate,
-    /// The far site does not answer.
-    #[error("the far site does not answer")]
+    /// The circuit is open, or half-open and not admitting this request.
+    #[error("the circuit breaker of the remote site is open")]
     CircuitOpen,
-    /// As much is there as it can do.
-    #[error("the far site has as much as it can do")]
+    /// The limit on requests in flight is reached.
+    #[error("the concurrency limit of the remote site is reached")]
     ConcurrencyLimited,
-    /// As many have gone of late as may.
-    #[error("as many have gone as may for now")]
+    /// The limit on the rate of forwarded requests is reached.
+    #[error("the rate limit on forwarded requests is reached")]
     RateLimited,
-    /// Its class and tenant have had their repeats.
-    #[error("no repeat is left for its class and tenant")]
+    /// The retry budget of the class and tenant is used up.
+    #[error("the retry budget of the class and tenant is used up")]
     RetryBudgetExhausted,
 }
 
-/// A request on its way.
+/// What a forwarded request carries.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Forward {
-    /// What the far site is told that it has.
+    /// Time that the remote site has to answer.
     pub remaining: Nanos,
-    /// The list of sites that it travels with.
+    /// Hop list that includes the local site.
     pub hops: Hops,
 }
 
-/// How a far site stands, for the log and the metrics.
+/// State of a remote site, for the log and metrics.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Status {
-    /// Whether requests go.
+    /// Whether spillover is active.
     pub spilling: bool,
-    /// What the breaker lets through.
+    /// Which requests the circuit breaker admits.
     pub circuit: CircuitState,
-    /// Requests a second that may go.
+    /// Rate at which requests may be forwarded now.
     pub rate_per_second: f64,
-    /// Requests that are there.
+    /// Forwarded requests in flight.
     pub in_flight: u32,
-    /// Requests that may be there at once.
+    /// Current limit on requests in flight.
     pub concurrency_limit: u32,
-    /// The round trip with its variation.
+    /// Upper bound of the estimated round-trip time.
     pub round_trip: Nanos,
 }
 
-/// One far site as the near one sees it.
+/// A remote site as seen by the local site.
 #[derive(Clone, Debug)]
 pub struct RemoteSite {
     rules: ForwardingRules,
@@ -124,7 +127,7 @@
 }
 
 impl RemoteSite {
-    /// Nothing known yet. The seed settles its random draws.
+    /// Creates a remote site with no measurements. The seed determines the jitter of the circuit breaker.
     pub fn new(rules: ForwardingRules, seed: u64) -> Self {
         RemoteSite {
             spillover: Spillover::new(rules.spillover_limits),
@@ -137,20 +140,22 @@
         }
     }
 
-    /// A request came to the near site, which has taken it or turned it away; `nobody` where it has no server.
+    /// Records a request at the local site and whether it was refused; `has_no_server` if no server is
+    /// available.
     pub fn record_arrival(&mut self, now: Nanos, refused: bool, has_no_server: bool) {
         self.spillover.record_arrival(now, refused, has_no_server);
     }
 
-    /// A PING has come back.
+    /// Records the round-trip time of a PING.
     pub fn record_ping(&mut self, round_trip: Nanos) {
         self.round_trip.record_sample(round_trip);
     }
 
-    /// Whether a request goes that the near site has turned away. One that does is out until [`Site::ended`].
+    /// Decides whether to forward a request that the local site refused. A forwarded request is in flight
+    /// until [`RemoteSite::record_ending`].
     ///
     /// # Errors
-    /// Why it stays: nothing of it has left.
+    /// Why the request is not forwarded; nothing of it has been sent.
     pub fn try_forward(&mut self, now: Nanos, candidate: &Candidate<'_>) -> Result<Forward, NotForwarded> {
         let rules = &self.rules;
         if !rules.allowed_classes.get(usize::from(candidate.class)).copied().unwrap_or(false) {
@@ -196,7 +201,7 @@
         Ok(Forward { remaining, hops })
     }
 
-    /// What became of a request that went; each is told of once.
+    /// Records how a forwarded request ended; called once for each.
     pub fn record_ending(&mut self, now: Nanos, ending: Ending, latency: Nanos) {
         let in_flight = self.in_flight;
         self.in_flight = in_flight.saturating_sub(1);
@@ -205,12 +210,12 @@
                 self.limit.record_response(now, latency, in_flight);
                 false
             }
-            // It answers, and has no room.
+            // The remote site is available but has no capacity.
             Ending::Full => {
                 self.limit.record_drop();
                 false
             }
-            // Evidence on the request, or none at all.
+            // These tell nothing about the health of the remote site.
             Ending::Rejected | Ending::Cancelled | Ending::NotSent => return self.breaker.release_probe(),
             Ending::TimedOut => {
                 self.limit.record_drop();
@@ -223,7 +228,8 @@
         }
     }
 
-    /// The link is known to be lost. What was out is told of one by one.
+    /// Opens the circuit because the link is down. The requests in flight are still reported one by one with
+    /// [`RemoteSite::record_ending`].
     pub fn on_link_lost(&mut self, now: Nanos) {
         self.breaker.on_link_lost(now);
     }
@@ -233,7 +239,7 @@
         self.limit.reset();
     }
 
-    /// How it stands.
+    /// Returns the current state.
     pub fn status(&self, now: Nanos) -> Status {
         Status {
             spilling: self.spillover.is_active(),
--- a/crates/remote-site/src/spillover.rs
+++ b/crates/remote-site/src/spillover.rs
@@ -1,44 +1,46 @@
-//! When requests begin to go to a far site, how their rate grows, and when they stay again.
+//! When spillover to a remote site starts and stops, and how its rate ramps up.
 //!
-//! It begins when the near site turns away more than [`BEGIN`] of what comes, or has nobody at all to serve it, and
-//! ends below [`END`]: what goes was turned away here as well, so that the spill does not hide its own cause. The
-//! rate grows over the ramp, for a far site that was idle has cold servers, and falls as slowly when nothing goes.
+//! Spillover starts when the local site refuses more than [`START_REFUSED_SHARE`] of the arrivals or has no
+//! server, and stops below [`STOP_REFUSED_SHARE`]. Forwarded requests count as refused too; otherwise
+//! spillover would lower the share that keeps it active. The rate ramps up because the servers of an idle
+//! remote site are cold, and the ramp runs backwards at the same speed while spillover is inactive.
 
 use crate::as_seconds;
 use corkhollow_balance::interface::Nanos;
 
-/// Part of the arrivals that is turned away here when the spill begins ...
+/// Spillover starts when a larger share of the arrivals is refused locally.
 pub const START_REFUSED_SHARE: f64 = 0.05;
-/// ... and when it ends.
+/// Spillover stops when a smaller share of the arrivals is refused locally.
 pub const STOP_REFUSED_SHARE: f64 = 0.01;
-/// So many arrivals are taken to have been served beside those that came: one refusal alone is no overload.
+/// Served arrivals added to those counted, so that a few refusals at low traffic do not start spillover.
 const PRIOR_SERVED_ARRIVALS: f64 = 20.0;
-/// Arrivals are weighed over this long.
+/// Time constant of the exponential decay of the arrival and refusal counts.
 const ARRIVAL_DECAY_NANOS: Nanos = 1_000_000_000;
-/// Part of the full rate with which it begins.
+/// Fraction of the full rate at the start of the ramp.
 const INITIAL_RATE_SHARE: f64 = 0.05;
-/// What was not used is saved up for this long, in seconds of the present rate.
+/// Capacity of the token bucket, in seconds of the current rate.
 const BURST_SECONDS: f64 = 0.1;
 
-/// How much may go.
+/// Limits on the rate of forwarded requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SpilloverLimits {
-    /// Part of the arrivals, 0 to 1.
+    /// Share of the arrivals that may be forwarded, 0 to 1.
     pub max_share: f64,
-    /// Requests a second; none for no bound but the share.
+    /// Absolute limit on forwarded requests; with none, only the share applies.
     pub max_rate_per_second: Option<f64>,
-    /// From the first request to the full rate.
+    /// Time to ramp up to the full rate.
     pub ramp: Nanos,
 }
 
-/// See the module's documentation.
+/// Spillover state and its token bucket; see the [module documentation](self).
 #[derive(Clone, Debug)]
 pub struct Spillover {
     limits: SpilloverLimits,
-    /// Arrivals and refusals of the last while, faded.
+    /// Exponentially decayed count of arrivals.
     arrivals: f64,
+    /// Exponentially decayed count of refusals.
     refusals: f64,
-    /// The far site as the ramp sees it, 0 (cold) to 1.
+    /// From 0 (cold) to 1 (full rate).
     ramp_progress: f64,
     active: bool,
     tokens: f64,
@@ -46,7 +48,7 @@
 }
 
 impl Spillover {
-    /// Nothing goes yet.
+    /// Creates an inactive spillover.
     pub fn new(limits: SpilloverLimits) -> Self {
         Spillover {
             limits,
@@ -59,18 +61,19 @@
         }
     }
 
-    /// Whether requests go at present.
+    /// Returns whether spillover is active.
     pub fn is_active(&self) -> bool {
         self.active
     }
 
-    /// Requests a second that may go at present.
+    /// Returns the rate at which requests may be forwarded now.
     pub fn rate_per_second(&self) -> f64 {
         let share_rate = self.limits.max_share * self.arrivals / as_seconds(ARRIVAL_DECAY_NANOS);
         self.limits.max_rate_per_second.map_or(share_rate, |rate| rate.min(share_rate))
             * (INITIAL_RATE_SHARE + (1.0 - INITIAL_RATE_SHARE) * self.ramp_progress)
     }
 
+    /// Applies decay, ramp and token refill up to `now`.
     fn advance(&mut self, now: Nanos) {
         let elapsed = now.saturating_sub(self.updated_at);
         self.updated_at = self.updated_at.max(now);
@@ -83,7 +86,8 @@
         self.tokens = (self.tokens + rate * as_seconds(elapsed)).min((rate * BURST_SECONDS).max(1.0));
     }
 
-    /// A request has come, and the near site has taken it or not; `nobody` where it has no server to ask.
+    /// Records a request at the local site and whether it was refused; `has_no_server` if no server is
+    /// available.
     pub fn record_arrival(&mut self, now: Nanos, refused: bool, has_no_server: bool) {
         self.advance(now);
         self.arrivals += 1.0;
@@ -96,7 +100,7 @@
         }
     }
 
-    /// Whether one more may go now; if so, it counts.
+    /// Takes a token if spillover is active and one is available; returns whether it did.
     pub fn try_take_token(&mut self, now: Nanos) -> bool {
         self.advance(now);
         let is_allowed = self.active && self.tokens >= 1.0;
@@ -106,7 +110,7 @@
         is_allowed
     }
 
-    /// The far site has been away, or has started again: it is cold.
+    /// Restarts the ramp, after the remote site was unavailable and its servers may be cold.
     pub fn restart_ramp(&mut self) {
         self.ramp_progress = 0.0;
         self.tokens = self.tokens.min(1.0);
@@ -124,7 +128,8 @@
         Spillover::new(SpilloverLimits { max_share: 1.0, max_rate_per_second: None, ramp: 10 * SECOND })
     }
 
-    /// A thousand a second for so long, of which every so many-th is turned away; how many went.
+    /// Sends 1,000 arrivals a second, of which every `refuse_every`th is refused (0: none). Returns how many
+    /// are forwarded.
     fn send_arrivals(
         spillover: &mut Spillover,
         now: &mut Nanos,
@@ -149,7 +154,7 @@
         assert_eq!(
             send_arrivals(&mut spillover, &mut now, 10, 50, false),
             0,
-            "2% turned away is no overload"
+            "2% refused is below the start threshold"
         );
     }
 
@@ -165,14 +170,14 @@
             previous = forwarded;
         }
         assert!(previous > 800, "{previous}");
-        // Half as many are turned away: all of those may go.
+        // Half of the arrivals are refused: all of them are forwarded.
         assert!(send_arrivals(&mut spillover, &mut now, 1, 2, false) >= 499);
         assert!(spillover.is_active());
         send_arrivals(&mut spillover, &mut now, 10, 0, false);
-        assert!(!spillover.is_active(), "it ends when nothing is turned away");
+        assert!(!spillover.is_active(), "nothing is refused any more");
     }
 
-    /// Between the two marks nothing changes.
+    /// A refused share between the thresholds changes nothing.
     #[test]
     fn spillover_does_not_flap_between_the_start_and_stop_thresholds() {
         let (mut spillover, mut now) = (new_spillover(), SECOND);
@@ -189,7 +194,7 @@
         assert_eq!(changes, 0);
     }
 
-    /// 5,000 that waited for the link do not arrive at once.
+    /// 5,000 requests that waited for the link are not all forwarded when it returns.
     #[test]
     fn a_burst_of_waiting_requests_is_not_forwarded_at_once() {
         let (mut spillover, mut now) = (new_spillover(), SECOND);
@@ -199,7 +204,7 @@
             spillover.record_arrival(now, true, true);
             spillover.try_take_token(now)
         });
-        assert!(forwarded.count() <= 1, "at one moment");
+        assert!(forwarded.count() <= 1, "at the same moment");
         now += 100 * MILLISECOND;
         let forwarded = (0..5_000).filter(|_| spillover.try_take_token(now)).count();
         assert!(forwarded < 100, "{forwarded} after 100 ms");
--- a/crates/remote-site/tests/site.rs
+++ b/crates/remote-site/tests/site.rs
@@ -1,4 +1,4 @@
-//! What goes to a far site and what stays, over whole stories.
+//! Which requests are forwarded to a remote site, in scenarios that combine all limits.
 
 use corkhollow_balance::interface::{Effect, Ending, Nanos};
 use corkhollow_remote_site::circuit_breaker::CircuitState;
@@ -29,7 +29,7 @@
     Candidate { class, tenant, effect, remaining, hops, may_have_run: false, is_retry: false }
 }
 
-/// A site to which requests go already, at a thousand a second, and the time.
+/// Returns a remote site that has received 1,000 arrivals a second for 4 s, and the current time.
 fn spilling_site(rules: ForwardingRules) -> (RemoteSite, Nanos) {
     let mut site = RemoteSite::new(rules, 1);
     let mut now = SECOND;
@@ -94,7 +94,7 @@
     );
 }
 
-/// A lost link is tried with safe requests only, one at a time; then it begins anew, slowly.
+/// A lost link is probed with one safe request at a time; once the circuit closes, the rate ramps up again.
 #[test]
 fn a_lost_link_is_probed_and_then_ramps_up_again() {
     let no_hops = Hops::default();
@@ -120,13 +120,13 @@
         (0..200).for_each(|_| site.record_arrival(now, true, true));
     }
     assert_eq!(site.status(now).circuit, CircuitState::Closed);
-    // 5,000 clients have waited.
+    // 5,000 clients waited for the link.
     let forwarded = (0..5_000).filter(|_| site.try_forward(now, &candidate(&no_hops)).is_ok()).count();
-    assert!(forwarded <= 4, "{forwarded} at one moment");
+    assert!(forwarded <= 4, "{forwarded} at the same moment");
     assert!(site.status(now).rate_per_second < before / 2.0);
 }
 
-/// A far site that turns slow without an error is given less, and never what its clients' time does not allow.
+/// A remote site that turns slow without errors gets fewer concurrent requests.
 #[test]
 fn a_slow_remote_site_gets_fewer_requests() {
     let no_hops = Hops::default();
@@ -141,7 +141,7 @@
             in_flight.retain(|due| {
                 let has_ended = *due <= now;
                 if has_ended {
-                    // Their clients wait 600 ms.
+                    // Clients give up after 600 ms.
                     let in_time = latency < 600 * MILLISECOND;
                     site.record_ending(
                         now,
@@ -163,12 +163,12 @@
         }
         in_flight.iter().for_each(|_| site.record_ending(now, Ending::Cancelled, 0));
     }
-    assert!(max_in_flight <= 3, "{max_in_flight} out at a far site that takes 40 s");
+    assert!(max_in_flight <= 3, "{max_in_flight} in flight to a remote site that takes 40 s");
 }
 
 proptest! {
-    /// Whatever happens: no unsafe request that may have run goes, nor more at once than allowed, and the count of
-    /// what is out is right.
+    /// No unsafe request that may have run is forwarded, the concurrency limit holds, and the count of
+    /// requests in flight is right.
     #[test]
     fn forwarding_rules_hold_for_any_events(
         events in prop::collection::vec((0u8..8, 0u64..400, any::<bool>(), any::<bool>()), 1..400),
