--- a/crates/remote-site/src/hops.rs
+++ b/crates/remote-site/src/hops.rs
@@ -121,7 +121,9 @@
 
     proptest! {
         #[test]
-        fn a_formatted_hop_list_parses_to_the_same_list(names in prop::collection::vec("[a-zA-Z0-9._-]{1,64}", 0..=16)) {
+        fn a_formatted_hop_list_parses_to_the_same_list(
+            names in prop::collection::vec("[a-zA-Z0-9._-]{1,64}", 0..=16)
+        ) {
             let hops = Hops(names);
             prop_assert_eq!(Hops::parse(&hops.to_string()), Ok(hops));
         }
--- a/crates/remote-site/tests/site.rs
+++ b/crates/remote-site/tests/site.rs
@@ -171,7 +171,7 @@
     /// requests in flight is right.
     #[test]
     fn forwarding_rules_hold_for_any_events(
-        events in prop::collection::vec((0u8..8, 0u64..400, any::<bool>(), any::<bool>()), 1..400),
+        events in prop::collection::vec((0u8..8, 0u64..400, any::<bool>(), any::<bool>()), 1..400)
     ) {
         let no_hops = Hops::default();
         let mut site = RemoteSite::new(ForwardingRules { max_concurrency: 10, ..rules() }, 5);
@@ -193,7 +193,11 @@
                 }
                 4 | 5 if in_flight > 0 => {
                     in_flight -= 1;
-                    site.record_ending(now, if flag { Ending::Ok } else { Ending::TimedOut }, wait_ms * MILLISECOND);
+                    site.record_ending(
+                        now,
+                        if flag { Ending::Ok } else { Ending::TimedOut },
+                        wait_ms * MILLISECOND
+                    );
                 }
                 6 if in_flight > 0 => {
                     in_flight -= 1;
