--- a/crates/soak/src/cluster.rs
+++ b/crates/soak/src/cluster.rs
@@ -13,11 +13,11 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Descriptors that a process may hold.
+/// The limit on file descriptors of each process.
 pub const MAX_DESCRIPTORS: u64 = 128;
-/// Far more than a start takes.
+/// Longer than any start takes.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
-/// Words in the log that only a fault of the program writes.
+/// Log texts that only a fault of the program causes.
 const FAULT_MARKERS: [&str; 3] = ["panicked", "this is a fault", "internal error"];
 
 /// Whether clients may connect to the process in a slot.
