--- a/crates/corkhollow/tests/backlog.rs
+++ b/crates/corkhollow/tests/backlog.rs
@@ -45,20 +45,23 @@
     *sent_at.lock().unwrap() = Some(Instant::now());
     let mut short = connect_and_post(b"short", "X-Timeout-Ms: 1000");
     let mut long_client = connect_and_post(b"long", "X-Timeout-Ms: 2900");
-    let short = read_message(&mut short).expect("an answer").status();
+    let short = read_message(&mut short).expect("no answer").status();
     assert!([503, 504].contains(&short), "the expired request got {short}");
-    let long = read_message(&mut long_client).expect("an answer").status();
+    let long = read_message(&mut long_client).expect("no answer").status();
     assert!([200, 503, 504].contains(&long), "the other request got {long}");
     // Only the first request on a connection has waited in the backlog.
     long_client.write_all(&post_request("/once/2", b"next")).unwrap();
-    assert_eq!(read_message(&mut long_client).expect("an answer").status(), 200);
+    assert_eq!(read_message(&mut long_client).expect("no answer").status(), 200);
     for (elapsed, timeout, body) in received.lock().unwrap().iter() {
         if body == b"next" {
             assert!(*timeout > Duration::from_millis(2_400), "{timeout:?} of 2.5 s");
             continue;
         }
         let client_timeout = Duration::from_millis(if body == b"short" { 1_000 } else { 2_900 });
-        let left = client_timeout.saturating_sub(*elapsed);
-        assert!(*timeout <= left + TIMEOUT_SLACK, "sent with {timeout:?}, {left:?} left after {elapsed:?}");
+        let remaining = client_timeout.saturating_sub(*elapsed);
+        assert!(
+            *timeout <= remaining + TIMEOUT_SLACK,
+            "sent with {timeout:?}, {remaining:?} left after {elapsed:?}"
+        );
     }
 }
--- a/crates/corkhollow/tests/demo.rs
+++ b/crates/corkhollow/tests/demo.rs
@@ -114,10 +114,10 @@
     let mut lines = BufReader::new(demo.stdout.take().unwrap()).lines().map_while(Result::ok);
     lines
         .find(|line| line.contains(" s   requests ") && !line.contains("served 0 "))
-        .expect("a line with served requests");
+        .expect("no line with served requests");
     let group = format!("-{}", demo.id());
     assert!(Command::new("kill").args(["-INT", "--", &group]).status().unwrap().success());
-    let summary = lines.find(|line| line.starts_with("ended: ")).expect("a summary at the end");
+    let summary = lines.find(|line| line.starts_with("ended: ")).expect("no summary at the end");
     assert!(summary.ends_with(" 0 failed"), "{summary}");
     assert!(demo.wait().unwrap().success());
 }
--- a/crates/corkhollow/tests/operator.rs
+++ b/crates/corkhollow/tests/operator.rs
@@ -289,7 +289,7 @@
     let taken_event = page
         .lines()
         .find(|line| line.ends_with(&format!("taken id={id}")))
-        .expect("an event for the request");
+        .expect("no event for the request");
     let subject = taken_event.split(' ').skip(1).take(2).collect::<Vec<_>>().join(" ");
     let request_events: Vec<_> =
         page.lines().filter_map(|l| l.split_once(&format!("{subject} "))).map(|l| l.1).collect();
--- a/crates/corkhollow/tests/platform.rs
+++ b/crates/corkhollow/tests/platform.rs
@@ -432,7 +432,7 @@
         (b"GET /safe/1 HTTP/1.1\r\nX-Request-ID: a\r\nX-Timeout-Ms: -1\r\n\r\n", 400),
     ];
     for (bytes, status) in cases {
-        let answer = node.send_raw(bytes).expect("an answer");
+        let answer = node.send_raw(bytes).expect("no answer");
         assert_eq!(answer.status(), status, "{}", String::from_utf8_lossy(bytes));
     }
     assert_eq!(servers.request_count(), 0);
@@ -642,7 +642,7 @@
                     client.write_all(chunk).unwrap();
                     std::thread::sleep(Duration::from_millis(60));
                 }
-                let answer = read_message(&mut client).expect("an answer");
+                let answer = read_message(&mut client).expect("no answer");
                 assert_eq!((answer.status(), answer.body), (200, length.to_string().into_bytes()));
             });
         }
@@ -671,7 +671,7 @@
             client.write_all(chunk).expect("the node has stopped reading the body");
             std::thread::sleep(Duration::from_millis(5));
         }
-        assert_eq!(read_message(&mut client).expect("an answer").status(), 503);
+        assert_eq!(read_message(&mut client).expect("no answer").status(), 503);
     }
 }
 
--- a/crates/corkhollow/tests/shutdown.rs
+++ b/crates/corkhollow/tests/shutdown.rs
@@ -51,7 +51,7 @@
         // Further signals have no effect.
         node.signal("-HUP");
         node.signal("-TERM");
-        let answer = read_message(&mut client).expect("an answer");
+        let answer = read_message(&mut client).expect("no answer");
         assert_eq!(
             (answer.status(), answer.header("connection")),
             (504, Some("close")),
@@ -90,7 +90,7 @@
         wait_until("the request is in flight", || servers.request_count() == k + 1);
     }
     for mut client in clients {
-        let answer = read_message(&mut client).expect("an answer");
+        let answer = read_message(&mut client).expect("no answer");
         assert_eq!((answer.status(), answer.header("connection")), (504, Some("close")));
     }
     assert!(node.wait_for_exit().success());
@@ -145,7 +145,7 @@
     }
     node.signal("-TERM");
     for client in &mut clients {
-        assert_eq!(read_message(client).expect("an answer").status(), 503);
+        assert_eq!(read_message(client).expect("no answer").status(), 503);
     }
     assert!(node.wait_for_exit().success());
     drop(unanswered_call);
@@ -169,7 +169,7 @@
         client.write_all(&requests).unwrap();
     }
     for client in &mut clients {
-        let answer = read_message(client).expect("an answer");
+        let answer = read_message(client).expect("no answer");
         assert_eq!((answer.status(), answer.body.len(), answer.is_complete), (200, body.len(), true));
         let _ = client.read(&mut [0]);
     }
@@ -205,7 +205,7 @@
     wait_until("/up answers 503", || node.get("/up", "").is_some_and(|m| m.status() == 503));
     for (mut client, request, sent_bytes, length) in partial_requests {
         client.write_all(&request[sent_bytes..]).unwrap();
-        let answer = read_message(&mut client).expect("an answer");
+        let answer = read_message(&mut client).expect("no answer");
         assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")), "{length} bytes");
         assert_eq!(answer.body, length.to_string().into_bytes());
     }
@@ -240,7 +240,7 @@
     node.signal("-TERM");
     wait_until("/up answers 503", || node.get("/up", "").is_some_and(|m| m.status() == 503));
     release.send(()).unwrap();
-    assert_eq!(read_message(&mut client).expect("an answer").body, b"fine");
+    assert_eq!(read_message(&mut client).expect("no answer").body, b"fine");
     assert_eq!(servers.request_count(), 3);
     assert!(node.wait_for_exit().success());
 }
--- a/crates/corkhollow/tests/site/messages.rs
+++ b/crates/corkhollow/tests/site/messages.rs
@@ -93,9 +93,9 @@
         std::thread::sleep(Duration::from_secs(30));
         drop(stream);
     });
-    let pool =
+    let limits_and_class =
         "[limits]\nstall_timeout = \"1s\"\n[[class]]\nname = \"all\"\neffect = \"unsafe\"\nmethods = [\"POST\"]\naim = \"200ms\"\ndeadline = \"500ms\"";
-    let node = Node::start_with_operator_file(&config(&[stalled_server], "", pool, ""));
+    let node = Node::start_with_operator_file(&config(&[stalled_server], "", limits_and_class, ""));
     let mut client = node.connect();
     write!(client, "POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 64000000\r\n\r\n").unwrap();
     let mut sender = client.try_clone().unwrap();
@@ -259,13 +259,13 @@
                 "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: {BODY_BYTES}\r\n\r\n"
             );
             let chunk = vec![b'x'; 1 << 16];
-            let mut left = BODY_BYTES;
-            while left > 0 {
-                let count = left.min(chunk.len() as u64) as usize;
+            let mut remaining = BODY_BYTES;
+            while remaining > 0 {
+                let count = remaining.min(chunk.len() as u64) as usize;
                 if stream.write_all(&chunk[..count]).is_err() {
                     return;
                 }
-                left -= count as u64;
+                remaining -= count as u64;
             }
         }
     });
--- a/crates/corkhollow/tests/site/pools.rs
+++ b/crates/corkhollow/tests/site/pools.rs
@@ -91,8 +91,8 @@
 fn backup_servers_serve_only_while_all_others_are_down() {
     let (main, backup) =
         (Servers::new(1, |_, _| ok_reply("main")), Servers::new(1, |_, _| ok_reply("spare")));
-    let up = Arc::new(AtomicUsize::new(1));
-    let server_up = up.clone();
+    let is_up = Arc::new(AtomicUsize::new(1));
+    let server_up = is_up.clone();
     let primary = Servers::new(1, move |_, _| match server_up.load(SeqCst) {
         0 => Reply::Send(response("500 Down", "", b"")),
         _ => ok_reply("main"),
@@ -109,14 +109,14 @@
     for _ in 0..20 {
         assert_eq!(body(), b"main");
     }
-    up.store(0, SeqCst);
+    is_up.store(0, SeqCst);
     node.wait_for_log("health checks mark server", 1);
     for _ in 0..20 {
         assert_eq!(body(), b"spare");
     }
-    up.store(1, SeqCst);
+    is_up.store(1, SeqCst);
     node.wait_for_log("health checks mark server", 2);
-    wait_until("the main server is back", || body() == b"main");
+    wait_until("the primary server serves again", || body() == b"main");
 }
 
 #[test]
@@ -292,7 +292,7 @@
                     let mut client = TcpStream::connect(address).unwrap();
                     for _ in 0..20 {
                         client.write_all(&request_bytes("POST /x HTTP/1.1")).unwrap();
-                        let answer = read_message(&mut client).expect("an answer");
+                        let answer = read_message(&mut client).expect("no answer");
                         assert_eq!(answer.status(), 200, "{answer:?}");
                         served += 1;
                     }
