--- a/crates/corkhollow/tests/commands.rs
+++ b/crates/corkhollow/tests/commands.rs
@@ -79,7 +79,7 @@
     folder.write_file("boxes.toml", "[[servers]]\naddress = \"127.0.0.1:9001\"\n");
     let valid = run_corkhollow(&["check", &config_path]);
     assert!(valid.status.success(), "{}", stderr(&valid));
-    assert!(stdout(&valid).contains("sound; listeners: 2, routes: 2, pools: 1"), "{}", stdout(&valid));
+    assert!(stdout(&valid).contains("valid; listeners: 2, routes: 2, pools: 1"), "{}", stdout(&valid));
 }
 
 #[test]
--- a/crates/corkhollow/tests/fleet.rs
+++ b/crates/corkhollow/tests/fleet.rs
@@ -182,8 +182,8 @@
     clients.set_targets(&rig, None);
     rig.wait_until_settled("restarted one by one", SETTLE_TIMEOUT);
     assert_eq!(
-        rig.count_timeline_lines("counts as number"),
-        rig.count_timeline_lines("fleet: counts as number")
+        rig.count_timeline_lines("this node is number"),
+        rig.count_timeline_lines("fleet: this node is number")
     );
     let (sent, failures) = clients.stop();
     assert!(
@@ -287,7 +287,7 @@
         !output.status.success() && port_error.contains(&format!("cannot listen on {address}")),
         "{port_error}"
     );
-    let expected = format!("the name n1 is taken: the process at {} has it", rig.relay_address(1));
+    let expected = format!("the name n1 is already used by the process at {}", rig.relay_address(1));
     assert!(name_error.contains(&expected), "{name_error}");
     assert_eq!(FleetView::fetch(rig.node(0)).unwrap().view_digest, before.view_digest);
     rig.wait_until_settled("unchanged", SETTLE_TIMEOUT);
@@ -332,9 +332,12 @@
     let renamed =
         file.replace("node = \"n0\"", "node = \"n9\"").replace("deadline = \"8s\"", "deadline = \"9s\"");
     for (k, (text, key)) in [
-        (renamed, "`fleet.node` changes"),
-        (file.replace("name = \"rig\"", "name = \"other\""), "`fleet.name` changes"),
-        (file.replace("127.0.0.1:0\"\nadvertise", "127.0.0.1:9\"\nadvertise"), "`fleet.listen` changes"),
+        (renamed, "`fleet.node` can only change with a restart"),
+        (file.replace("name = \"rig\"", "name = \"other\""), "`fleet.name` can only change with a restart"),
+        (
+            file.replace("127.0.0.1:0\"\nadvertise", "127.0.0.1:9\"\nadvertise"),
+            "`fleet.listen` can only change with a restart",
+        ),
         (file.replace(DETECTION_TIMES, &format!("{DETECTION_TIMES}\nkey_file = \"none\"")), "not reloaded"),
     ]
     .into_iter()
@@ -378,7 +381,7 @@
     };
     wait_until("the first has joined", || is_seen_by_other(|m| m.state == "alive"));
     let second = start();
-    second.wait_for_log("counts as number 1 of 2", 1);
+    second.wait_for_log("this node is number 1 of 2", 1);
     assert_eq!(
         second.call_operator("GET", "/-/fleet").unwrap().status(),
         404,
@@ -467,7 +470,7 @@
             site_config(&servers.addresses)
         );
         Node::start_with_log_observer(&text, move |line| {
-            if let Some((_, at)) = line.split_once("hears datagrams at ") {
+            if let Some((_, at)) = line.split_once("receives datagrams at ") {
                 datagram_address.lock().unwrap().get_or_insert(at.parse().expect("an address"));
             }
         })
--- a/crates/corkhollow/tests/upgrade.rs
+++ b/crates/corkhollow/tests/upgrade.rs
@@ -164,7 +164,7 @@
     let new = Node::start_with_listener(&socket, &folder.0, discovery.address, &NodeOptions::default());
     wait_until("it is ready", || is_ready(&new));
     wait_until("it serves", || new.get("/safe/1", "").is_some_and(|m| m.status() == 200));
-    new.wait_for_log("begins cold", 1);
+    new.wait_for_log("starting cold", 1);
 }
 
 /// Of two successors the later waits until the earlier has taken over, and then becomes its successor.
@@ -213,7 +213,7 @@
     wait_until("the first process is ready", || is_ready(&old));
     assert_eq!(old.call_operator("POST", "/-/drain").unwrap().status(), 200);
     let new = start();
-    new.wait_for_log("begins drained", 1);
+    new.wait_for_log("starting drained", 1);
     assert!(!is_ready(&new));
     old.signal("-TERM");
     assert!(old.wait_for_exit().success());
@@ -281,7 +281,8 @@
         let successor =
             Node::start_with_listener(&socket, &folder.0, discovery.address, &NodeOptions::default());
         let started_at = Instant::now();
-        let is_drained = || successor.log.lock().unwrap().iter().any(|line| line.contains("begins drained"));
+        let is_drained =
+            || successor.log.lock().unwrap().iter().any(|line| line.contains("starting drained"));
         while !is_drained() {
             assert!(
                 started_at.elapsed() < Duration::from_secs(5),
