--- a/crates/corkhollow/tests/guarantees.rs
+++ b/crates/corkhollow/tests/guarantees.rs
@@ -277,9 +277,9 @@
 const OVERLOAD_WINDOW_SECONDS: f64 = 2.0;
 
 /// Sends requests to 20 processes until 6 s after cold servers are listed, which is `listed_after` the start.
-/// Returns when requests came to each cold server, in seconds since it was listed, and the fraction of all
-/// requests that was served. `born_ms` gives the start time of the cold servers in the list, from the present
-/// wall-clock time, both in milliseconds.
+/// Returns the arrival times of the requests at each cold server, in seconds since it was listed, and the
+/// fraction of all requests that was served. `born_ms` gives the start time of the cold servers in the list,
+/// from the present wall-clock time, both in milliseconds.
 fn run_twenty_processes(listed_after: Duration, born_ms: fn(u128) -> u128) -> (Vec<Vec<f64>>, f64) {
     // One request at a time: were the warm servers idle, no request would need a cold one.
     let new_server_script = || {
