--- a/crates/test-support/src/servers.rs
+++ b/crates/test-support/src/servers.rs
@@ -121,9 +121,14 @@
     let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
 }
 
-/// An address at which connections are refused.
+/// An address at which connections are refused. The port stays bound until the process ends, so that no other
+/// socket gets it.
 pub fn refusing_address() -> SocketAddr {
-    TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap()
+    let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).unwrap();
+    socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
+    let address = socket.local_addr().unwrap().as_socket().unwrap();
+    std::mem::forget(socket);
+    address
 }
 
 /// Starts a server that runs `script` on each connection, without reading a request first.
