--- a/crates/corkhollow/src/commands/fleet.rs
+++ b/crates/corkhollow/src/commands/fleet.rs
@@ -34,8 +34,8 @@
     if args.operator.len() > 1 {
         views.sort();
         views.dedup();
-        let equal = if views.len() > 1 { "differ" } else { "are equal" };
-        writeln!(stdout, "views {equal}; nodes that did not answer: {unanswered}")?;
+        let comparison = if views.len() > 1 { "differ" } else { "are equal" };
+        writeln!(stdout, "views {comparison}; nodes that did not answer: {unanswered}")?;
     }
     Ok(())
 }
--- a/crates/corkhollow/src/succession.rs
+++ b/crates/corkhollow/src/succession.rs
@@ -45,11 +45,11 @@
     let mut inherited = listenfd::ListenFd::from_env();
     let mut listeners = Vec::with_capacity(inherited.len());
     for index in 0..inherited.len() {
-        let taken = inherited.take_tcp_listener(index).and_then(|listener| {
+        let result = inherited.take_tcp_listener(index).and_then(|listener| {
             listener.as_ref().map(|l| l.set_nonblocking(true)).transpose()?;
             Ok(listener)
         });
-        listeners.extend(taken.map_err(|e| io::Error::new(e.kind(), format!("{}: {e}", describe(index))))?);
+        listeners.extend(result.map_err(|e| io::Error::new(e.kind(), format!("{}: {e}", describe(index))))?);
     }
     Ok(listeners)
 }
--- a/crates/engine/src/requests.rs
+++ b/crates/engine/src/requests.rs
@@ -268,7 +268,7 @@
     /// times of the bodies, which depend on slow peers, this reflects the load of the server.
     pub fn on_answer_head(&mut self, id: AttemptId, latency: Nanos) {
         let attempts = self.active.get_mut(&id.request).map(|entry| &mut entry.attempts);
-        if let Some(attempt) = attempts.and_then(|all| all.get_mut(usize::from(id.number))) {
+        if let Some(attempt) = attempts.and_then(|attempts| attempts.get_mut(usize::from(id.number))) {
             attempt.latency = Some(latency);
         }
     }
