--- a/crates/corkhollow/src/commands/run.rs
+++ b/crates/corkhollow/src/commands/run.rs
@@ -36,9 +36,10 @@
 const LISTEN_BACKLOG: u32 = 4096;
 /// How often metrics, readiness and the draining state shown to the fleet are updated.
 const STATE_UPDATE_INTERVAL: Duration = Duration::from_millis(50);
-/// Up to this many servers are counted at each state update.
+/// With this many servers or more, they are counted only at one state update in
+/// [`UPDATES_PER_LARGE_COUNT`], since a count visits each server.
 const MAX_SERVERS_COUNTED_EACH_UPDATE: usize = 1_000;
-/// More servers are counted at one state update in this many, since a count visits each server.
+/// Number of state updates per count of many servers.
 const UPDATES_PER_LARGE_COUNT: u32 = 20;
 /// How often the process checks whether there is a predecessor or successor to share the limits with.
 const SUCCESSION_CHECK_INTERVAL: Duration = Duration::from_millis(100);
--- a/crates/operate/src/events.rs
+++ b/crates/operate/src/events.rs
@@ -80,7 +80,7 @@
     },
     /// The rules denied a proposed attempt or answer, for this reason.
     Denied(&'static str),
-    /// The request got its final answer, named so.
+    /// The request got its final answer: its kind or, for a refusal, the reason.
     Answered(&'static str),
     /// The client left before there was an answer.
     ClientLeft,
