--- a/crates/balance/src/interface.rs
+++ b/crates/balance/src/interface.rs
@@ -43,7 +43,7 @@
     pub zone: u8,
     /// Its machine kind, as an index.
     pub kind: u16,
-    /// Group of servers that share the keys they have seen.
+    /// Group of servers that share the idempotency keys they have seen.
     pub cell: u16,
     /// Whether it accepts requests.
     pub phase: Phase,
@@ -157,7 +157,7 @@
     pub cold_from: f64,
     /// Time from its start after which a server has its full capacity.
     pub ramp: Nanos,
-    /// More than this multiple of its current capacity, for `overload_window`, overloads a cold server.
+    /// A cold server is overloaded by more than this multiple of its current capacity for `overload_window`.
     pub tip_multiple: f64,
     /// The time over which that load is measured; see `tip_multiple`.
     pub overload_window: Nanos,
--- a/crates/plan/src/config/compile.rs
+++ b/crates/plan/src/config/compile.rs
@@ -66,7 +66,7 @@
     })
 }
 
-/// A cold server collapses if it gets more than this multiple of its present capacity for this many nanoseconds.
+/// A cold server is overloaded by more than this multiple of its current capacity for this many nanoseconds.
 const OVERLOAD_MULTIPLE_AND_WINDOW_NANOS: (f64, u64) = (3.0, 2_000_000_000);
 /// The ramp of pools without slow start, where it only sets how fast averages in the decision module decay.
 const DEFAULT_RAMP_NANOS: u64 = 10_000_000_000;
--- a/crates/plan/src/discovery_list.rs
+++ b/crates/plan/src/discovery_list.rs
@@ -31,7 +31,7 @@
     /// Its kind of machine.
     #[serde(default)]
     pub class: Option<String>,
-    /// The cell of servers with which it shares its key memory.
+    /// The cell whose servers share the idempotency keys that they have seen.
     #[serde(default)]
     pub block: Option<u16>,
     /// Whether it takes requests.
--- a/crates/plan/src/plan.rs
+++ b/crates/plan/src/plan.rs
@@ -55,7 +55,7 @@
     pub advertise: Option<SocketAddr>,
     /// The addresses of some members, to join through.
     pub seeds: Vec<SocketAddr>,
-    /// The file that holds the shared key, if datagrams are encrypted.
+    /// The file that holds the shared key, if datagrams are authenticated (with a keyed BLAKE3 hash).
     pub key_file: Option<PathBuf>,
     /// The interval between probes.
     pub probe_every: Nanos,
--- a/crates/proxy/src/fleet.rs
+++ b/crates/proxy/src/fleet.rs
@@ -249,7 +249,7 @@
         }
     }
 
-    /// Publishes the view and updates the metrics: at once with `force`, otherwise within the intervals above.
+    /// Publishes the view and updates the metrics: at once with `force`, otherwise at the publishing intervals.
     fn publish(&mut self, force: bool) {
         let age = self.published_at.elapsed();
         let has_changed = || {
--- a/crates/proxy/src/upstream/discovery.rs
+++ b/crates/proxy/src/upstream/discovery.rs
@@ -24,7 +24,7 @@
 use tokio::task::AbortHandle;
 use tokio::time::{interval, sleep, timeout, timeout_at, Instant, MissedTickBehavior};
 
-/// Discovery sends a heartbeat at least every 2 s; a watch that is silent for longer hangs.
+/// Discovery sends a heartbeat at least every 2 s; a watch that is silent for longer is closed.
 const WATCH_SILENCE_TIMEOUT: Duration = Duration::from_millis(2600);
 /// A call may have to queue at discovery. This and [`WATCH_SILENCE_TIMEOUT`] together must stay below 6 s, by
 /// which time a change that a silent watch missed has to be in use.
--- a/crates/proxy/src/upstream/idle_lifetime.rs
+++ b/crates/proxy/src/upstream/idle_lifetime.rs
@@ -2,7 +2,7 @@
 
 use corkhollow_balance::interface::Nanos;
 
-/// All counts are halved at this interval, so that old evidence fades.
+/// All counts are halved at this interval, so that recent ones weigh more.
 const DECAY_INTERVAL: Nanos = 10_000_000_000;
 /// Connections count as lost because of their idle time only if, from some idle time on, there are at least
 /// `MIN_LOST_CONNECTIONS` losses, their share of uses exceeds `MIN_LOSS_SHARE`, and that share exceeds the
--- a/crates/proxy/src/upstream/pool.rs
+++ b/crates/proxy/src/upstream/pool.rs
@@ -28,7 +28,7 @@
 const FILE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
 /// How long requests wait after the start for the first list from a discovery agent that pushes lists.
-/// Without one they go by the cached list.
+/// Without one, the cached list is used.
 const FIRST_LIST_TIMEOUT: Nanos = 250_000_000;
 
 /// A pool with a cached list is ready after this time, even without an answer from discovery.
@@ -94,7 +94,7 @@
     pub engine: Rc<Engine>,
     /// The servers and the connections to them.
     pub upstreams: Rc<Upstreams>,
-    /// Whether the pool has a server list that it can serve by.
+    /// Whether the pool has a server list to route requests with.
     pub ready: Rc<watch::Sender<bool>>,
     /// The configuration that the pool was started with.
     config: Arc<plan::Pool>,
@@ -276,7 +276,7 @@
         }
     }
 
-    /// Names and addresses of theservers to check.
+    /// Names and addresses of the servers to check.
     pub fn servers_to_check(&self) -> Vec<(String, SocketAddr)> {
         self.roster.borrow().servers_to_check()
     }
--- a/crates/proxy/src/upstream/servers.rs
+++ b/crates/proxy/src/upstream/servers.rs
@@ -152,14 +152,14 @@
 
     /// Takes the newest idle connection that can be reused now, and closes those that can no longer be.
     pub(super) fn checkout(&mut self, server: ServerId, now: Nanos) -> Option<IdleConnection> {
-        let oldest = now.saturating_sub(self.idle_lifetime.max_idle);
-        let newest = now.saturating_sub(self.reuse_delay(now));
+        let earliest_idle_since = now.saturating_sub(self.idle_lifetime.max_idle);
+        let latest_idle_since = now.saturating_sub(self.reuse_delay(now));
         let state = self.servers.get_mut(&server)?;
-        while let Some(index) = state.idle.iter().rposition(|idle| idle.idle_since <= newest) {
+        while let Some(index) = state.idle.iter().rposition(|idle| idle.idle_since <= latest_idle_since) {
             let idle = state.idle.remove(index);
             // Unread bytes would be taken for the next request's answer, and a close would lose that request.
             // The check asks the kernel, because the runtime may not have been notified yet.
-            if idle.idle_since >= oldest && idle.connection.socket.is_quiet() {
+            if idle.idle_since >= earliest_idle_since && idle.connection.socket.is_quiet() {
                 return Some(idle);
             }
             if idle.connection.socket.has_unread_bytes() {
@@ -201,12 +201,12 @@
 
     /// Closes connections that have been idle for too long, were closed by their server or have unread bytes.
     pub fn sweep(&mut self, now: Nanos) {
-        let oldest = now.saturating_sub(self.idle_lifetime.max_idle);
+        let earliest_idle_since = now.saturating_sub(self.idle_lifetime.max_idle);
         let mut has_surplus = false;
         for state in self.servers.values_mut() {
             state.idle.retain(|idle| {
                 has_surplus |= idle.connection.socket.has_unread_bytes();
-                idle.idle_since >= oldest && idle.connection.socket.is_quiet()
+                idle.idle_since >= earliest_idle_since && idle.connection.socket.is_quiet()
             });
         }
         self.surplus_at = has_surplus.then_some(now).or(self.surplus_at);
