--- a/crates/proxy/src/operator.rs
+++ b/crates/proxy/src/operator.rs
@@ -86,10 +86,10 @@
         let allowed = match path {
             "/-/ready" | "/-/metrics" | "/-/events" | "/-/fleet" => Method::GET,
             "/-/drain" | "/-/resume" => Method::POST,
-            _ => return text(StatusCode::NOT_FOUND, "no such endpoint\n"),
+            _ => return text(StatusCode::NOT_FOUND, "no such call\n"),
         };
         if *method != allowed {
-            let mut response = text(StatusCode::METHOD_NOT_ALLOWED, "method not allowed\n");
+            let mut response = text(StatusCode::METHOD_NOT_ALLOWED, "not with this method\n");
             let allow = HeaderValue::from_static(if allowed == Method::GET { "GET" } else { "POST" });
             response.headers_mut().insert(header::ALLOW, allow);
             return response;
@@ -103,12 +103,12 @@
                     response.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static(kind));
                     response
                 }
-                Err(_) => text(StatusCode::INTERNAL_SERVER_ERROR, "the metrics cannot be encoded\n"),
+                Err(_) => text(StatusCode::INTERNAL_SERVER_ERROR, "the figures cannot be written\n"),
             },
             "/-/events" => plain(Bytes::from(self.metrics.events.render())),
             "/-/fleet" => match self.fleet.get() {
                 Some(fleet) => json(fleet_page(fleet)),
-                None => text(StatusCode::NOT_FOUND, "not a member of a fleet\n"),
+                None => text(StatusCode::NOT_FOUND, "no member of a fleet\n"),
             },
             "/-/drain" => {
                 self.lifecycle.lock().drain(self.clock.now());
@@ -122,7 +122,7 @@
                 log(format_args!("an operator resumes the node"));
                 match resumed {
                     true => text(StatusCode::OK, "serving\n"),
-                    false => text(StatusCode::CONFLICT, "the node is shutting down\n"),
+                    false => text(StatusCode::CONFLICT, "the node ends\n"),
                 }
             }
         }
@@ -180,15 +180,15 @@
     let read_to_end = async {
         let mut length = 0;
         while let Some(frame) = body.frame().await {
-            let frame = frame.map_err(|_| (StatusCode::BAD_REQUEST, "the request body is incomplete\n"))?;
+            let frame = frame.map_err(|_| (StatusCode::BAD_REQUEST, "the body breaks off\n"))?;
             length += frame.data_ref().map_or(0, Bytes::len);
             if length > MAX_BODY_BYTES {
-                return Err((StatusCode::PAYLOAD_TOO_LARGE, "the request body is too large\n"));
+                return Err((StatusCode::PAYLOAD_TOO_LARGE, "calls have no body to speak of\n"));
             }
         }
         Ok(())
     };
-    let timed_out = |_| Err((StatusCode::REQUEST_TIMEOUT, "timed out waiting for the request body\n"));
+    let timed_out = |_| Err((StatusCode::REQUEST_TIMEOUT, "the body did not come\n"));
     tokio::time::timeout(BODY_TIMEOUT, read_to_end).await.unwrap_or_else(timed_out)
 }
 
